--- a/src/request_path.cpp
+++ b/src/request_path.cpp
@@ -20,7 +20,7 @@
 constexpr int unavailable = 503;
 constexpr int gateway_timeout = 504;
 constexpr int ok = 200;
-constexpr std::array promises_not_run{408, 421, too_many_requests, unavailable};
+constexpr std::array not_run_statuses{408, 421, too_many_requests, unavailable};
 constexpr std::string_view event_stream_type = "text/event-stream";
 
 instant now()
@@ -38,38 +38,41 @@
     return std::chrono::duration_cast<milliseconds>(span).count();
 }
 
-/** Picks by weight; the same for all attempts of one request. */
-const service_id& pick_target(const route& way, const std::string& request_id)
+/** Weighted choice of a target service by request id, the same for all attempts of a request. */
+const service_id& pick_target(const route& chosen, const std::string& request_id)
 {
     std::uint64_t total = 0;
-    for (const route_target& target : way.targets)
+    for (const route_target& target : chosen.targets)
         total += target.weight;
-    std::uint64_t drawn = total == 0 ? 0 : hash_of(request_id) % total;
-    for (const route_target& target : way.targets) {
-        if (drawn < target.weight) return target.service;
-        drawn -= target.weight;
+    std::uint64_t offset = total == 0 ? 0 : hash_of(request_id) % total;
+    for (const route_target& target : chosen.targets) {
+        if (offset < target.weight) return target.service;
+        offset -= target.weight;
     }
-    return way.targets.front().service;
+    return chosen.targets.front().service;
 }
 
 } // namespace
 
 request_path::request_path(caller_links& callers, server_links& servers, server_table& table,
                            const protocol& dialect, metrics& numbers)
-    : callers(callers), servers(servers), table(table), admitting(table), dialect(dialect),
+    : callers(callers), servers(servers), table(table), admission_control(table), dialect(dialect),
       numbers(numbers)
 {
-    callers.on_request.connect([this](caller_request request) { this->take(std::move(request)); });
+    callers.on_request.connect(
+        [this](caller_request request) { this->on_request(std::move(request)); });
     callers.on_gone.connect([this](std::uint64_t request) { this->leave(request); });
     servers.on_head.connect(
         [this](std::uint64_t attempt, const http_head& head, const answer_facts& facts) {
-            this->take_head(attempt, head, facts);
+            this->on_response_head(attempt, head, facts);
         });
-    servers.on_body.connect(
-        [this](std::uint64_t attempt, std::string_view bytes) { this->take_body(attempt, bytes); });
-    servers.on_end.connect([this](const attempt_end& end) { this->take_end(end); });
-    servers.on_checked.connect(
-        [this](std::uint32_t server, bool ended) { this->take_check(server_life{server}, ended); });
+    servers.on_body.connect([this](std::uint64_t attempt, std::string_view bytes) {
+        this->on_response_body(attempt, bytes);
+    });
+    servers.on_end.connect([this](const attempt_end& end) { this->on_attempt_end(end); });
+    servers.on_checked.connect([this](std::uint32_t server, bool ended) {
+        this->on_server_checked(server_life{server}, ended);
+    });
 }
 
 request_path::~request_path() = default;
@@ -82,19 +85,19 @@
         this->table.set_objective(service, objective);
     for (const auto& [service, traits] : this->config->services)
         this->table.set_traits(service, traits);
-    for (const std::uint64_t id : std::exchange(this->too_early, {})) {
+    for (const std::uint64_t id : std::exchange(this->awaiting_config, {})) {
         const auto found = this->requests.find(id);
         if (found != this->requests.end() && !found->second->ended) this->begin(*found->second);
     }
 }
 
-void request_path::take(caller_request request)
+void request_path::on_request(caller_request request)
 {
     auto made = std::make_unique<live_request>();
     live_request& item = *made;
     item.id = request.id;
     item.arrived = now();
-    this->arrived_last = item.arrived;
+    this->last_arrival_at = item.arrived;
     item.facts = this->dialect.decode_request(request.head);
     for (const std::string_view name : item.facts.ignored_headers) {
         this->numbers.count("worksshift_ignored_headers_total{header=\"" + std::string(name) +
@@ -105,7 +108,7 @@
     this->requests.emplace(item.id, std::move(made));
     if (this->config == nullptr) {
         item.deadline = item.arrived + first_config_within;
-        this->too_early.push_back(item.id);
+        this->awaiting_config.push_back(item.id);
     } else {
         this->begin(item);
     }
@@ -114,23 +117,24 @@
 void request_path::begin(live_request& item)
 {
     item.config = this->config;
-    if (this->admit(item)) this->dispatch(item);
+    if (this->resolve_route(item)) this->dispatch(item);
 }
 
-/** Finds route, account and deadline. Answers the caller itself when there is none. */
-bool request_path::admit(live_request& item)
+/** Determines route, account and deadline. If there is no route or the key is unknown, answers the
+ * caller and returns false. */
+bool request_path::resolve_route(live_request& item)
 {
     const std::string* host = item.head.find("host");
     item.way = host == nullptr ? nullptr : item.config->find(*host, item.head.target);
     if (item.way == nullptr) {
-        this->answer_own(item, not_found, "no route");
+        this->answer_locally(item, not_found, "no route");
         return false;
     }
     item.priority = item.way->priority;
     if (!item.way->is_public) {
         const auto account = item.config->account_of_key.find(item.facts.api_key);
         if (account == item.config->account_of_key.end()) {
-            this->answer_own(item, unauthorized, "unknown key");
+            this->answer_locally(item, unauthorized, "unknown key");
             return false;
         }
         item.account = account->second.name;
@@ -145,26 +149,28 @@
     duration span = item.way->timeout;
     if (item.facts.deadline) span = std::min<duration>(span, *item.facts.deadline);
     item.deadline = item.arrived + span;
-    // Elsewhere the server would give the end of an answer, which looks whole.
+    // On other routes a server that resumed would return only the tail of its response, which the
+    // caller could not tell from a complete one.
     if (item.way->resumable) {
         item.events.start_after(item.facts.last_event_id);
     } else if (item.facts.last_event_id) {
         this->numbers.count("worksshift_ignored_resumptions_total");
     }
     this->budgets[item.service].on_request(item.arrived);
-    if (item.engine) this->admitting.on_request(item.service, item.affinity, item.arrived);
+    if (item.engine) this->admission_control.on_request(item.service, item.affinity, item.arrived);
     return true;
 }
 
-/** A request under which servers end is not sent, here or again: it would end one more, with all
- * that is under way there. Its caller is told at once. */
+/** Whether the request's content is blocked because servers crashed while processing it. Sending it
+ * would crash another server and lose all other requests there, so the caller is answered at once.
+ */
 bool request_path::is_blocked(live_request& item)
 {
     const instant time = now();
-    const std::optional<block> found = this->harmful.blocked(item.content, time);
+    const std::optional<block> found = this->suspect_contents.blocked(item.content, time);
     if (!found) return false;
     if (found->trial_due && this->makes_trials(item.content)) {
-        this->harmful.begin_trial(item.content, time);
+        this->suspect_contents.begin_trial(item.content, time);
         return false;
     }
     this->numbers.count("worksshift_blocked_total");
@@ -179,7 +185,8 @@
     placing wanted{item.service, item.engine, item.affinity, item.tried, item.priority};
     wanted.repeatable = item.way->repeatable() && item.runs + 1 < item.way->attempts;
     wanted.allowed_regions = {item.way->allowed_regions, item.account_regions};
-    const verdict decided = this->admitting.decide(wanted, item.runs == 0 && !item.begun, now());
+    const verdict decided =
+        this->admission_control.decide(wanted, item.runs == 0 && !item.begun, now());
     std::visit(visitor{[&](const send_to& to) { this->send(item, to.where); },
                        [&](const come_back& answer) { this->refuse(item, answer); },
                        [&](const no_server& none) {
@@ -189,7 +196,7 @@
                decided);
 }
 
-/** No engine can begin with the request in time: it is told at once when to come back. */
+/** Answers a request that no engine can start in time with 503 and a Retry-After. */
 void request_path::refuse(live_request& item, const come_back& answer)
 {
     item.where = answer.where;
@@ -207,7 +214,7 @@
                {"loads_ms", in_ms(now() - this->table.peers_summed_at)},
                {"retry_after_ms", in_ms(answer.retry_after)}});
     this->numbers.count("worksshift_refused_total");
-    this->answer_own(item, unavailable, "not run: all engines are busy", answer.retry_after);
+    this->answer_locally(item, unavailable, "not run: all engines are busy", answer.retry_after);
 }
 
 void request_path::send(live_request& item, const placed& where)
@@ -256,8 +263,8 @@
     return found->second.get();
 }
 
-void request_path::take_head(std::uint64_t attempt, const http_head& head,
-                             const answer_facts& facts)
+void request_path::on_response_head(std::uint64_t attempt, const http_head& head,
+                                    const answer_facts& facts)
 {
     live_request* item = this->find_attempt(attempt);
     if (item == nullptr) return;
@@ -272,21 +279,23 @@
     const std::string* type = head.find("content-type");
     item->streaming = item->way->kind == route_kind::event_stream && head.status == ok &&
                       type != nullptr && type->starts_with(event_stream_type);
-    // A resumed answer keeps the head of its first server.
+    // A resumed response keeps the head of the first server.
     if (!item->begun) item->answer = head;
     item->held.clear();
     if (head.status == misdirected) {
         this->table.mark_replaced(item->row->record.id);
     } else {
-        this->heed(*item, head.status, facts);
+        this->apply_server_hints(*item, head.status, facts);
     }
     item->events.resume();
     item->unusable = item->begun && !item->streaming;
 }
 
-/** What the server says of itself goes before what the registry says, which may be held up while
- * the store is away: until that is heard, requests would go on to a server that is about to end. */
-void request_path::heed(const live_request& item, int status, const answer_facts& facts)
+/** Applies the shutdown and Retry-After hints of a response. They override the registry, whose
+ * updates are delayed while the store is unavailable; without them, requests would still be sent to
+ * a server that is shutting down. */
+void request_path::apply_server_hints(const live_request& item, int status,
+                                      const answer_facts& facts)
 {
     server_entry& row = *item.row;
     if (facts.leaving && this->table.mark_leaving(row)) {
@@ -295,7 +304,8 @@
             {{"server", row.record.id.text}, {"request", item.facts.id}, {"source", "its answer"}});
     }
     if (status != unavailable || !facts.retry_after) return;
-    // It would turn away what comes before; others can serve, or the caller come back.
+    // The server would refuse requests before then. Other servers can take them, or the caller can
+    // retry later.
     this->table.mark_resting(row, *facts.retry_after, item.last_byte);
     log_event(log_level::info, "server_resting",
               {{"server", row.record.id.text},
@@ -303,7 +313,7 @@
                {"for_ms", in_ms(*facts.retry_after)}});
 }
 
-void request_path::take_body(std::uint64_t attempt, std::string_view bytes)
+void request_path::on_response_body(std::uint64_t attempt, std::string_view bytes)
 {
     live_request* item = this->find_attempt(attempt);
     if (item == nullptr) return;
@@ -338,7 +348,7 @@
     this->callers.begin(item->id, item->answer, events);
 }
 
-/** The attempt is over: its server carries one request less. */
+/** Detaches the finished attempt and decrements its server's in-flight count. */
 void request_path::release(live_request& item)
 {
     if (item.row == nullptr) return;
@@ -347,14 +357,14 @@
     item.attempt = 0;
 }
 
-void request_path::take_end(const attempt_end& end)
+void request_path::on_attempt_end(const attempt_end& end)
 {
     live_request* found = this->find_attempt(end.attempt);
     if (found == nullptr) return;
     live_request& item = *found;
     server_entry& row = *item.row;
     const instant time = now();
-    this->note_outcome(item, end, time);
+    this->record_outcome(item, end, time);
     this->release(item);
     if (item.refused || end.result == send_result::not_sent) {
         if (end.result == send_result::not_sent) {
@@ -363,11 +373,11 @@
         } else {
             row.health.on_neutral();
         }
-        this->take_refusal(item, end);
+        this->on_refused_attempt(item, end);
         return;
     }
     ++item.runs;
-    this->note_broken(item, row.record, end, time);
+    this->record_broken_attempt(item, row.record, end, time);
     const bool whole =
         end.result == send_result::answered && !item.unusable && !item.events.inside_event();
     if (!whole) {
@@ -377,7 +387,7 @@
     }
     if (item.answer.status >= server_error && !item.streaming) {
         row.health.on_failure(time);
-        // The server's own failure is as good an answer as any if no other can be had.
+        // If no retry is possible, the server's own error response is passed on.
         if (!item.begun && item.answer.status != gateway_timeout && this->may_retry(item, true)) {
             this->log_attempt(item, "retried", "answer", std::to_string(item.answer.status));
             this->dispatch(item);
@@ -391,37 +401,39 @@
     this->finish_answer(item);
 }
 
-/** What the attempt says of its server. */
-void request_path::note_outcome(const live_request& item, const attempt_end& end, instant time)
+/** Records the attempt's outcome in its server's statistics. */
+void request_path::record_outcome(const live_request& item, const attempt_end& end, instant time)
 {
     if (item.gone || item.answer.status == misdirected) return;
-    // An engine that turns a request away is full, which its load tells; one that is out of reach
-    // is found out by each VM for itself, as it may be so for that VM only.
+    // An engine that refuses a request is full, which its load already shows. Unreachability is
+    // tracked by each VM separately, since it may affect only that VM.
     if (item.engine && (item.refused || end.result == send_result::not_sent)) return;
     const bool failed =
         item.refused || end.result != send_result::answered || item.answer.status >= server_error;
     server_table::on_answered(*item.row, time - item.sent, failed, time);
 }
 
-/** A server that broke an attempt off may have ended under it, or only lost an answer. */
-void request_path::note_broken(const live_request& item, const server_record& server,
-                               const attempt_end& end, instant time)
+/** Updates crash suspicion for the request's content. A server that closed the connection early may
+ * have crashed or only lost the response, so a connection check is started. */
+void request_path::record_broken_attempt(const live_request& item, const server_record& server,
+                                         const attempt_end& end, instant time)
 {
     if (end.result == send_result::answered) {
-        this->harmful.on_answered(item.content, time);
+        this->suspect_contents.on_answered(item.content, time);
         return;
     }
     if (!end.peer_closed) return;
     const server_life life = life_of(server);
-    this->harmful.on_broken(item.content, life, time);
+    this->suspect_contents.on_broken(item.content, life, time);
     this->servers.check(static_cast<std::uint32_t>(life), server.id, server.address);
 }
 
-/** A server that nobody listens for has ended, and is left alone at once. */
-void request_path::take_check(server_life life, bool ended)
+/** Result of a connection check. If nothing listens at the server's address any more, the server
+ * has ended and is marked unreachable at once. */
+void request_path::on_server_checked(server_life life, bool ended)
 {
     const instant time = now();
-    this->harmful.on_checked(life, ended, time);
+    this->suspect_contents.on_checked(life, ended, time);
     server_entry* row = this->table.find(life);
     if (row == nullptr) return;
     log_event(
@@ -432,8 +444,8 @@
     this->table.mark_unreachable(*row, time);
 }
 
-/** The server of the attempt under way sent nothing in time: the attempt is given up. */
-void request_path::note_silence(live_request& item, instant time)
+/** Cancels the current attempt, whose server sent nothing in time, and counts it as a failure. */
+void request_path::abandon_silent_attempt(live_request& item, instant time)
 {
     item.row->health.on_failure(time);
     server_table::on_answered(*item.row, time - item.sent, true, time);
@@ -443,11 +455,11 @@
 
 void request_path::finish_answer(live_request& item)
 {
-    // These statuses promise that nothing ran, and the server did not say so.
-    const bool false_promise =
-        std::ranges::find(promises_not_run, item.answer.status) != promises_not_run.end();
-    if (!item.begun && false_promise) {
-        this->answer_own(item, bad_gateway, "the server failed");
+    // Callers take these statuses to mean "not run", which the server did not state.
+    const bool unproved_refusal =
+        std::ranges::find(not_run_statuses, item.answer.status) != not_run_statuses.end();
+    if (!item.begun && unproved_refusal) {
+        this->answer_locally(item, bad_gateway, "the server failed");
         return;
     }
     if (item.begun) {
@@ -458,13 +470,14 @@
     this->end(item, "answered", item.answer.status);
 }
 
-/** The server did not run the request: it was full, is another one, or was never reached. */
-void request_path::take_refusal(live_request& item, const attempt_end& end)
+/** Retries or fails a request that its server did not run: the server was full, a different server
+ * answered at the address, or the connection failed. */
+void request_path::on_refused_attempt(live_request& item, const attempt_end& end)
 {
     const bool sent = end.result != send_result::not_sent;
-    const bool budgeted = !sent || this->may_retry(item, false);
+    const bool has_budget = !sent || this->may_retry(item, false);
     const bool time_left = item.deadline - now() > least_time_to_retry;
-    if (!item.gone && budgeted && time_left && item.sends < sends_at_most) {
+    if (!item.gone && has_budget && time_left && item.sends < sends_at_most) {
         this->log_attempt(item, "retried", end.step, sent ? "not executed" : end.detail);
         this->dispatch(item);
         return;
@@ -484,7 +497,7 @@
 void request_path::retry_or_fail(live_request& item, bool may_have_run, const char* step,
                                  const std::string& detail)
 {
-    // Only a stream of events can go on behind what the caller already has.
+    // Once the caller has part of the response, only an event stream can be resumed.
     const bool resumable = !item.begun || item.streaming;
     if (resumable && this->may_retry(item, may_have_run)) {
         this->log_attempt(item, item.begun ? "resumed" : "retried", step, detail);
@@ -495,7 +508,8 @@
     this->fail(item, step, detail);
 }
 
-/** No further attempt: the caller gets its final answer now. */
+/** Ends the request without another attempt: aborts a response that has begun, else answers with
+ * 502 if it may have run, or 503 "not run" if not. */
 void request_path::fail(live_request& item, const char* step, const std::string& detail)
 {
     this->log_attempt(item, "failed", step, detail);
@@ -505,15 +519,15 @@
         return;
     }
     if (item.runs > 0) {
-        this->answer_own(item, bad_gateway, "the server's answer was lost");
+        this->answer_locally(item, bad_gateway, "the server's answer was lost");
         return;
     }
-    this->answer_own(item, unavailable, "not run: " + detail,
-                     std::max(item.come_back_in, refusal_retry_after));
+    this->answer_locally(item, unavailable, "not run: " + detail,
+                         std::max(item.come_back_in, refusal_retry_after));
 }
 
-void request_path::answer_own(live_request& item, int status, std::string text,
-                              duration retry_after)
+void request_path::answer_locally(live_request& item, int status, std::string text,
+                                  duration retry_after)
 {
     if (!item.gone) this->callers.answer(item.id, {status, std::move(text), retry_after});
     this->end(item, "own_answer", status);
@@ -557,10 +571,11 @@
     }
     this->numbers.count("worksshift_requests_total{outcome=\"" + std::string(outcome) +
                         "\",status=\"" + std::to_string(status) + "\"}");
-    this->over.push_back(item.id);
+    this->finished.push_back(item.id);
 }
 
-/** The caller went away. What may not be stopped half way runs out; all else is stopped. */
+/** The caller disconnected. A non-idempotent request is left to complete at its server; any other
+ * is cancelled. */
 void request_path::leave(std::uint64_t request)
 {
     const auto found = this->requests.find(request);
@@ -581,33 +596,33 @@
     if (item.row == nullptr || item.gone || !item.way->repeatable()) return;
     duration limit =
         std::max<duration>(shortest_silence, item.way->latency_objective * silence_of_objective);
-    // A server that answers others is busy with what came before, not out of reach.
-    const bool heard = time - item.row->heard_at <= server_entry::quiet_after;
-    const double patience = heard ? this->table.policy.patience_while_heard : 1;
-    limit = std::chrono::duration_cast<duration>(limit * patience);
+    // A server that still answers other requests is busy, not unreachable.
+    const bool responsive = time - item.row->heard_at <= server_entry::quiet_after;
+    const double multiple = responsive ? this->table.policy.patience_while_heard : 1;
+    limit = std::chrono::duration_cast<duration>(limit * multiple);
     if (time - item.last_byte < limit) return;
     if (item.runs + 1 >= item.way->attempts) return;
-    // The attempt under way may run, so it counts as one before another is asked for.
+    // The current attempt may still run, so it is counted before the retry limit is checked.
     ++item.runs;
     if (!this->may_retry(item, true)) {
         --item.runs;
         item.last_byte = time;
         return;
     }
-    this->note_silence(item, time);
+    this->abandon_silent_attempt(item, time);
     this->log_attempt(item, "retried", "silence", std::to_string(in_ms(limit)) + " ms");
     this->dispatch(item);
 }
 
-void request_path::expire(live_request& item)
+void request_path::on_deadline(live_request& item)
 {
     if (item.config == nullptr) {
-        this->answer_own(item, unavailable, "no configuration yet", starting_retry_after);
+        this->answer_locally(item, unavailable, "no configuration yet", starting_retry_after);
         return;
     }
     if (item.row != nullptr) {
         ++item.runs;
-        this->note_silence(item, now());
+        this->abandon_silent_attempt(item, now());
     }
     this->log_attempt(item, "failed", "deadline", {});
     if (item.begun) {
@@ -615,10 +630,11 @@
         this->end(item, "broken", 0);
         return;
     }
-    this->answer_own(item, gateway_timeout, "deadline passed");
+    this->answer_locally(item, gateway_timeout, "deadline passed");
 }
 
-/** Callers have waited meanwhile, and servers must not be told more time than is left. */
+/** Shifts arrivals and deadlines: callers kept waiting during the suspension, and servers must not
+ * be given more time than remains. */
 void request_path::on_suspended(duration span)
 {
     for (const auto& [id, item] : this->requests) {
@@ -629,17 +645,18 @@
 
 void request_path::tick(instant time)
 {
-    for (const std::uint64_t id : this->over)
+    for (const std::uint64_t id : this->finished)
         this->requests.erase(id);
-    this->over.clear();
-    // An answer can let the next request of its connection in, so the table may change meanwhile.
+    this->finished.clear();
+    // An answer can admit the next request on its connection, so `requests` may change during the
+    // loop.
     std::vector<live_request*> current;
     for (const auto& [id, item] : this->requests) {
         if (!item->ended) current.push_back(item.get());
     }
     for (live_request* item : current) {
         if (time >= item->deadline) {
-            this->expire(*item);
+            this->on_deadline(*item);
         } else {
             this->check_silence(*item, time);
         }
--- a/src/request_path.h
+++ b/src/request_path.h
@@ -1,9 +1,10 @@
 /** \file
- * The path of a request: route and account, choice of a server, attempts, and the caller's answer.
+ * Request processing: resolves route and account, selects a server, sends and retries attempts, and
+ * answers the caller.
  *
- * Two rules decide everything here. What may have run is sent again only if its route allows it,
- * within the route's attempts and the fleet's retry budget. "Not run" (503) is said only of a
- * request that provably ran nowhere; whatever else fails is a 502 or 504.
+ * Two invariants hold throughout. A request that may have run is sent again only if its route
+ * allows it, within the route's number of attempts and the fleet's retry budget. "Not run" (503) is
+ * returned only for a request that provably ran nowhere; other failures are a 502 or 504.
  */
 #pragma once
 
@@ -25,23 +26,24 @@
 
 namespace worksshift {
 
-/** Sends of one request, refused ones included, whatever its route allows. */
+/** Upper limit on sends of one request, including refused ones, independent of its route. */
 constexpr unsigned sends_at_most = 4;
-/** A repeatable request whose server stays silent for this multiple of its latency objective, and
- * at least for the shortest silence below, is tried elsewhere. */
+/** A repeatable request is retried on another server when its server has sent nothing for this
+ * multiple of the route's latency objective, and for at least `shortest_silence`. */
 constexpr int silence_of_objective = 2;
 constexpr duration shortest_silence = milliseconds(600);
-/** With less than this left, another attempt could not be of use to the caller. */
+/** No retry when less time than this remains until the deadline: it could not complete in time. */
 constexpr duration least_time_to_retry = milliseconds(60);
-/** Body bytes of an answer that is not a stream that are held until it is whole. A broken one can
- * then still be replaced or reported; larger ones are passed on as they come. */
+/** Body bytes of a non-streaming response that are buffered until it is complete, so that a broken
+ * response can still be retried or reported as an error. Larger bodies are forwarded as they
+ * arrive. */
 constexpr std::size_t answer_held_at_most = std::size_t{64} * 1024;
-/** Named to callers that are refused: about the time in which a brief surge is worked off. */
+/** Minimum Retry-After of a "not run" answer: about the time it takes to drain a short burst. */
 constexpr duration refusal_retry_after = milliseconds(400);
-/** Named to callers while this VM has no configuration yet. */
+/** Retry-After of answers given while this VM has no configuration. */
 constexpr duration starting_retry_after = milliseconds(500);
-/** Requests that come before the first configuration wait for it so long. It takes 45 ms from the
- * start; refused, their callers would come back half a second later. */
+/** How long requests that arrive before the first configuration wait for it. It arrives 45 ms after
+ * the process starts; a refused caller would retry only after half a second. */
 constexpr duration first_config_within = milliseconds(300);
 
 class request_path {
@@ -58,49 +60,50 @@
     void set_budget(const fleet_retry_settings& settings) { this->budget_settings = settings; }
     void set_fleet_size(std::size_t vms) { this->vms = std::max(this->vms, vms); }
 
-    /** The VM was suspended for so long, which the clock that deadlines go by did not count. */
+    /** The VM was suspended for \p span, which the clock used for deadlines did not count. */
     void on_suspended(duration span);
-    /** Ends what ran out of time, and moves repeatable requests away from silent servers. */
+    /** Expires requests past their deadline and retries repeatable requests of silent servers. */
     void tick(instant now);
-    [[nodiscard]] admission& admissions() { return this->admitting; }
-    /** Requests under which servers end, as this VM knows them. */
-    [[nodiscard]] crash_suspects& suspects() { return this->harmful; }
-    [[nodiscard]] const crash_suspects& suspects() const { return this->harmful; }
-    /** Whether this VM is the one that tries a content which is blocked. */
+    [[nodiscard]] admission& admissions() { return this->admission_control; }
+    /** Requests suspected of crashing servers, as known to this VM. */
+    [[nodiscard]] crash_suspects& suspects() { return this->suspect_contents; }
+    [[nodiscard]] const crash_suspects& suspects() const { return this->suspect_contents; }
+    /** Whether this VM is the one that makes trial sends of the blocked content. */
     std::function<bool(content_key)> makes_trials = [](content_key) { return false; };
     [[nodiscard]] std::size_t active() const { return this->requests.size(); }
-    /** When the last request came. */
-    [[nodiscard]] instant last_arrival() const { return this->arrived_last; }
+    /** When the latest request arrived; the epoch if none has. */
+    [[nodiscard]] instant last_arrival() const { return this->last_arrival_at; }
 
 private:
-    void take(caller_request request);
+    void on_request(caller_request request);
     void begin(live_request& item);
-    bool admit(live_request& item);
+    bool resolve_route(live_request& item);
     void dispatch(live_request& item);
     [[nodiscard]] bool is_blocked(live_request& item);
-    void note_broken(const live_request& item, const server_record& server, const attempt_end& end,
-                     instant time);
-    void take_check(server_life server, bool ended);
+    void record_broken_attempt(const live_request& item, const server_record& server,
+                               const attempt_end& end, instant time);
+    void on_server_checked(server_life server, bool ended);
     void refuse(live_request& item, const come_back& answer);
     void send(live_request& item, const placed& where);
-    void take_head(std::uint64_t attempt, const http_head& head, const answer_facts& facts);
-    void heed(const live_request& item, int status, const answer_facts& facts);
-    void take_body(std::uint64_t attempt, std::string_view bytes);
-    void take_end(const attempt_end& end);
-    void note_outcome(const live_request& item, const attempt_end& end, instant time);
-    void note_silence(live_request& item, instant time);
+    void on_response_head(std::uint64_t attempt, const http_head& head, const answer_facts& facts);
+    void apply_server_hints(const live_request& item, int status, const answer_facts& facts);
+    void on_response_body(std::uint64_t attempt, std::string_view bytes);
+    void on_attempt_end(const attempt_end& end);
+    void record_outcome(const live_request& item, const attempt_end& end, instant time);
+    void abandon_silent_attempt(live_request& item, instant time);
     void finish_answer(live_request& item);
-    void take_refusal(live_request& item, const attempt_end& end);
+    void on_refused_attempt(live_request& item, const attempt_end& end);
     void retry_or_fail(live_request& item, bool may_have_run, const char* step,
                        const std::string& detail);
     [[nodiscard]] bool may_retry(live_request& item, bool may_have_run);
     void fail(live_request& item, const char* step, const std::string& detail);
-    void answer_own(live_request& item, int status, std::string text, duration retry_after = {});
+    void answer_locally(live_request& item, int status, std::string text,
+                        duration retry_after = {});
     void release(live_request& item);
     void end(live_request& item, std::string_view outcome, int status);
     void leave(std::uint64_t request);
     void check_silence(live_request& item, instant now);
-    void expire(live_request& item);
+    void on_deadline(live_request& item);
     live_request* find_attempt(std::uint64_t attempt);
     void log_attempt(const live_request& item, std::string_view outcome, std::string_view step,
                      std::string_view detail) const;
@@ -108,8 +111,8 @@
     caller_links& callers;
     server_links& servers;
     server_table& table;
-    admission admitting;
-    crash_suspects harmful;
+    admission admission_control;
+    crash_suspects suspect_contents;
     const protocol& dialect;
     metrics& numbers;
     router_config_ptr config;
@@ -117,9 +120,9 @@
     std::size_t vms = 1;
     std::unordered_map<std::uint64_t, std::unique_ptr<live_request>> requests;
     std::map<service_id, fleet_retry_budget> budgets;
-    std::vector<std::uint64_t> over;      ///< erased in the tick
-    std::vector<std::uint64_t> too_early; ///< wait for the first configuration
-    instant arrived_last{};
+    std::vector<std::uint64_t> finished;        ///< erased in the next tick
+    std::vector<std::uint64_t> awaiting_config; ///< requests that wait for the first configuration
+    instant last_arrival_at{};
 };
 
 } // namespace worksshift
