--- a/src/live_request.h
+++ b/src/live_request.h
@@ -1,5 +1,5 @@
 /** \file
- * What is known of a request while it is served.
+ * State of one request while it is processed.
  */
 #pragma once
 
@@ -14,47 +14,48 @@
 
 namespace worksshift {
 
-/** One request from its arrival to its final answer. */
+/** One request from its arrival to its final answer. The request path owns it. */
 struct live_request {
     std::uint64_t id = 0;
     http_head head;
     std::string body;
     request_facts facts;
-    router_config_ptr config; ///< by which it was admitted
+    /** The configuration at admission. Keeps `way` and `account_regions` valid. */
+    router_config_ptr config;
     const route* way = nullptr;
     client_account_id account;
-    std::span<const region_id> account_regions; ///< of `config`: where the account allows
-    unsigned priority = 0;
+    std::span<const region_id> account_regions; ///< allowed by the account; part of `config`
+    unsigned priority = 0;                      ///< 0 is the most urgent
     service_id service;
     bool engine = false;
-    std::uint64_t affinity = 0;
+    std::uint64_t affinity = 0; ///< hash of the shared part of the prompt; 0: none
     content_key content{};
     instant arrived{};
     instant deadline{};
 
-    std::vector<server_id> tried;
+    std::vector<server_id> tried; ///< one for each send, in order
     unsigned sends = 0;
     unsigned runs = 0; ///< sends that may have run
     std::uint64_t attempt = 0;
-    server_entry* row = nullptr; ///< of the attempt
+    server_entry* row = nullptr; ///< server of the current attempt; nullptr: none
     placed where;
-    duration loads_age{}; ///< of the other VMs' loads when the server was chosen
+    duration loads_age{}; ///< age of the other VMs' loads when the server was chosen
     instant attempt_since{};
-    instant sent{};      ///< the attempt; the epoch once its first event has come
-    instant last_byte{}; ///< of the attempt, or when it was sent
+    instant sent{};      ///< when the attempt was sent; the epoch once its first event has arrived
+    instant last_byte{}; ///< last response byte of the attempt, or when it was sent
 
-    std::optional<std::uint32_t> told_load; ///< by the server, with its answer
+    std::optional<std::uint32_t> told_load; ///< load that the server stated in its response
     http_head answer;
-    duration come_back_in{}; ///< a server takes the request by then; zero: not known
-    bool refused = false;    ///< the attempt's answer states that it did not run
+    duration come_back_in{}; ///< until a server accepts the request; zero: not known
+    bool refused = false;    ///< the response shows that the attempt did not run
     bool streaming = false;
-    bool unusable = false; ///< the answer cannot go on behind what the caller has
-    bool begun = false;    ///< the caller has the head
-    bool gone = false;     ///< the caller left; the attempt runs out
+    bool unusable = false; ///< the response cannot continue what the caller already has
+    bool begun = false;    ///< the response head was sent to the caller
+    bool gone = false;     ///< the caller disconnected; the attempt is left to complete
     bool ended = false;
-    std::string held;
+    std::string held; ///< buffered body of a response not yet forwarded
     event_stream events;
-    instant first_event{};
+    instant first_event{}; ///< when it was forwarded; the epoch: not yet
 };
 
 } // namespace worksshift
