--- a/src/admission.h
+++ b/src/admission.h
@@ -1,12 +1,13 @@
 /** \file
- * Whether a request goes to a server now, and to which one, or when its caller should come back.
+ * Admission control: decides whether a request is sent now, and to which server, or refused with a
+ * Retry-After.
  *
- * While more is asked than the engines can begin in time, admitting all makes all late: an engine
- * serves its queue in order, and the work ahead of each request is then more than its objective
- * allows. So a request that no engine can begin in time is refused at once, before it has run
- * anywhere, and those that are admitted are served on time. In a wave of long prompts the share of
- * requests that were on time rose from 20% to 45%, and requests that ran into their deadline fell
- * from 17% to none.
+ * When demand exceeds what the engines can start in time, admitting every request makes every
+ * request late: an engine serves its queue in order, and the queue ahead of each request takes
+ * longer than its latency objective allows. A request that no engine can start in time is therefore
+ * refused at once, before it has run anywhere, so that admitted requests are served in time. In a
+ * wave of long prompts this raised the share of requests in time from 20% to 45% and reduced
+ * requests that exceeded their deadline from 17% to none.
  */
 #pragma once
 
@@ -21,41 +22,44 @@
 
 namespace worksshift {
 
+/** The request is sent to the chosen server. */
 struct send_to {
     placed where;
 };
-/** What a decision went by, for the log. */
+/** Inputs of an admission decision, for the log. */
 struct admission_view {
-    double share = 1;  ///< of the requests that is admitted
-    double asked = 0;  ///< requests per second of the fleet
-    double served = 0; ///< requests per second that the engines finish while full
-    double taken = 0;  ///< share of the slots, beyond 1 for what waits
+    double share = 1;  ///< fraction of the requests that is admitted
+    double asked = 0;  ///< demand of the whole fleet, requests per second
+    double served = 0; ///< requests per second that the engines complete with all slots in use
+    double taken = 0;  ///< slot utilisation; above 1 when requests are queued
 };
 
+/** The request is refused; its caller should retry after `retry_after`. */
 struct come_back {
-    placed where; ///< the engine that was chosen, or the least loaded one when none has a slot
+    placed where; ///< the chosen engine, or the least loaded one if none has a slot
     duration retry_after{};
     admission_view view;
 };
-/** No server takes the request. */
+/** No server accepts the request. */
 struct no_server {
-    /** Until one that is cold does; zero: none is known to. */
+    /** Time until a cold server or one that is backing off accepts the request; zero if none is
+     * known to. */
     duration opens_in{};
 };
 using verdict = std::variant<send_to, come_back, no_server>;
 
-/** Sums of requests are this old where engines do not state their load themselves. What was
- * admitted beyond the engines' pace meanwhile is added to what is known. */
+/** Age of the summed in-flight counts, used where engines do not state their own load. Requests
+ * admitted above the engines' service rate during this time are added to the known load. */
 constexpr duration sums_are_late_by = milliseconds(700);
-/** A request that is one step of urgency ahead of the mean is admitted this much more often, within
- * the limits below. Kinds whose callers come back later, deeper into an overload, would else be
- * served less often than less urgent ones. */
+/** A request one priority level more urgent than the mean is admitted more often by this fraction,
+ * within the limits below. Without it, request classes whose callers retry later, further into an
+ * overload, would be served less often than less urgent ones. */
 constexpr double favour_of_urgency = 0.4;
 constexpr double least_favour = 0.5;
 constexpr double most_favour = 1.15;
-/** Requests over which the mean urgency is taken. */
+/** Number of requests over which the mean priority is averaged. */
 constexpr double requests_of_usual = 64;
-/** The rate that is admitted is lower and higher than the engines' pace by these at most. */
+/** Limits of the factor by which the admitted rate may differ from the engines' service rate. */
 constexpr double least_correction = 0.4;
 constexpr double most_correction = 1.25;
 class admission {
@@ -65,34 +69,35 @@
     {
     }
 
-    /** A request for a model engine came. */
+    /** Counts a request for a model engine. \p prompt: hash of its shared prefix; 0: none. */
     void on_request(const service_id& service, std::uint64_t prompt, instant now)
     {
         this->services[service].demand.on_request(now);
         if (prompt != 0) this->prompts.on_request(prompt, now);
     }
-    /** \p may_refuse: the request has run nowhere, so it is true to say so. */
+    /** \p may_refuse: whether the request has run nowhere, so that it may be refused as "not run".
+     * \return the chosen server, a refusal, or `no_server`. */
     verdict decide(placing wanted, bool may_refuse, instant now);
 
-    /** Requests for model engines that come to this VM, per second. */
+    /** Rate of requests for model engines that arrive at this VM, per second. */
     [[nodiscard]] double engine_requests_per_s(instant now) const;
-    /** Those of the whole fleet for each of this VM's. */
+    /** Sets the ratio of the fleet's rate of engine requests to this VM's. */
     void set_fleet_demand(double multiple) { this->fleet_multiple = multiple; }
 
 private:
     struct service_state {
         demand_meter demand;
         demand_meter admitted;
-        double usual_priority = 0; ///< mean of the latest requests
+        double mean_priority = 0; ///< of the latest requests
 
-        /** By how much more often than others the request is admitted. */
-        [[nodiscard]] double favour(const placing& wanted) const;
+        /** Factor on the admitted share, by the request's priority. */
+        [[nodiscard]] double priority_boost(const placing& wanted) const;
         overload_watch overload;
     };
 
-    bool over_rate(double share, const admission_view& view);
-    [[nodiscard]] std::size_t engines_for(const placing& wanted, instant now) const;
-    [[nodiscard]] admission_view look_at(const service_id& service, instant now);
+    bool exceeds_share(double share, const admission_view& view);
+    [[nodiscard]] std::size_t engine_count_for(const placing& wanted, instant now) const;
+    [[nodiscard]] admission_view measure_load(const service_id& service, instant now);
 
     server_table& table;
     std::map<service_id, service_state> services;
