--- a/src/slot_forecast.h
+++ b/src/slot_forecast.h
@@ -1,10 +1,10 @@
 /** \file
- * How long one more request would wait for a slot of a model engine.
+ * Estimates how long an additional request would wait for a slot of a model engine.
  *
- * An engine runs as many requests at once as it has slots, and queues the others. A request holds
- * its slot from its first event to its last, so an engine that is full frees one slot every span /
- * slots. The span is learnt from the requests of this VM: it grows and shrinks with what callers
- * ask for and with the engines' pace.
+ * An engine runs as many requests concurrently as it has slots and queues the others. A request
+ * holds its slot from its first event to its last, so a full engine frees one slot every span /
+ * slots. The mean span is estimated from the requests of this VM and follows changes of the
+ * requested work and of the engines' speed.
  */
 #pragma once
 
@@ -17,12 +17,12 @@
 
 class slot_forecast {
 public:
-    /** Requests after which the weight of an earlier one has faded to 1/e. A VM finishes 10 to 50
-     * a second, so the mean follows a change within a few seconds, and one long answer moves it by
-     * a few hundredths only. */
+    /** Number of requests after which the weight of an earlier one has decayed to 1/e. A VM
+     * completes 10 to 50 requests per second, so the mean follows a change within a few seconds,
+     * and a single long answer moves it by only a few hundredths. */
     static constexpr double fades_in = 32;
 
-    /** A request held its slot for \p span. */
+    /** Adds a request that held its slot for \p span. */
     void on_finished(duration span)
     {
         const double seconds_held = std::chrono::duration<double>(span).count();
@@ -30,7 +30,7 @@
         this->mean += (seconds_held - this->mean) / this->finished;
     }
 
-    /** Until one more request gets a slot; zero while nothing is known of the spans. */
+    /** Time until one more request gets a slot; zero if one is free or no span is known yet. */
     [[nodiscard]] duration wait(double load, std::uint32_t slots) const
     {
         const double ahead = load + 1 - slots;
@@ -39,14 +39,15 @@
         return std::chrono::duration_cast<duration>(span);
     }
 
+    /** Mean time for which a request holds a slot; zero while none is known. */
     [[nodiscard]] duration span() const
     {
         return std::chrono::duration_cast<duration>(std::chrono::duration<double>(this->mean));
     }
 
 private:
-    double mean = 0; ///< seconds
-    double finished = 0;
+    double mean = 0;     ///< seconds
+    double finished = 0; ///< requests in the mean, at most `fades_in`
 };
 
 } // namespace worksshift
