--- a/src/first_event_delay.h
+++ b/src/first_event_delay.h
@@ -1,8 +1,9 @@
 /** \file
- * How late the first events of one engine came lately, as one VM saw it.
+ * Recent time to first event of one engine, as observed by one VM.
  *
- * Shows an engine that runs at a fraction of its pace although its health is good and its slots are
- * free. An engine that is avoided gives no news, so what was seen fades and it is tried again.
+ * Detects an engine that runs at a fraction of its normal speed although its health is good and its
+ * slots are free. An engine that is avoided gives no new samples, so the value decays with time and
+ * the engine is tried again.
  */
 #pragma once
 
@@ -14,22 +15,24 @@
 
 class first_event_delay {
 public:
-    /** Weight of a new delay against those before. An engine that reads a long prompt for the first
-     * time is late once, one that is slow is late each time, so a shorter delay counts for more. */
+    /** Weights of a new sample in the moving average, when it is longer or shorter than the
+     * average. An engine that processes a long prompt for the first time is late once, a slow
+     * engine every time, so a shorter delay has more weight. */
     static constexpr double weight_of_longer = 0.15;
     static constexpr double weight_of_shorter = 0.6;
-    /** Without news, what was seen fades to 1/e in this time. */
+    /** Without new samples, the average decays to 1/e in this time. */
     static constexpr duration fades_in = seconds(5);
 
     void add(duration delay, instant now)
     {
-        const double kept = this->at(now);
-        const double change = as_seconds(delay) - kept;
-        this->value = kept + (change > 0 ? weight_of_longer : weight_of_shorter) * change;
+        const double previous = this->at(now);
+        const double change = as_seconds(delay) - previous;
+        this->value = previous + (change > 0 ? weight_of_longer : weight_of_shorter) * change;
         this->seen = now;
     }
 
     [[nodiscard]] bool known() const { return this->seen != instant{}; }
+    /** Decayed average; meaningless unless `known`. */
     [[nodiscard]] duration recent(instant now) const
     {
         return std::chrono::duration_cast<duration>(std::chrono::duration<double>(this->at(now)));
@@ -43,7 +46,7 @@
     }
 
     double value = 0; ///< seconds
-    instant seen{};
+    instant seen{};   ///< time of the latest sample; the epoch: none
 };
 
 } // namespace worksshift
