--- a/src/prompt_demand.h
+++ b/src/prompt_demand.h
@@ -1,9 +1,10 @@
 /** \file
- * Which prompts are asked for so often that one engine cannot serve them.
+ * Request rate of each prompt, to detect prompts that a single engine cannot serve.
  *
- * All VMs rank the engines of a prompt alike, and each knows late what the others send. A prompt
- * that is much of the traffic would fill its first engine, then its second, faster than the news
- * spreads, so it is spread over as many engines as its own rate needs before the first is full.
+ * All VMs rank the engines of a prompt alike, and each learns of the others' requests with a delay.
+ * A prompt that is a large part of the traffic would fill its first engine, then its second, faster
+ * than load reports spread. It is therefore spread over as many engines as its rate needs before
+ * the first is full.
  */
 #pragma once
 
@@ -17,47 +18,50 @@
 
 class prompt_demand {
 public:
-    /** Weight of past requests fades to 1/e in this time. */
+    /** The weight of past requests decays to 1/e in this time. */
     static constexpr duration fades_in = seconds(3);
-    /** Prompts that are remembered; beyond it the faded ones are dropped. */
+    /** Maximum number of tracked prompts. When it is reached, decayed entries are evicted. */
     static constexpr std::size_t prompts_at_most = 4096;
 
     void on_request(std::uint64_t prompt, instant now)
     {
-        if (this->prompts.size() >= prompts_at_most) this->drop_faded(now);
+        if (this->prompts.size() >= prompts_at_most) this->evict_decayed(now);
         entry& item = this->prompts[prompt];
-        item.weight = item.faded(now) + 1;
+        item.weight = item.decayed_weight(now) + 1;
         item.at = now;
     }
 
-    /** Requests per second at this VM that are sure beyond chance: one request is none. */
+    /** Lower estimate of the prompt's rate at this VM, in requests per second: the decayed count
+     * less one standard deviation, so that a single request counts as zero. */
     [[nodiscard]] double rate(std::uint64_t prompt, instant now) const
     {
         const auto found = this->prompts.find(prompt);
         if (found == this->prompts.end()) return 0;
-        const double weight = found->second.faded(now);
-        const double sure = weight - std::sqrt(weight);
-        return sure <= 0 ? 0 : sure / std::chrono::duration<double>(fades_in).count();
+        const double weight = found->second.decayed_weight(now);
+        const double lower_bound = weight - std::sqrt(weight);
+        return lower_bound <= 0 ? 0 : lower_bound / std::chrono::duration<double>(fades_in).count();
     }
 
 private:
     struct entry {
-        double weight = 0;
+        double weight = 0; ///< decayed count of requests at `at`
         instant at{};
 
-        [[nodiscard]] double faded(instant now) const
+        [[nodiscard]] double decayed_weight(instant now) const
         {
             const std::chrono::duration<double> span = now - this->at;
             return this->weight * std::exp(-span / std::chrono::duration<double>(fades_in));
         }
     };
 
-    void drop_faded(instant now)
+    void evict_decayed(instant now)
     {
         constexpr double negligible = 0.1;
-        std::erase_if(this->prompts,
-                      [&](const auto& item) { return item.second.faded(now) < negligible; });
-        // All of them are in use: their rates are low, or there were fewer.
+        std::erase_if(this->prompts, [&](const auto& item) {
+            return item.second.decayed_weight(now) < negligible;
+        });
+        // No entry has decayed. With this many active prompts the rate of each is low, so all are
+        // dropped.
         if (this->prompts.size() >= prompts_at_most) this->prompts.clear();
     }
 
