--- a/src/request_content.h
+++ b/src/request_content.h
@@ -1,7 +1,7 @@
 /** \file
- * What a request asks, whatever its id: the same for each time that it comes again, at any VM.
+ * Key of a request's content, independent of its id: the same for every repeat, at any VM.
  *
- * A caller that tries again sends a new id, so only the content ties a request's tries together.
+ * A caller that retries sends a new request id, so repeats can only be recognised by content.
  */
 #pragma once
 
@@ -14,11 +14,11 @@
 
 namespace worksshift {
 
-/** Hash of a request's path, client account and body. */
+/** Hash of a request's host, path, client account and body. */
 enum class content_key : std::uint64_t {};
 
-/** \p target may have a query, which does not count: a request that differs in nothing else from
- * one that does harm does the same harm. */
+/** Key of a request. A query in \p target is ignored: a request that differs from a harmful one
+ * only in its query is assumed to be as harmful. */
 inline content_key content_of(std::string_view host, std::string_view target,
                               const client_account_id& account, std::string_view body)
 {
@@ -27,7 +27,7 @@
     return content_key{XXH3_64bits(parts.data(), sizeof parts)};
 }
 
-/** As it stands in log lines. */
+/** Hexadecimal form of the key in log lines. */
 inline std::string to_text(content_key key)
 {
     constexpr std::string_view digits = "0123456789abcdef";
