--- a/src/retry_budget.h
+++ b/src/retry_budget.h
@@ -1,5 +1,5 @@
 /** \file
- * Bounds retries to a share of the requests, so that a failing service is not buried under them.
+ * Limits retries to a share of the requests, so that they do not overload a failing service.
  */
 #pragma once
 
@@ -9,12 +9,12 @@
 
 class retry_budget {
 public:
-    static constexpr double share = 0.1;    ///< retries for each request
-    static constexpr double reserve = 20.0; ///< retries saved up at most
+    static constexpr double share = 0.1;    ///< retries earned per request
+    static constexpr double reserve = 20.0; ///< maximum retries saved up
 
     void on_request() { this->balance = std::min(reserve, this->balance + share); }
 
-    /** Takes one retry out of the budget, if there is one. */
+    /** Takes one retry out of the budget. Returns false if there is none. */
     bool withdraw()
     {
         if (this->balance < 1) return false;
