--- a/src/fleet_retry_budget.h
+++ b/src/fleet_retry_budget.h
@@ -1,9 +1,10 @@
 /** \file
- * How many repeats one VM may send to a service.
+ * Limits the retries that one VM may send to a service.
  *
- * The whole fleet may repeat a share of the requests to a service, and a fixed number more, in any
- * window. Each VM keeps to the same share of its own requests and to its part of the fixed number,
- * so the sum holds without a message between VMs, also while they cannot reach each other.
+ * In any window, the whole fleet may retry a share of the requests to a service, plus a fixed
+ * number. Each VM applies the share to its own requests and takes an equal part of the fixed
+ * number, so the fleet-wide limit holds without communication, also when VMs cannot reach each
+ * other.
  */
 #pragma once
 
@@ -15,28 +16,31 @@
 namespace worksshift {
 
 struct fleet_retry_settings {
-    double ratio = 0.2; ///< repeats for each request, over the fleet
+    double ratio = 0.2; ///< retries per request, over the whole fleet
     duration window = seconds(10);
-    double slack = 50; ///< repeats beyond the ratio, over the fleet and window
+    double slack = 50; ///< retries beyond the ratio, per window over the whole fleet
 };
 
 class fleet_retry_budget {
 public:
-    /** Part of what the bound allows that is used. VMs count by their own clocks, and requests that
-     * never arrive here count in nobody's favour. */
+    /** Fraction of the allowance that is used. VMs count windows by their own clocks, and requests
+     * that never arrive here add to no VM's allowance. */
     static constexpr double used_share = 0.7;
 
     void on_request(instant now) { this->requests.push_back(now); }
 
-    /** Takes one repeat out of the budget if it holds one. \p vms is the size of the fleet. */
+    /** Takes one retry out of the budget. Returns false if there is none. \p vms: size of the
+     * fleet.
+     */
     bool take(instant now, const fleet_retry_settings& settings, std::size_t vms)
     {
         this->expire(now - settings.window);
-        const double share = settings.slack / static_cast<double>(std::max<std::size_t>(vms, 1));
+        const double own_slack =
+            settings.slack / static_cast<double>(std::max<std::size_t>(vms, 1));
         const double allowed =
-            used_share * (settings.ratio * static_cast<double>(this->requests.size()) + share);
-        if (static_cast<double>(this->repeats.size()) + 1 > allowed) return false;
-        this->repeats.push_back(now);
+            used_share * (settings.ratio * static_cast<double>(this->requests.size()) + own_slack);
+        if (static_cast<double>(this->retries.size()) + 1 > allowed) return false;
+        this->retries.push_back(now);
         return true;
     }
 
@@ -48,11 +52,11 @@
                 times.pop_front();
         };
         drop(this->requests);
-        drop(this->repeats);
+        drop(this->retries);
     }
 
     std::deque<instant> requests;
-    std::deque<instant> repeats;
+    std::deque<instant> retries;
 };
 
 } // namespace worksshift
