--- a/src/event_stream.cpp
+++ b/src/event_stream.cpp
@@ -9,7 +9,7 @@
 constexpr std::string_view event_end = "\n\n";
 constexpr std::string_view id_field = "id:";
 
-/** The number in an event's id line. */
+/** The event's numeric id; std::nullopt if it has none or it is not a number. */
 std::optional<std::uint64_t> id_of(std::string_view event)
 {
     while (!event.empty()) {
--- a/src/event_stream.h
+++ b/src/event_stream.h
@@ -1,6 +1,6 @@
 /** \file
- * Server-sent events on their way through: passes on whole events only, so that a stream that
- * breaks can go on at the next event from another server, and never repeats one.
+ * Filter for a forwarded server-sent event stream. It forwards complete events only, each once, so
+ * that a broken stream can be resumed from another server at the next event.
  */
 #pragma once
 
@@ -13,17 +13,22 @@
 
 class event_stream {
 public:
-    /** Takes bytes of the answer. Returns those of whole events that are new; valid until the next
-     * call. */
+    /** Takes bytes of the response body. Returns the complete events that are new; the view is
+     * valid until the next call. */
     std::string_view take(std::string_view bytes);
-    /** A new server goes on behind the last event. What was read of the next one is dropped. */
+    /** Prepares for a new response that continues after the last event. Discards a partial event.
+     */
     void resume() { this->partial.clear(); }
 
-    /** Bytes of an event that is not whole yet. */
+    /** Whether bytes of an incomplete event are buffered. */
     [[nodiscard]] bool inside_event() const { return !this->partial.empty(); }
+    /** Id of the last forwarded event, or the one set by `start_after`; std::nullopt if there is
+     * none.
+     */
     [[nodiscard]] std::optional<std::uint64_t> last_id() const { return this->last; }
+    /** Number of forwarded events. */
     [[nodiscard]] std::uint64_t events() const { return this->count; }
-    /** Sets the id behind which the caller asked to go on. */
+    /** Sets the id after which the caller asked to resume. */
     void start_after(std::optional<std::uint64_t> id) { this->last = id; }
 
 private:
