--- a/test/correctness/admission_refuses_what_cannot_begin.cpp
+++ b/test/correctness/admission_refuses_what_cannot_begin.cpp
@@ -1,7 +1,7 @@
 /** \file
- * A request is refused when no engine can begin with it in time, never while slots are free or
- * after it may have run; its caller comes back the later the longer the overload lasts. Slow
- * engines and prompts that are much of the traffic find other engines.
+ * Tests of admission control. Guards against refusing requests while slots are free or after they
+ * may have run, against admitting requests that no engine can start in time, and against
+ * concentrating load on slow engines or on the first engine of a frequent prompt.
  */
 #include <set>
 
@@ -36,7 +36,7 @@
 
     server_entry& engine(std::size_t at) { return *this->table->find({"e" + std::to_string(at)}); }
 
-    /** Every engine has this many requests of other VMs. */
+    /** Sets the number of other VMs' requests at every engine. */
     void load_all(std::uint32_t requests)
     {
         for (std::size_t i = 0; i < engines; ++i)
@@ -68,17 +68,18 @@
             this->table->put(record);
         }
         this->table->set_objective(llm, milliseconds(400));
-        // Requests hold a slot for a second: an engine that is full frees one every 100 ms.
+        // Requests hold a slot for one second, so a full engine frees one every 100 ms.
         this->table->on_finished(this->engine(0), seconds(1));
     }
 
+    /** Guards against refusals while every engine has a free slot. */
     void free_slots()
     {
         this->load_all(slots - 1);
         CPPUNIT_ASSERT(this->is_sent());
     }
 
-    /** Urgency decides who has to go, and nobody has to while slots are free. */
+    /** Guards against refusing low-priority requests while slots are free. */
     void less_urgent_with_free_slots()
     {
         this->load_all(1);
@@ -91,9 +92,10 @@
         }
     }
 
+    /** Guards against admitting a request whose wait for a slot exceeds the limit. */
     void no_slot_in_time()
     {
-        // Half of the objective is 200 ms: two requests may wait, and not a third.
+        // The limit is half of the objective, 200 ms: two requests may wait, a third may not.
         this->load_all(slots + 1);
         CPPUNIT_ASSERT(this->is_sent());
         this->load_all(slots + 2);
@@ -104,12 +106,15 @@
         CPPUNIT_ASSERT(answer->retry_after >= overload_watch::shortest_stay);
     }
 
+    /** Guards against refusing a request as "not run" that may have run. */
     void what_may_have_run()
     {
         this->load_all(slots * 3);
         CPPUNIT_ASSERT(this->is_sent(7, false));
     }
 
+    /** Guards against a Retry-After that does not grow during an overload or is not reset after it.
+     */
     void retry_after_grows()
     {
         this->load_all(slots * 3);
@@ -119,14 +124,15 @@
             last = std::get<come_back>(decided).retry_after;
             this->now += milliseconds(50);
         }
-        // Four seconds of overload, spread by half to either side.
+        // After four seconds of overload, randomised by up to half in either direction.
         CPPUNIT_ASSERT(last >= milliseconds(1950) && last <= milliseconds(6000));
         this->now += seconds(10);
         CPPUNIT_ASSERT_EQUAL(duration(overload_watch::shortest_stay),
                              std::get<come_back>(this->ask()).retry_after);
     }
 
-    /** The engines finish 60 requests a second; 200 a second come. */
+    /** Guards against admitting more than the engines complete: 200 requests per second arrive, and
+     * 60 are completed. */
     void by_rate_while_busy()
     {
         const auto admitted_of_200 = [&] {
@@ -146,6 +152,7 @@
         CPPUNIT_ASSERT_MESSAGE(std::to_string(admitted), admitted >= 20 && admitted <= 90);
     }
 
+    /** Guards against preferring a slow engine, and against refusing when only it has a slot. */
     void slow_engine()
     {
         this->load_all(0);
@@ -156,31 +163,34 @@
             usual.row->first_delay.add(milliseconds(900), this->now);
         this->table->mark_slow(this->now);
         CPPUNIT_ASSERT(std::get<send_to>(this->ask()).where.row != usual.row);
-        // Where no other has a slot it is still better than none.
+        // The slow engine is still used if no other has a slot.
         this->load_all(slots * 3);
         usual.row->peers_in_flight = 0;
         this->table->sum_loads(this->now);
         CPPUNIT_ASSERT(this->is_sent());
     }
 
+    /** Guards against a frequent prompt filling one engine, and against spreading other prompts. */
     void hot_prompt()
     {
         this->load_all(1);
-        const auto used = [&](std::uint64_t prompt) {
+        const auto engines_used = [&](std::uint64_t prompt) {
             std::set<server_entry*> rows;
             for (int i = 0; i < 60; ++i)
                 rows.insert(std::get<send_to>(this->ask(prompt)).where.row);
             return rows.size();
         };
-        CPPUNIT_ASSERT_EQUAL(std::size_t{1}, used(8));
+        CPPUNIT_ASSERT_EQUAL(std::size_t{1}, engines_used(8));
         for (int i = 0; i < 200; ++i) {
             this->now += milliseconds(40);
             this->admitting->on_request(llm, 8, this->now);
         }
-        CPPUNIT_ASSERT(used(8) > 3);
-        CPPUNIT_ASSERT_EQUAL(std::size_t{1}, used(9));
+        CPPUNIT_ASSERT(engines_used(8) > 3);
+        CPPUNIT_ASSERT_EQUAL(std::size_t{1}, engines_used(9));
     }
 
+    /** Guards against ignoring a load that an engine stated, using an older one, or keeping it
+     * after it expired. */
     void stated_load_goes_before_sums()
     {
         this->load_all(0);
@@ -189,7 +199,8 @@
         row.in_flight += 2;
         CPPUNIT_ASSERT_EQUAL(std::uint32_t{11}, row.load());
         row.state(4, this->now - milliseconds(10));
-        CPPUNIT_ASSERT_EQUAL_MESSAGE("an older word is passed over", std::uint32_t{11}, row.load());
+        CPPUNIT_ASSERT_EQUAL_MESSAGE("an older stated load is ignored", std::uint32_t{11},
+                                     row.load());
         this->table->expire_stated(this->now + stated_load_for + milliseconds(1));
         CPPUNIT_ASSERT_EQUAL(std::uint32_t{2}, row.load());
     }
