--- a/test/error/busy_is_not_silent.cpp
+++ b/test/error/busy_is_not_silent.cpp
@@ -1,7 +1,7 @@
 /** \file
- * A request that waits in the queue of a server that answers others stays there; one whose server
- * sends nothing to anybody is sent elsewhere in the time that matters. A server may turn from one
- * into the other.
+ * Tests of the silence timeout. Guards against retrying a request that waits in the queue of a
+ * server which answers other requests, and against leaving a request at a server that sends nothing
+ * at all, also when a busy server becomes silent.
  */
 #include <cppunit/extensions/HelperMacros.h>
 
@@ -36,15 +36,16 @@
         return count;
     }
 
-    /** All prompts are the same, so that all requests go to one engine. */
+    /** A request with the same prompt each time, so that all requests go to one engine. */
     static std::string with_prompt(const std::string& target, const std::string& id)
     {
         std::string text = request_text("POST", target, id, "x");
         return text.insert(text.find("X-Api-Key"), "X-Prompt-Prefix: aa:100,bb:10\r\n");
     }
 
-    /** Other callers' requests are answered, for so long. Returns whether they were all the time: a
-     * process that stood still for a while heard nothing either. */
+    /** Has other callers' requests answered for \p span. Returns whether answers arrived without a
+     * gap: a test process that was not scheduled for a while receives none, which looks like a
+     * silent server. */
     bool keep_answering(duration span)
     {
         const instant end = std::chrono::steady_clock::now() + span;
@@ -60,17 +61,18 @@
         return steady;
     }
 
-    /** Starts anew until a machine that is busy with other work lets the answers come steadily. */
-    void wait_beside_answers(duration span)
+    /** Repeats set-up and waiting until answers arrive without a gap, which a loaded machine may
+     * prevent in some tries. */
+    void wait_during_answers(duration span)
     {
-        constexpr int tries = 10;
-        for (int i = 0; i < tries; ++i) {
+        constexpr int max_tries = 10;
+        for (int i = 0; i < max_tries; ++i) {
             this->tearDown();
             this->setUp();
             this->ask_and_wait();
             if (this->keep_answering(span)) return;
         }
-        CPPUNIT_FAIL("this machine stood still again and again");
+        CPPUNIT_FAIL("answers were interrupted in every try: the machine is overloaded");
     }
 
     void ask_and_wait()
@@ -96,6 +98,7 @@
 
     void tearDown() override { this->engines.clear(); }
 
+    /** Guards against waiting for a silent server beyond the silence timeout. */
     void silent_is_left()
     {
         this->ask_and_wait();
@@ -103,15 +106,17 @@
         CPPUNIT_ASSERT_EQUAL(std::size_t{2}, this->times_sent());
     }
 
+    /** Guards against a retry while the server answers other requests. */
     void busy_is_waited_for()
     {
-        this->wait_beside_answers(shortest_silence + milliseconds(300));
+        this->wait_during_answers(shortest_silence + milliseconds(300));
         CPPUNIT_ASSERT_EQUAL(std::size_t{1}, this->times_sent());
     }
 
+    /** Guards against waiting on when a busy server stops answering. */
     void busy_turns_silent()
     {
-        this->wait_beside_answers(shortest_silence);
+        this->wait_during_answers(shortest_silence);
         CPPUNIT_ASSERT_EQUAL(std::size_t{1}, this->times_sent());
         this->rig->run_for(server_entry::quiet_after + milliseconds(250));
         CPPUNIT_ASSERT_EQUAL(std::size_t{2}, this->times_sent());
