--- a/test/error/streams_that_break.cpp
+++ b/test/error/streams_that_break.cpp
@@ -1,6 +1,7 @@
 /** \file
- * A stream that breaks goes on behind the last whole event where its route allows it, and never
- * looks whole where it does not. A caller that leaves stops its server.
+ * Tests of event streams whose server fails midway. Guards against lost, repeated or partial events
+ * when the route allows resumption, against a broken stream that appears complete when it does not,
+ * and against a server that keeps running after its caller has disconnected.
  */
 #include <algorithm>
 
@@ -27,7 +28,7 @@
 
     std::unique_ptr<path_rig> rig;
 
-    /** Events from the one behind `Last-Event-Id` to the third, and the end. */
+    /** The events after `Last-Event-Id` up to the third, and the end of the stream. */
     static scripted_answer events_to_the_end(const std::string& request)
     {
         const std::string last = header_in(request, "last-event-id");
@@ -43,7 +44,8 @@
         return "id: 1\ndata: d1\n\nid: 2\ndata: d2\n\nid: 3\ndata: d3\n\n";
     }
 
-    /** The first of two servers that is asked runs \p broken, the other answers to the end. */
+    /** Sends a request to one of two servers. The first send is answered by \p broken, the next one
+     * with the rest of the stream. */
     raw_caller& ask_two(const scripted_server::script& broken, const std::string& target)
     {
         auto asked = std::make_shared<std::size_t>(0);
@@ -57,7 +59,7 @@
         return caller;
     }
 
-    static bool looks_whole(const raw_caller& caller)
+    static bool appears_complete(const raw_caller& caller)
     {
         return caller.received.ends_with("0\r\n\r\n");
     }
@@ -69,13 +71,15 @@
         this->rig->path->set_config(this->rig->dialect.decode_config(example_config(1)));
     }
 
+    /** Guards against changing or holding back an unbroken stream. */
     void whole()
     {
         raw_caller& caller = this->ask_two(events_to_the_end, "/stream/x");
-        CPPUNIT_ASSERT(this->rig->run_until([&] { return looks_whole(caller); }));
+        CPPUNIT_ASSERT(this->rig->run_until([&] { return appears_complete(caller); }));
         CPPUNIT_ASSERT_EQUAL(all_events(), body_in(caller.received));
     }
 
+    /** Guards against a lost, repeated or partial event when a server resets midway in an event. */
     void resumed_behind_the_last_whole_event()
     {
         const auto half = [](const std::string& request) -> scripted_answer {
@@ -83,18 +87,21 @@
             return {stream_head(request) + event_chunk(1, "d1") + second.substr(0, 9), then::reset};
         };
         raw_caller& caller = this->ask_two(half, "/stream/x");
-        CPPUNIT_ASSERT(this->rig->run_until([&] { return looks_whole(caller); }));
+        CPPUNIT_ASSERT(this->rig->run_until([&] { return appears_complete(caller); }));
         CPPUNIT_ASSERT_EQUAL(all_events(), body_in(caller.received));
-        // The second server is told, so that it does not make the first event again.
-        std::vector<std::string> asked_behind;
+        // The second server gets the last event id, so that it does not produce the first event
+        // again.
+        std::vector<std::string> last_event_ids;
         for (const scripted_server* server : this->rig->all_servers()) {
             for (const std::string& request : server->requests)
-                asked_behind.push_back(header_in(request, "last-event-id"));
+                last_event_ids.push_back(header_in(request, "last-event-id"));
         }
-        std::ranges::sort(asked_behind);
-        CPPUNIT_ASSERT((asked_behind == std::vector<std::string>{"", "1"}));
+        std::ranges::sort(last_event_ids);
+        CPPUNIT_ASSERT((last_event_ids == std::vector<std::string>{"", "1"}));
     }
 
+    /** Guards against forwarding a partial event when a server ends the response properly but too
+     * early. */
     void ended_inside_an_event()
     {
         const auto half = [](const std::string& request) -> scripted_answer {
@@ -102,10 +109,12 @@
                     then::keep};
         };
         raw_caller& caller = this->ask_two(half, "/stream/x");
-        CPPUNIT_ASSERT(this->rig->run_until([&] { return looks_whole(caller); }));
+        CPPUNIT_ASSERT(this->rig->run_until([&] { return appears_complete(caller); }));
         CPPUNIT_ASSERT_EQUAL(all_events(), body_in(caller.received));
     }
 
+    /** Guards against a broken stream that appears complete, or is resumed, on a route without
+     * resumption. */
     void not_resumable()
     {
         const auto half = [](const std::string& request) -> scripted_answer {
@@ -113,10 +122,11 @@
         };
         raw_caller& caller = this->ask_two(half, "/once/x");
         CPPUNIT_ASSERT(this->rig->run_until([&] { return caller.closed; }));
-        CPPUNIT_ASSERT(!looks_whole(caller));
+        CPPUNIT_ASSERT(!appears_complete(caller));
         CPPUNIT_ASSERT_EQUAL(std::string("id: 1\ndata: d1\n\n"), body_in(caller.received));
     }
 
+    /** Guards against ignoring the `Last-Event-Id` of the caller. */
     void caller_asks_to_go_on()
     {
         this->rig->add_server("a", "llm", events_to_the_end);
@@ -124,10 +134,11 @@
         std::string text = request_text("POST", "/stream/x", "1", "{}");
         text.insert(text.find("X-Api-Key"), "Last-Event-Id: 2\r\n");
         caller.send(text);
-        CPPUNIT_ASSERT(this->rig->run_until([&] { return looks_whole(caller); }));
+        CPPUNIT_ASSERT(this->rig->run_until([&] { return appears_complete(caller); }));
         CPPUNIT_ASSERT_EQUAL(std::string("id: 3\ndata: d3\n\n"), body_in(caller.received));
     }
 
+    /** Guards against a server that keeps running for a caller that has disconnected. */
     void caller_leaves()
     {
         scripted_server& server =
@@ -143,13 +154,14 @@
         CPPUNIT_ASSERT_EQUAL(std::size_t{0}, this->rig->path->active());
     }
 
+    /** Guards against waiting for a server that stops sending midway in a stream. */
     void silent_midway()
     {
         const auto stuck = [](const std::string& request) -> scripted_answer {
             return {stream_head(request) + event_chunk(1, "d1"), then::keep};
         };
         raw_caller& caller = this->ask_two(stuck, "/stream/x");
-        CPPUNIT_ASSERT(this->rig->run_until([&] { return looks_whole(caller); }));
+        CPPUNIT_ASSERT(this->rig->run_until([&] { return appears_complete(caller); }));
         CPPUNIT_ASSERT_EQUAL(all_events(), body_in(caller.received));
     }
 };
