--- a/test/error/servers_that_answer_badly.cpp
+++ b/test/error/servers_that_answer_badly.cpp
@@ -1,6 +1,7 @@
 /** \file
- * Whatever bytes a server sends or fails to send, a caller gets the whole answer to its own request
- * or a failure that says the truth, and nothing that may not be repeated runs twice.
+ * Tests of malformed, truncated, late and missing responses. Guards against a caller receiving a
+ * partial response, one to another request, or an error status that is not true, and against
+ * sending a non-idempotent request twice.
  */
 #include <cppunit/extensions/HelperMacros.h>
 
@@ -69,6 +70,8 @@
         this->rig->path->set_config(this->rig->dialect.decode_config(example_config(1)));
     }
 
+    /** Guards against forwarding a truncated response to an idempotent request instead of retrying.
+     */
     void truncated_is_tried_elsewhere()
     {
         std::size_t sent = 0;
@@ -84,6 +87,7 @@
         CPPUNIT_ASSERT_EQUAL(std::string("good"), body_in(answer));
     }
 
+    /** Guards against retrying a non-idempotent request after a truncated response. */
     void truncated_runs_once_if_not_idempotent()
     {
         const auto cut = [](const std::string& request) -> scripted_answer {
@@ -98,6 +102,7 @@
         CPPUNIT_ASSERT_EQUAL(std::size_t{1}, a.requests.size() + b.requests.size());
     }
 
+    /** Guards against forwarding bytes that are not HTTP. */
     void garbage()
     {
         this->rig->add_server("a", "desk", [](const std::string&) -> scripted_answer {
@@ -107,6 +112,7 @@
         CPPUNIT_ASSERT_EQUAL(502, status_of(answer));
     }
 
+    /** Guards against delivering an unsolicited second response to the next request. */
     void second_answer_goes_to_nobody()
     {
         scripted_server& server =
@@ -121,6 +127,7 @@
         CPPUNIT_ASSERT_EQUAL(std::size_t{3}, server.connections);
     }
 
+    /** Guards against delivering a late response to an earlier request to the current one. */
     void late_answer_is_passed_over()
     {
         std::string earlier;
@@ -143,6 +150,7 @@
                "\r\nX-Response-Signature: sig\r\n\r\nto the end";
     }
 
+    /** Guards against rejecting a response without a length that ends with the connection. */
     void without_length_ends_with_connection()
     {
         this->rig->add_server("a", "desk", [](const std::string& request) -> scripted_answer {
@@ -153,6 +161,8 @@
         CPPUNIT_ASSERT_EQUAL(std::string("to the end"), body_in(answer));
     }
 
+    /** Guards against taking a response without a length as complete when the connection was reset.
+     */
     void without_length_and_reset()
     {
         this->rig->add_server("a", "desk", [](const std::string& request) -> scripted_answer {
@@ -162,9 +172,10 @@
         CPPUNIT_ASSERT_EQUAL(502, status_of(answer));
     }
 
+    /** Guards against reusing a connection on which a request body was not sent to its end. */
     void answer_before_body_was_read()
     {
-        // Larger than the sockets' buffers together, so the rest is still to be sent.
+        // Larger than all socket buffers together, so part of the body is still unsent.
         constexpr std::size_t large = std::size_t{16} * 1024 * 1024;
         auto config = this->rig->dialect.decode_config(example_config(2));
         config->limits.body_bytes = large;
@@ -182,6 +193,7 @@
         CPPUNIT_ASSERT_EQUAL(std::size_t{2}, server.connections);
     }
 
+    /** Guards against sending a request on a connection that the server has closed. */
     void idle_connection_that_closed()
     {
         scripted_server& server =
@@ -196,8 +208,8 @@
         CPPUNIT_ASSERT_EQUAL(std::size_t{2}, server.connections);
     }
 
-    /** A server may close an idle connection at the moment at which it is used; the outcome of what
-     * may not be repeated would be unknown then. */
+    /** Guards against sending a non-idempotent request on a connection that was idle for long. The
+     * server may close it at that moment, which would leave the outcome unknown. */
     void what_runs_once_goes_on_a_fresh_connection()
     {
         scripted_server& server = this->rig->add_server("a", "desk", good);
@@ -212,6 +224,8 @@
         CPPUNIT_ASSERT_EQUAL(std::size_t{2}, server.connections);
     }
 
+    /** Guards against sending more requests to an address where a different server answers (421).
+     */
     void other_server_at_the_address()
     {
         const auto other = [](const std::string& request) -> scripted_answer {
@@ -223,7 +237,7 @@
             const std::string answer = this->ask(request_text("POST", "/unsafe/x", id, "{}"));
             CPPUNIT_ASSERT_EQUAL(200, status_of(answer));
         }
-        // Once it has said so, it is not asked again.
+        // After the first 421 no further request is sent to it.
         CPPUNIT_ASSERT(a.requests.size() <= 1);
     }
 
@@ -232,6 +246,7 @@
         return {answer_text(503, request, "", "X-Not-Executed: 1\r\n"), then::keep};
     }
 
+    /** Guards against not retrying a request that a server provably did not run. */
     void refusal_is_tried_elsewhere()
     {
         std::size_t sent = 0;
@@ -245,6 +260,7 @@
         CPPUNIT_ASSERT_EQUAL(std::size_t{2}, sent);
     }
 
+    /** Guards against a missing Retry-After when all servers refuse. */
     void refusal_of_all_is_told()
     {
         this->rig->add_server("a", "desk", refuse);
@@ -254,6 +270,7 @@
         CPPUNIT_ASSERT(!header_in(answer, "retry-after").empty());
     }
 
+    /** Guards against passing on a 503 that does not prove that the request did not run. */
     void unproved_refusal_is_no_promise()
     {
         this->rig->add_server("a", "desk", [](const std::string& request) -> scripted_answer {
@@ -263,6 +280,7 @@
         CPPUNIT_ASSERT_EQUAL(502, status_of(answer));
     }
 
+    /** Guards against changing a server's own error response. */
     void own_failure_passes_unchanged()
     {
         this->rig->add_server("a", "desk", [](const std::string& request) -> scripted_answer {
@@ -274,6 +292,8 @@
         CPPUNIT_ASSERT_EQUAL(std::string("its own words"), body_in(answer));
     }
 
+    /** Guards against claiming that a request ran, or failing later ones, if a server is
+     * unreachable. */
     void nobody_listens()
     {
         server_record record;
@@ -289,6 +309,8 @@
         CPPUNIT_ASSERT_EQUAL(200, status_of(answer));
     }
 
+    /** Guards against waiting for a silent server until the deadline, or leaving its connection
+     * open. */
     void silent_server_is_left()
     {
         std::size_t sent = 0;
@@ -302,6 +324,7 @@
         CPPUNIT_ASSERT(this->rig->run_until([&] { return a.closed + b.closed == 1; }));
     }
 
+    /** Guards against sending further requests to a server that has stopped answering. */
     void quiet_server_gets_no_more()
     {
         const auto silent = [](const std::string&) -> scripted_answer {
@@ -321,6 +344,8 @@
         CPPUNIT_ASSERT_EQUAL(std::size_t{7}, b.requests.size());
     }
 
+    /** Guards against an expired request without a 504, or one that is not cancelled at its server.
+     */
     void timeout_is_answered()
     {
         scripted_server& server =
