--- a/test/fuzz/event_stream_resumes_once.cpp
+++ b/test/fuzz/event_stream_resumes_once.cpp
@@ -1,6 +1,6 @@
 /** \file
- * However a stream is cut into reads and broken between servers, also servers that begin too early,
- * its caller gets each event once, in order and whole.
+ * Property test of event stream resumption. Guards against lost, repeated, reordered or partial
+ * events, for random read sizes and breaks and for servers that resume too early.
  */
 #include <cppunit/extensions/HelperMacros.h>
 #include <rapidcheck.h>
@@ -21,15 +21,16 @@
         return "id: " + std::to_string(id) + "\ndata: " + std::string(id % 7, 'x') + "\n\n";
     }
 
-    /** From 1 to \p most. At full size: a small test must not draw small cuts only, which would
-     * never get to the end. */
-    static std::size_t drawn_size(std::size_t most)
+    /** Random size from 1 to \p most. Always generated at RapidCheck's full size: at a small size
+     * all sizes would be small, and the stream would never reach its end. */
+    static std::size_t random_size(std::size_t most)
     {
         constexpr int full_size = 100;
         return *rc::gen::resize(full_size, rc::gen::inRange<std::size_t>(1, most + 1));
     }
 
 public:
+    /** Guards against any difference from the events of an unbroken stream. */
     static void matches_the_unbroken_stream()
     {
         const bool held = rc::check("each event comes once, in order and whole", [] {
@@ -37,16 +38,16 @@
             event_stream stream;
             std::string passed;
             while (stream.last_id().value_or(0) < count) {
-                // The next server begins behind the last event, or up to three events too early.
+                // The next server resumes after the last event, or up to three events too early.
                 const std::uint64_t last = stream.last_id().value_or(0);
                 const auto early = *rc::gen::inRange<std::uint64_t>(0, 4);
                 std::string text;
                 for (std::uint64_t id = last - std::min(last, early) + 1; id <= count; ++id)
                     text += event(id);
-                const std::size_t broken_at = drawn_size(text.size());
+                const std::size_t broken_at = random_size(text.size());
                 std::string_view rest = std::string_view(text).substr(0, broken_at);
                 while (!rest.empty()) {
-                    const std::size_t size = drawn_size(rest.size());
+                    const std::size_t size = random_size(rest.size());
                     passed += stream.take(rest.substr(0, size));
                     rest.remove_prefix(size);
                 }
