--- a/test/fuzz/path_keeps_promises.cpp
+++ b/test/fuzz/path_keeps_promises.cpp
@@ -1,7 +1,7 @@
 /** \file
- * Many requests at once through one router to servers that fail in drawn ways. Seen from callers
- * and servers: every success is the whole answer to the caller's own request, what was refused as
- * not run ran nowhere, and what may not be repeated ran once at most.
+ * Property test of the request path: concurrent requests through one router to servers that fail in
+ * random ways. Guards against a successful response that is incomplete or belongs to another
+ * request, a "not run" refusal of a request that ran, and a non-idempotent request that ran twice.
  */
 #include <iostream>
 #include <map>
@@ -17,7 +17,7 @@
 using namespace worksshift;
 using then = scripted_answer::then;
 
-enum class conduct : std::uint8_t {
+enum class server_behaviour : std::uint8_t {
     good,
     refuses,
     other_server,
@@ -26,7 +26,7 @@
     resets,
     answers_twice,
     fails,
-    false_promise,
+    unproved_refusal, ///< a 503 without the header that proves that the request did not run
     breaks_stream,
 };
 
@@ -38,9 +38,9 @@
     CPPUNIT_TEST(under_drawn_failures);
     CPPUNIT_TEST_SUITE_END();
 
-    std::map<std::string, std::size_t> runs; ///< at servers, by request id
-    std::vector<conduct> drawn;              ///< of the servers, in order of arrivals
-    std::size_t arrivals = 0;
+    std::map<std::string, std::size_t> runs;  ///< executions at servers, by request id
+    std::vector<server_behaviour> behaviours; ///< of the servers, for successive requests
+    std::size_t arrivals = 0;                 ///< requests that reached a server
 
     static std::string id_of(const std::string& request)
     {
@@ -52,7 +52,7 @@
         return request.starts_with("POST /stream") || request.starts_with("POST /once");
     }
 
-    /** Events that name the request, from the one behind what was asked for. */
+    /** Events that carry the request's id, from the one after `Last-Event-Id` up to \p to. */
     static std::string events_of(const std::string& request, unsigned to)
     {
         const std::string last = header_in(request, "last-event-id");
@@ -70,27 +70,29 @@
 
     scripted_answer answer(const std::string& request)
     {
-        const conduct now = this->drawn[this->arrivals++ % this->drawn.size()];
-        if (now == conduct::refuses) {
+        const server_behaviour current =
+            this->behaviours[this->arrivals++ % this->behaviours.size()];
+        if (current == server_behaviour::refuses) {
             return {answer_text(503, request, "", "X-Not-Executed: 1\r\n"), then::keep};
         }
-        if (now == conduct::other_server) return {answer_text(421, request, ""), then::keep};
+        if (current == server_behaviour::other_server)
+            return {answer_text(421, request, ""), then::keep};
         ++this->runs[id_of(request)];
         const std::string text = whole(request);
-        switch (now) {
-        case conduct::truncates:
+        switch (current) {
+        case server_behaviour::truncates:
             return {text.substr(0, text.size() - 4), then::close};
-        case conduct::garbage:
+        case server_behaviour::garbage:
             return {"no answer at all\r\n\r\n", then::keep};
-        case conduct::resets:
+        case server_behaviour::resets:
             return {"", then::reset};
-        case conduct::answers_twice:
+        case server_behaviour::answers_twice:
             return {text + text, then::keep};
-        case conduct::fails:
+        case server_behaviour::fails:
             return {answer_text(500, request, "failed"), then::keep};
-        case conduct::false_promise:
+        case server_behaviour::unproved_refusal:
             return {answer_text(503, request, "failed"), then::keep};
-        case conduct::breaks_stream:
+        case server_behaviour::breaks_stream:
             if (!is_stream(request)) return {text.substr(0, 30), then::reset};
             return {stream_head(request) + events_of(request, 2) + "5\r\nid: 3", then::reset};
         default:
@@ -98,33 +100,36 @@
         }
     }
 
-    static bool over(const raw_caller& caller)
+    static bool is_finished(const raw_caller& caller)
     {
         if (caller.closed || caller.received.ends_with("0\r\n\r\n")) return true;
         const std::string length = header_in(caller.received, "content-length");
         return !length.empty() && body_in(caller.received).size() >= std::stoul(length);
     }
 
-    /** What a caller was promised and did not get; empty: nothing. */
-    std::string broken_promise(const std::string& target, const std::string& id,
-                               const raw_caller& caller)
+    /** Describes the guarantee that the outcome violates; empty: none. */
+    std::string violated_guarantee(const std::string& target, const std::string& id,
+                                   const raw_caller& caller)
     {
         const std::size_t ran = this->runs[id];
         const std::string& got = caller.received;
         const int status = got.size() < 12 ? 0 : std::stoi(got.substr(9, 3));
         const bool stream = target == "/stream/x" || target == "/once/x";
         const bool repeatable = target == "/safe/x" || target == "/stream/x";
-        if (ran > (repeatable ? 2U : 1U)) return "ran too often";
-        if (status == 503 && ran > 0) return "refused as not run, and ran";
+        if (ran > (repeatable ? 2U : 1U)) return "ran more often than its route allows";
+        if (status == 503 && ran > 0) return "refused as not run, but ran";
         if (status != 200) return {};
         const std::string body = body_in(got);
-        if (!stream) return body == "answer to " + id ? "" : "not the whole answer";
+        if (!stream)
+            return body == "answer to " + id
+                       ? ""
+                       : "response is incomplete or belongs to another request";
         std::string expected;
         for (unsigned event = 1; event <= 4; ++event)
             expected += "id: " + std::to_string(event) + "\ndata: " + id + "\n\n";
-        if (!expected.starts_with(body)) return "not the events";
-        const bool looks_whole = got.ends_with("0\r\n\r\n");
-        return looks_whole && body != expected ? "broken, and looks whole" : "";
+        if (!expected.starts_with(body)) return "events differ from those sent for the request";
+        const bool appears_complete = got.ends_with("0\r\n\r\n");
+        return appears_complete && body != expected ? "incomplete stream appears complete" : "";
     }
 
     void run_once()
@@ -148,16 +153,17 @@
             const std::string method = target == std::string("/safe/x") ? "GET" : "POST";
             callers.back()->send(request_text(method, target, "r" + std::to_string(i)));
         }
-        const bool all_over = rig.run_until([&] {
-            return std::ranges::all_of(callers, [](const raw_caller* each) { return over(*each); });
+        const bool all_finished = rig.run_until([&] {
+            return std::ranges::all_of(callers,
+                                       [](const raw_caller* each) { return is_finished(*each); });
         });
-        if (!all_over) RC_FAIL("a request has no final answer");
+        if (!all_finished) RC_FAIL("a request has no final answer");
         for (std::size_t i = 0; i < requests_at_once; ++i) {
             const std::string target = targets[i % targets.size()];
             const std::string id = "r" + std::to_string(i);
-            const std::string broken = this->broken_promise(target, id, *callers[i]);
+            const std::string broken = this->violated_guarantee(target, id, *callers[i]);
             if (broken.empty()) continue;
-            // Printed at once, since timing may keep a second run from showing it.
+            // Printed immediately: the failure may depend on timing and not recur when shrinking.
             std::cerr << target << ' ' << id << ": " << broken << ", runs " << this->runs[id]
                       << ", answer:\n"
                       << callers[i]->received << '\n';
@@ -166,19 +172,21 @@
     }
 
 public:
+    /** Guards against a violated guarantee under any mix of server failures. */
     void under_drawn_failures()
     {
-        const bool held = rc::check("promises hold whatever the servers do", [this] {
-            const auto any = rc::gen::weightedOneOf<conduct>(
-                {{6, rc::gen::just(conduct::good)},
-                 {5, rc::gen::element(conduct::refuses, conduct::other_server, conduct::truncates,
-                                      conduct::garbage, conduct::resets, conduct::answers_twice,
-                                      conduct::fails, conduct::false_promise,
-                                      conduct::breaks_stream)}});
-            this->drawn = *rc::gen::container<std::vector<conduct>>(31, any);
+        const bool passed = rc::check("promises hold whatever the servers do", [this] {
+            const auto any = rc::gen::weightedOneOf<server_behaviour>(
+                {{6, rc::gen::just(server_behaviour::good)},
+                 {5, rc::gen::element(server_behaviour::refuses, server_behaviour::other_server,
+                                      server_behaviour::truncates, server_behaviour::garbage,
+                                      server_behaviour::resets, server_behaviour::answers_twice,
+                                      server_behaviour::fails, server_behaviour::unproved_refusal,
+                                      server_behaviour::breaks_stream)}});
+            this->behaviours = *rc::gen::container<std::vector<server_behaviour>>(31, any);
             this->run_once();
         });
-        CPPUNIT_ASSERT(held);
+        CPPUNIT_ASSERT(passed);
     }
 };
 
