--- a/test/support/path_rig.cpp
+++ b/test/support/path_rig.cpp
@@ -31,7 +31,7 @@
     scripted_server* owner = nullptr;
     event_ptr<bufferevent> socket;
     std::string bytes;
-    bool over = false;
+    bool is_closed = false;
 };
 
 scripted_server::scripted_server(event_base* base, script answer)
@@ -63,8 +63,8 @@
         nullptr,
         [](bufferevent*, short what, void* given) {
             auto* found = static_cast<connection*>(given);
-            if ((what & (BEV_EVENT_EOF | BEV_EVENT_ERROR)) == 0 || found->over) return;
-            found->over = true;
+            if ((what & (BEV_EVENT_EOF | BEV_EVENT_ERROR)) == 0 || found->is_closed) return;
+            found->is_closed = true;
             ++found->owner->closed;
         },
         item);
@@ -73,7 +73,7 @@
 
 void scripted_server::reset(connection& item)
 {
-    item.over = true;
+    item.is_closed = true;
     close_by_reset(bufferevent_getfd(item.socket.get()));
     item.socket.reset();
 }
@@ -83,7 +83,7 @@
     this->ended = true;
     this->listener.close();
     for (const auto& item : this->open) {
-        item->over = true;
+        item->is_closed = true;
         item->socket.reset();
     }
 }
--- a/test/support/path_rig.h
+++ b/test/support/path_rig.h
@@ -1,6 +1,6 @@
 /** \file
- * A request path in one loop with scripted servers and raw callers: tests see every byte on both
- * sides, and no other process is needed.
+ * Test fixture: a request path in one event loop with scripted servers and raw callers. Tests
+ * control and observe every byte on both sides without further processes.
  */
 #pragma once
 
@@ -17,15 +17,16 @@
 
 namespace support {
 
-/** What a scripted server does with a request. */
+/** Reaction of a scripted server to a request. */
 struct scripted_answer {
-    /** `end`: the server's process ends, with all its connections and its listener. */
+    /** What follows the bytes. `end`: the server's process ends, with all its connections and its
+     * listener. */
     enum class then : std::uint8_t { keep, close, reset, stay_silent, end };
     std::string bytes;
     then after = then::keep;
 };
 
-/** A server of raw bytes on a free port of loopback. */
+/** A server that sends scripted raw bytes, on a free loopback port. */
 class scripted_server {
 public:
     using script = std::function<scripted_answer(const std::string& request)>;
@@ -37,16 +38,16 @@
     scripted_server& operator=(scripted_server&&) = delete;
 
     [[nodiscard]] worksshift::link_address address() const { return this->listener.address(); }
-    /** Sends bytes on the newest connection, as if by itself. */
+    /** Sends unsolicited bytes on the newest connection. */
     void push(const std::string& bytes);
-    /** The process ends: all connections close, and new ones are refused. */
+    /** Simulates the end of the process: all connections close, and new ones are refused. */
     void end();
 
     script answer;
-    std::vector<std::string> requests; ///< whole requests that came, in order
+    std::vector<std::string> requests; ///< complete requests received, in order
     std::size_t connections = 0;
     std::size_t closed = 0; ///< connections that the router closed
-    bool ended = false;
+    bool ended = false;     ///< `end` was called
 
 private:
     struct connection;
@@ -59,7 +60,7 @@
     std::vector<std::unique_ptr<connection>> open;
 };
 
-/** A caller's connection. */
+/** A caller's connection that sends and receives raw bytes. */
 class raw_caller {
 public:
     raw_caller(event_base* base, const worksshift::link_address& to);
@@ -70,10 +71,11 @@
     raw_caller& operator=(raw_caller&&) = delete;
 
     void send(const std::string& bytes);
+    /** Closes the connection. */
     void leave();
 
     std::string received;
-    bool closed = false;
+    bool closed = false; ///< by the router
 
 private:
     worksshift::event_ptr<bufferevent> socket;
@@ -84,13 +86,14 @@
 public:
     path_rig();
 
-    /** Adds a server of \p service, answering by \p answer. */
+    /** Adds a server of \p service that answers with \p answer. The fixture owns it. */
     scripted_server& add_server(const std::string& id, const std::string& service,
                                 scripted_server::script answer);
     raw_caller& add_caller();
     [[nodiscard]] std::vector<const scripted_server*> all_servers() const;
-    /** Runs the loop until \p done or for five seconds; false then. */
+    /** Runs the loop until \p done. Returns false if that takes more than five seconds. */
     bool run_until(const std::function<bool()>& done);
+    /** Runs the loop for \p span, five seconds at most. */
     void run_for(worksshift::duration span);
 
     worksshift::event_ptr<event_base> base;
@@ -108,24 +111,25 @@
     std::vector<std::unique_ptr<raw_caller>> raw_callers;
 };
 
-/** A configuration as the store holds it: routes /safe/, /unsafe/, /stream/ (may be resumed),
- * /once/ (a stream that may not) and /open/ (no key), keys `k1` of account `one`. */
+/** A configuration in the store's format: routes /safe/, /unsafe/, /stream/ (resumable), /once/ (a
+ * stream that is not resumable), /safe/nested/ (one attempt) and /open/ (no key); key `k1` of
+ * account `one`. */
 std::string example_config(std::uint64_t version);
 /** A request to \p target with id \p id, key `k1` and a deadline of two seconds. */
 std::string request_text(const std::string& method, const std::string& target,
                          const std::string& id, const std::string& body = {});
-/** An answer with the echoed id of \p request. */
+/** A response that echoes the id of \p request. */
 std::string answer_text(int status, const std::string& request, const std::string& body,
                         const std::string& extra_headers = {});
-/** Head of a chunked event stream that answers \p request. */
+/** Head of a chunked event stream in response to \p request. */
 std::string stream_head(const std::string& request);
-/** One event as a chunk. */
+/** One event as an HTTP chunk. */
 std::string event_chunk(unsigned id, const std::string& data);
-/** Size of the first whole request in \p bytes; 0 when it is not whole. */
+/** Size in bytes of the first request in \p bytes; 0 if it is incomplete. */
 std::size_t request_size(const std::string& bytes);
-/** Value of a header in raw text; empty when it is not there. */
+/** Value of a header in a raw message; empty if there is none. */
 std::string header_in(const std::string& text, const std::string& name);
-/** The body of a raw answer, decoded if it is chunked. */
+/** Body of a raw response, decoded if it is chunked; as far as it is complete. */
 std::string body_in(const std::string& text);
 
 } // namespace support
