--- a/src/request_path.h
+++ b/src/request_path.h
@@ -38,7 +38,8 @@
  * response can still be retried or reported as an error. Larger bodies are forwarded as they
  * arrive. */
 constexpr std::size_t answer_held_at_most = std::size_t{64} * 1024;
-/** Minimum Retry-After of a "not run" answer: about the time it takes to drain a short burst. */
+/** Minimum Retry-After when a request fails without having run: about the time in which a short
+ * burst is drained. */
 constexpr duration refusal_retry_after = milliseconds(400);
 /** Retry-After of answers given while this VM has no configuration. */
 constexpr duration starting_retry_after = milliseconds(500);
