--- a/src/protocol.h
+++ b/src/protocol.h
@@ -1,9 +1,9 @@
 /** \file
- * The seam between the router and the surroundings that it is run in: typed facts of requests,
- * answers, configuration and registered servers, and the functions that decode and encode them.
+ * Interface between the router and the platform it runs on: typed request, response, configuration
+ * and server records, and the functions that decode and encode them.
  *
- * An adapter (platform/) fills a `protocol` in. It translates and decides nothing; everything here
- * is in the product's own names.
+ * An adapter (platform/) supplies the functions of `protocol`. It only translates and makes no
+ * decisions, so that the router depends on none of the platform's names or formats.
  */
 #pragma once
 
@@ -23,54 +23,55 @@
 
 namespace worksshift {
 
-/** One part of a prompt. Requests whose prompts begin with the same parts share cached tokens. */
+/** One segment of a prompt. Requests whose prompts start with the same segments can share cached
+ * tokens. */
 struct prompt_part {
-    std::uint64_t id = 0; ///< hash of the part's name
+    std::uint64_t id = 0; ///< hash of the segment's name
     std::uint32_t tokens = 0;
 };
 
-/** What a caller's request says beside its start line. */
+/** Metadata from the headers of a caller's request. */
 struct request_facts {
     std::string id;
-    std::string api_key; ///< empty: none was given
+    std::string api_key; ///< empty: none was sent
     std::optional<milliseconds> deadline;
     std::vector<prompt_part> prompt;
     std::optional<std::uint64_t> last_event_id;
-    /** Headers that were not taken from the caller: reserved for the router, or sent twice. The
-     * names are the adapter's constants, so there are few different ones. */
+    /** Headers that were ignored because they are reserved for the router or were sent twice. The
+     * names come from the adapter's constants, so the number of distinct values is bounded. */
     std::vector<std::string_view> ignored_headers;
 };
 
-/** What we tell a server with a request. */
+/** Metadata that the router adds to a request forwarded to a server. */
 struct forward_facts {
     std::string_view expected_server;
-    std::string_view account; ///< empty: the route is public
-    milliseconds remaining{};
-    std::optional<std::uint64_t> resume_after; ///< id of the last event that the caller has
-    std::optional<unsigned> priority;          ///< 0 is the most urgent
-    std::string_view fetch_from;               ///< address of a server that has the prompt cached
+    std::string_view account;                  ///< empty: the route is public
+    milliseconds remaining{};                  ///< until the deadline
+    std::optional<std::uint64_t> resume_after; ///< id of the last event that the caller received
+    std::optional<unsigned> priority;          ///< 0: the highest
+    std::string_view fetch_from; ///< address of a server that has the prompt cached; empty: none
 };
 
-/** What a server's answer says beside its status. */
+/** Metadata from the headers of a server's response. */
 struct answer_facts {
-    std::string request_id;              ///< echoed; empty: none
-    bool not_executed = false;           ///< the server states that it did not run the request
-    std::optional<seconds> idle_timeout; ///< of the connection
-    bool close = false;                  ///< the server closes the connection
-    bool leaving = false;                ///< the server leaves, and should get nothing new
-    /** With a refusal: the server wants nothing for so long. */
+    std::string request_id;              ///< echoed by the server; empty: none
+    bool not_executed = false;           ///< the server reports that it did not run the request
+    std::optional<seconds> idle_timeout; ///< announced for the connection
+    bool close = false;                  ///< the server will close the connection
+    bool leaving = false; ///< the server is going out of service; it must get no new requests
+    /** Set on a rejection: the server asks for no requests for this long. */
     std::optional<duration> retry_after;
-    std::optional<std::uint32_t> load; ///< requests that the server runs or queues
+    std::optional<std::uint32_t> load; ///< requests running or queued at the server
 };
 
-/** What a server asks for beyond this is cut to it: it is no time that anybody planned. */
+/** Longer delays requested by a server are cut to this; nobody asks for more on purpose. */
 constexpr duration longest_retry_after = std::chrono::hours(1);
 
-/** How often a request may run. */
+/** How many times a request may be executed. */
 enum class route_kind : std::uint8_t {
     idempotent,     ///< any number of times
-    non_idempotent, ///< once at most
-    event_stream,   ///< once at most, unless `resumable`
+    non_idempotent, ///< at most once
+    event_stream,   ///< at most once, unless `resumable`
 };
 
 struct route_target {
@@ -84,15 +85,16 @@
     std::string path_prefix;
     route_kind kind = route_kind::non_idempotent;
     milliseconds timeout{};
-    milliseconds latency_objective{}; ///< to the whole answer; of streams to the first event
-    unsigned priority = 0;            ///< 0 is the most urgent
-    unsigned attempts = 1;            ///< servers that may run one request
-    bool is_public = false;           ///< no key is asked for
+    milliseconds
+        latency_objective{}; ///< until the complete response; for streams, until the first event
+    unsigned priority = 0;   ///< 0: the highest
+    unsigned attempts = 1;   ///< maximum number of servers that may run one request
+    bool is_public = false;  ///< no API key is required
     bool resumable = false;
-    std::vector<region_id> allowed_regions; ///< where its requests may be served; empty: anywhere
+    std::vector<region_id> allowed_regions; ///< regions that may serve its requests; empty: all
     std::vector<route_target> targets;
 
-    /** Whether a request that may have run may be sent again. */
+    /** Whether a request that may already have been executed can be sent again. */
     [[nodiscard]] bool repeatable() const
     {
         return this->kind == route_kind::idempotent ||
@@ -102,22 +104,23 @@
 
 struct client_account {
     client_account_id name;
-    std::optional<unsigned> priority; ///< goes before the route's
-    /** Where its requests may be served; empty: anywhere. Binds beside the route's. */
+    std::optional<unsigned> priority; ///< overrides the route's
+    /** Regions that may serve its requests; empty: all. Applies in addition to the route's list. */
     std::vector<region_id> allowed_regions;
 };
 
-/** What the configuration says of a service. */
+/** Per-service settings of the configuration. */
 struct service_traits {
     bool engine = false; ///< its servers are model engines
-    /** For so long after its start a server of the service is cold. */
+    /** How long a server of the service counts as cold after its start. */
     milliseconds cold_start{};
-    /** Requests in a second that a cold server bears; nothing: it is not limited. */
+    /** Maximum request rate of a cold server; std::nullopt: not limited. */
     std::optional<double> cold_requests_per_s;
 
     [[nodiscard]] bool limits_cold() const { return this->cold_requests_per_s.has_value(); }
 };
 
+/** Limits on what callers may send; larger or slower requests are rejected. */
 struct caller_limits {
     std::size_t header_bytes = std::size_t{16} * 1024;
     std::size_t body_bytes = std::size_t{4} * 1024 * 1024;
@@ -125,28 +128,31 @@
     milliseconds idle_timeout = seconds(15);
 };
 
-/** One accepted configuration, indexed for routing. Never changed once made. */
+/** One accepted configuration, indexed for routing. Immutable once published. */
 struct router_config {
     std::uint64_t version = 0;
     std::vector<route> routes;
-    std::map<std::string, std::vector<std::size_t>, std::less<>> routes_of_host; ///< longest first
+    std::map<std::string, std::vector<std::size_t>, std::less<>>
+        routes_of_host; ///< indexes in `routes`, longest path prefix first
     std::unordered_map<std::string, client_account> account_of_key;
     std::map<service_id, service_traits> services;
-    /** Of the routes of a service. */
+    /** The shortest latency objective of all routes to a service. */
     std::map<service_id, milliseconds> shortest_objective;
     caller_limits limits;
-    /** Routes and accounts whose allowed regions cannot be read. Nothing is sent for these. */
+    /** Number of routes and accounts whose allowed regions could not be parsed. Their requests are
+     * not sent to any server. */
     std::size_t unreadable_regions = 0;
 
-    /** The route of the host with the longest prefix of \p target; nullptr when there is none. */
+    /** The route of the host with the longest path prefix that matches \p target; nullptr if there
+     * is none. */
     [[nodiscard]] const route* find(std::string_view host, std::string_view target) const;
-    /** Fills the indexes in from `routes`. */
+    /** Builds the indexes from `routes`. */
     void index();
 };
 
 using router_config_ptr = std::shared_ptr<const router_config>;
 
-/** One entry of the registry of servers. */
+/** One entry of the server registry. */
 struct server_record {
     server_id id;
     service_id service;
@@ -154,14 +160,15 @@
     data_centre_id data_centre;
     std::uint32_t slots = 1;
     bool draining = false;
-    /** Until the server is warm, as of when it wrote the entry. */
+    /** Remaining time until the server is warm, measured when it wrote the entry. */
     milliseconds cold_for{};
-    /** Unix time of its start in milliseconds; 0: it does not tell. A server that starts again may
-     * keep its id, so this is what tells its lives apart. */
+    /** Unix time of the server's start in milliseconds; 0: not reported. A restarted server may
+     * keep its id, so this value distinguishes a process from its predecessor. */
     std::uint64_t born_ms = 0;
 };
 
-/** An object of the store, as far as the store itself defines it. */
+/** An object of the store: the fields that the store itself defines, and the document as raw text.
+ */
 struct stored_object {
     std::string name;
     std::uint64_t revision = 0;
@@ -169,43 +176,45 @@
     bool removed = false;
 };
 
-/** A page of a list, or a batch of changes. */
+/** One page of a list response, or a batch of watch events. */
 struct object_page {
     std::vector<stored_object> objects;
     bool truncated = false;
-    std::uint64_t revision = 0; ///< of the store, from which a watch goes on
-    /** Entries whose name cannot be read. One whose name can be read is among the objects, whatever
-     * its document holds. */
+    std::uint64_t revision = 0; ///< store revision at which a watch continues
+    /** Number of entries whose name could not be parsed. An entry with a valid name is always in
+     * `objects`, whatever its document holds. */
     std::size_t unreadable = 0;
 };
 
 enum class object_kind : std::uint8_t {
     configuration,
     servers,
-    evacuations, ///< data centres whose servers are to get no requests
+    evacuations, ///< data centres whose servers must get no requests
 };
 std::string_view name_of(object_kind kind);
 
-/** What the store may answer to a read. */
+/** Consistency of a read from the store. */
 enum class read_mode : std::uint8_t {
-    stale, ///< a state that is seconds old; at a tenth of the price, and outside the store's rate
+    /** May return data that is seconds old; costs a tenth and does not count towards the store's
+     * rate limit. */
+    stale,
     linearizable,
 };
 std::string_view name_of(read_mode mode);
 
-/** The calls of one adapter. Decoders \throw peer_error that names the step and the fault. */
+/** Functions of a platform adapter. Decoders \throw peer_error naming the step and the fault. */
 struct protocol {
     request_facts (*decode_request)(const http_head&) = nullptr;
-    /** Head of the request to a server, up to and with the empty line. */
+    /** Head of the request to a server, including the empty line that ends it. */
     std::string (*encode_request)(const http_head&, const forward_facts&,
                                   std::size_t body) = nullptr;
     answer_facts (*decode_answer)(const http_head&) = nullptr;
-    /** Whether a caller's connection asks only whether this VM takes callers. */
+    /** Whether the request target is the platform's readiness check. */
     bool (*is_readiness)(std::string_view target) = nullptr;
 
     std::shared_ptr<router_config> (*decode_config)(std::string_view document) = nullptr;
     server_record (*decode_server)(const stored_object&) = nullptr;
-    /** The data centre that an object asks to evacuate, whatever else it holds. */
+    /** The data centre named by an evacuation object; the object's document is ignored. */
     data_centre_id (*decode_evacuation)(const stored_object&) = nullptr;
     object_page (*decode_page)(std::string_view body) = nullptr;
     std::string (*list_path)(object_kind, std::string_view after, read_mode) = nullptr;
