--- a/src/router.cpp
+++ b/src/router.cpp
@@ -13,26 +13,27 @@
 namespace {
 
 constexpr duration tick_period = milliseconds(25);
-/** The platform's balancer drops a VM after two failed questions, a second apart; callers that it
- * still sends meanwhile are served. What is taken later could not be finished in the grace: an
- * answer of five seconds that was taken after 3.2 s was cut off. */
-constexpr duration stop_accepts_for = milliseconds(2700);
-/** After the last request of a stop, for its last bytes to leave. */
-constexpr duration stop_quiet = milliseconds(300);
-/** Left of the grace when what still runs is cut off. */
+/** How long connections are still accepted after a stop request. The platform's load balancer
+ * removes a VM after two failed readiness checks one second apart, so callers that it sends until
+ * then are served. Accepting for longer risks requests that cannot finish within the grace period:
+ * a response of five seconds, accepted after 3.2 s, was cut off. */
+constexpr duration stop_accept_time = milliseconds(2700);
+/** Idle time after the last request during shutdown, so that its last bytes are sent. */
+constexpr duration stop_idle_time = milliseconds(300);
+/** Requests that still run are cut off this long before the end of the grace period. */
 constexpr duration stop_margin = milliseconds(400);
-/** The settings file may change without a signal. */
+/** Interval at which the settings file is checked for changes made without a signal. */
 constexpr duration settings_check_period = seconds(1);
-constexpr duration loads_summed_every = milliseconds(50);
-/** Requests wait for so long for the list of evacuated data centres after everything else is known.
- * It is asked for at the same moment; a store that answers the one and not the other must not keep
- * the VM from serving. */
-constexpr duration evacuations_awaited_for = milliseconds(500);
-constexpr duration divided_every = milliseconds(100);
-constexpr duration suspects_hastened_every = milliseconds(500);
-/** Digests tell rates in tenths of a request per second, in two bytes. */
-constexpr double demand_unit_per_s = 10;
-constexpr double largest_demand = 65535;
+constexpr duration load_sum_period = milliseconds(50);
+/** Maximum time that requests wait for the list of evacuated data centres once configuration and
+ * servers are known. All three are requested at the same time; a store that fails to return only
+ * this list must not keep the VM from serving. */
+constexpr duration max_evacuations_wait = milliseconds(500);
+constexpr duration assignment_period = milliseconds(100);
+constexpr duration suspects_announce_period = milliseconds(500);
+/** Digests carry request rates in tenths of a request per second, as a 16-bit number. */
+constexpr double demand_units_per_rps = 10;
+constexpr double max_demand = 65535;
 constexpr int ok = 200;
 constexpr int unavailable = 503;
 
@@ -66,7 +67,7 @@
     event_ptr<evhttp> server(evhttp_new(base));
     if (evhttp_bind_socket(server.get(), at.address.c_str(), at.port) != 0) {
         throw user_error("listen", at.address + ":" + std::to_string(at.port),
-                         std::string("the address of ") + step + " cannot be bound");
+                         std::string("the listen address for ") + step + " cannot be bound");
     }
     return server;
 }
@@ -128,10 +129,10 @@
     this->servers.expire_stated(time);
     this->servers.mark_slow(time);
     this->servers.sum_loads(time);
-    this->take_peer_loads(time);
-    this->divide_work(time);
-    this->tell_suspects(time);
-    this->gossip.tick(time, [this, time] { return this->describe_self(time); });
+    this->update_peer_loads(time);
+    this->update_server_assignments(time);
+    this->announce_suspects(time);
+    this->gossip.tick(time, [this, time] { return this->build_own_state(time); });
     this->check_settings_file(time);
     if (this->stopping) this->continue_stop(time);
     flush_log();
@@ -185,14 +186,14 @@
     this->servers.set_regions(this->options.regions);
 }
 
-/** Requests are routed once both configuration and servers are known; until then they wait. */
+/** Starts routing once both configuration and servers are known; until then requests wait. */
 void router::start_serving()
 {
     const router_config_ptr& config = this->configuration.config();
     if (this->serving || config == nullptr || !this->registry.usable()) return;
     const instant time = now();
     if (this->routable_since == instant{}) this->routable_since = time;
-    const bool waited = time - this->routable_since > evacuations_awaited_for;
+    const bool waited = time - this->routable_since > max_evacuations_wait;
     if (!this->evacuations.known() && !waited) return;
     this->serving = true;
     this->path.set_config(config);
@@ -202,29 +203,30 @@
                {"evacuations", this->evacuations.revision()}});
 }
 
-/** Configuration and servers, from the store or from other VMs. */
+/** Updates configuration, servers and evacuations from the store or from other VMs. */
 void router::follow_store(instant time)
 {
-    const bool watched = this->duty.watching();
+    const bool watched = this->watch_role.watching();
     const bool answered = this->registry.store_reachable();
-    this->duty.update(this->gossip.fleet(), this->registry.store().confirmed_at, answered, time);
-    // Told at once, so that no more VMs than needed begin to watch.
-    if (!watched && this->duty.watching()) this->gossip.hasten();
-    // While the store does not answer, one of the watches is enough to notice its return.
-    const std::optional<read_mode> mode = answered ? this->duty.mode() : std::nullopt;
+    this->watch_role.update(this->gossip.fleet(), this->registry.store().confirmed_at, answered,
+                            time);
+    // Announced at once, so that no more VMs than needed start to watch.
+    if (!watched && this->watch_role.watching()) this->gossip.hasten();
+    // While the store does not answer, the registry's watch alone is enough to detect its return.
+    const std::optional<read_mode> mode = answered ? this->watch_role.mode() : std::nullopt;
     this->configuration.tick(time, mode);
     this->evacuations.tick(time, mode);
-    this->registry.tick(time, this->duty.mode());
+    this->registry.tick(time, this->watch_role.mode());
 }
 
-/** What the other VMs have under way at each server. */
-void router::take_peer_loads(instant time)
+/** Updates the fleet's size and demand, and sums the requests of the other VMs at each server. */
+void router::update_peer_loads(instant time)
 {
-    if (time - this->summed_at < loads_summed_every) return;
-    this->summed_at = time;
+    if (time - this->loads_summed_at < load_sum_period) return;
+    this->loads_summed_at = time;
     const std::size_t alive = this->gossip.fleet().alive(time);
     this->path.set_fleet_size(alive);
-    this->path.admissions().set_fleet_demand(this->demand_multiple(alive, time));
+    this->path.admissions().set_fleet_demand(this->fleet_demand_ratio(alive, time));
     if (!std::exchange(this->loads_changed, false) && !this->gossip.fleet().heard(time).empty()) {
         return;
     }
@@ -234,12 +236,13 @@
         row.peers_in_flight = load_at(others, short_hash(row));
 }
 
-/** Which VMs send to a server that is cold, and which try one that fails. VMs that were lost lately
- * keep their part, since not all may have noticed: it is left unused, a few requests. */
-void router::divide_work(instant time)
+/** Determines which VMs send to each cold server and which send trial requests to a failing one.
+ * VMs that were lost recently keep their share, because not all VMs may have noticed the loss; the
+ * share stays unused, which costs a few requests. */
+void router::update_server_assignments(instant time)
 {
-    if (time - this->divided_at < divided_every) return;
-    this->divided_at = time;
+    if (time - this->servers_assigned_at < assignment_period) return;
+    this->servers_assigned_at = time;
     this->members = this->gossip.fleet().members(time);
     for (const auto& [place, region] : this->options.regions)
         this->members.add(static_cast<std::uint32_t>(place.hash()));
@@ -247,41 +250,41 @@
     this->servers.mark_failing(this->members, time);
 }
 
-/** What others should know of soon is told by a round that comes early, but not by one after the
- * other while many servers end. */
-void router::tell_suspects(instant time)
+/** Sends an early gossip round when there are urgent crash reports. The rate of these rounds is
+ * limited for times when many servers fail at once. */
+void router::announce_suspects(instant time)
 {
     crash_suspects& suspects = this->path.suspects();
     suspects.forget(time);
-    if (time - this->suspects_told_at < suspects_hastened_every) return;
+    if (time - this->suspects_announced_at < suspects_announce_period) return;
     if (!suspects.take_urgent()) return;
-    this->suspects_told_at = time;
+    this->suspects_announced_at = time;
     this->gossip.hasten();
 }
 
-/** Requests of the fleet for each of this VM's, as far as near VMs tell; the data centres that are
- * not heard directly are taken to be asked as much. */
-double router::demand_multiple(std::size_t alive, instant time)
+/** Ratio of the fleet's request rate to this VM's own, estimated from the VMs that are heard
+ * directly. The others are assumed to have the same average rate. */
+double router::fleet_demand_ratio(std::size_t alive, instant time)
 {
     const double own = this->path.admissions().engine_requests_per_s(time);
     if (own <= 0) return static_cast<double>(alive);
     double near = own;
     std::size_t heard = 1;
     for (const fleet_vm* item : this->gossip.fleet().heard(time)) {
-        near += item->last.requests_per_s / demand_unit_per_s;
+        near += item->last.requests_per_s / demand_units_per_rps;
         ++heard;
     }
     return near / own * static_cast<double>(alive) / static_cast<double>(heard);
 }
 
-own_state router::describe_self(instant time)
+own_state router::build_own_state(instant time)
 {
     own_state state;
     state.digest.config_version = this->configuration.version();
     state.digest.watches_store = this->configuration.follows() && this->registry.follows();
     state.digest.leaving = this->stopping;
     state.digest.requests_per_s = static_cast<std::uint16_t>(std::min(
-        this->path.admissions().engine_requests_per_s(time) * demand_unit_per_s, largest_demand));
+        this->path.admissions().engine_requests_per_s(time) * demand_units_per_rps, max_demand));
     state.digest.stated_loads = this->servers.take_news(time);
     state.digest.outcomes = this->servers.take_outcome_news();
     this->registry.describe(state.digest, time);
@@ -291,7 +294,7 @@
     state.distant_crash_reports = this->path.suspects().reports_to_distant();
     state.servers = this->servers.rows().size();
     for (const auto& [id, row] : this->servers.rows()) {
-        // Whoever hears a server's own word needs no sums of requests.
+        // With a fresh load reported by the server itself, the VMs need no sum of request counts.
         if (row.in_flight == 0 || row.stated_is_fresh) continue;
         state.loads.push_back({short_hash(row), static_cast<std::uint16_t>(row.in_flight)});
     }
@@ -359,7 +362,7 @@
                            this->serving,
                            this->stopping,
                            this->registry.store_reachable(),
-                           this->duty.watching()};
+                           this->watch_role.watching()};
     return write_status(view, this->gossip.fleet(), this->servers, now());
 }
 
@@ -372,7 +375,7 @@
     text << "worksshift_caller_connections " << this->callers.open() << '\n';
     text << "worksshift_server_connections_opened_total " << this->links.opened() << '\n';
     text << "worksshift_config_version " << this->configuration.version() << '\n';
-    text << "worksshift_registry_watched " << (this->duty.watching() ? 1 : 0) << '\n';
+    text << "worksshift_registry_watched " << (this->watch_role.watching() ? 1 : 0) << '\n';
     for (const read_mode mode : {read_mode::stale, read_mode::linearizable}) {
         text << "worksshift_store_calls_total{mode=\"" << name_of(mode) << "\"} "
              << this->configuration.store_calls(mode) + this->registry.store_calls(mode) +
@@ -405,7 +408,7 @@
     this->reload_settings("file");
 }
 
-/** Takes over what may change while the process runs; the rest waits for the next start. */
+/** Applies the settings that can change at run time; the others take effect at the next start. */
 void router::reload_settings(std::string_view cause)
 {
     try {
@@ -439,9 +442,10 @@
 void router::continue_stop(instant time)
 {
     const duration since = time - this->stop_since;
-    if (since < stop_accepts_for) return;
+    if (since < stop_accept_time) return;
     this->callers.stop_listening();
-    const bool quiet = this->path.active() == 0 && time - this->path.last_arrival() > stop_quiet;
+    const bool quiet =
+        this->path.active() == 0 && time - this->path.last_arrival() > stop_idle_time;
     const bool late = since > this->options.stop_grace - stop_margin;
     if (!quiet && !late) return;
     if (!quiet) {
--- a/src/router.h
+++ b/src/router.h
@@ -1,8 +1,9 @@
 /** \file
- * One worksshift-router process: callers on one side, servers on the other, the platform's store
- * and the other VMs beside.
+ * One worksshift-router process. Connects the modules that serve callers, forward requests to
+ * servers, follow the platform's store and exchange digests with the other VMs.
  *
- * The tick runs named passes over the tables; requests and pieces of answers pass at once.
+ * Requests and response data are handled as they arrive. Everything else runs in a periodic tick,
+ * as a fixed sequence of passes over the tables.
  */
 #pragma once
 
@@ -23,9 +24,10 @@
 
 namespace worksshift {
 
+/** Owns the event loop and all modules of the process. */
 class router {
 public:
-    /** Reads the settings anew; throws user_error when they are wrong. */
+    /** Reads the settings again. \throws user_error when they are invalid. */
     using settings_source = std::function<router_settings()>;
 
     router(router_settings options, const protocol& dialect, settings_source reload);
@@ -35,7 +37,9 @@
     router(router&&) = delete;
     router& operator=(router&&) = delete;
 
-    /** Runs until a stop is complete. Returns the exit status: 0 when nothing was cut off. */
+    /** Runs until shutdown is complete. Returns the exit status: 0 if no request was cut off,
+     * else 1.
+     */
     int run();
 
 private:
@@ -45,11 +49,11 @@
     void start_serving();
     void check_suspension();
     void follow_store(instant now);
-    void take_peer_loads(instant now);
-    void divide_work(instant now);
-    void tell_suspects(instant now);
-    double demand_multiple(std::size_t alive, instant now);
-    own_state describe_self(instant now);
+    void update_peer_loads(instant now);
+    void update_server_assignments(instant now);
+    void announce_suspects(instant now);
+    double fleet_demand_ratio(std::size_t alive, instant now);
+    own_state build_own_state(instant now);
     void serve_peers();
     void serve_readiness();
     void serve_metrics();
@@ -72,7 +76,7 @@
     request_path path;
     fleet_gossip gossip;
     http_caller caller;
-    watch_duty duty;
+    watch_duty watch_role;
     config_follower configuration;
     registry_follower registry;
     evacuation_follower evacuations;
@@ -85,15 +89,16 @@
     signal_watch on_hup;
 
     suspension_watch suspensions;
-    bool loads_changed = false; ///< a digest came since the loads were added up
-    instant summed_at{};
-    instant divided_at{};
-    fleet_members members; ///< as of then
-    instant suspects_told_at{};
-    instant routable_since{};  ///< configuration and servers are known since
-    std::string settings_text; ///< of the file, as last read
+    bool loads_changed = false; ///< a digest arrived since the peer loads were last summed
+    instant loads_summed_at{};
+    instant servers_assigned_at{};
+    fleet_members members; ///< of the last update of the server assignments
+    instant suspects_announced_at{};
+    instant routable_since{};  ///< since when configuration and servers have been known; instant{}:
+                               ///< not yet
+    std::string settings_text; ///< content of the settings file when last read
     instant settings_read{};
-    bool serving = false; ///< configuration and servers are known
+    bool serving = false; ///< requests are being routed
     bool stopping = false;
     instant stop_since{};
     int exit_status = 0;
