--- a/src/server_links.cpp
+++ b/src/server_links.cpp
@@ -10,7 +10,8 @@
 
 namespace {
 
-constexpr std::size_t answer_head_at_most = std::size_t{32} * 1024;
+/** Maximum size of a response's head, in bytes. */
+constexpr std::size_t max_response_head_bytes = std::size_t{32} * 1024;
 
 instant now()
 {
@@ -21,7 +22,7 @@
 
 struct server_links::link : std::enable_shared_from_this<server_links::link> {
     explicit link(server_links* owner)
-        : owner(owner), reader(http_reader::side::answers, answer_head_at_most)
+        : owner(owner), reader(http_reader::side::answers, max_response_head_bytes)
     {
     }
 
@@ -29,18 +30,18 @@
     server_id server;
     event_ptr<bufferevent> socket;
     http_reader reader;
-    std::uint64_t attempt = 0; ///< 0: idle, or a check
+    std::uint64_t attempt = 0; ///< 0: idle, or used for a check
     std::optional<std::uint32_t> check;
     std::string request_id;
-    std::string unsent; ///< waits for the connection
+    std::string unsent; ///< request to send once the connection is established
     bool connected = false;
-    bool skipping = false; ///< a late answer to an earlier request is being passed over
+    bool skipping = false; ///< reading a late response to an earlier request, which is discarded
     bool close_after = false;
     bool peer_closed = false;
-    bool refused = false; ///< the connection
-    bool over = false;
-    instant since{}; ///< of the connection's start, or of the last answer's end
-    duration keep = idle_at_most;
+    bool refused = false;             ///< the host refused the connection
+    bool is_closed = false;           ///< closed, and to be freed in the next sweep
+    instant since{};                  ///< when connecting began, or when the last response ended
+    duration max_idle = idle_at_most; ///< maximum idle time
 };
 
 server_links::server_links(event_base* base, const protocol& dialect) : base(base), dialect(dialect)
@@ -75,14 +76,14 @@
     while (!pool->second.empty()) {
         link_ptr item = pool->second.back();
         const duration age = time - item->since;
-        if (age > item->keep) {
+        if (age > item->max_idle) {
             this->forget(order.server);
             return nullptr;
         }
         if (!order.repeatable && age > fresh_within) return nullptr;
         pool->second.pop_back();
         const bool stray = evbuffer_get_length(bufferevent_get_input(item->socket.get())) > 0;
-        if (!item->over && !stray) return item;
+        if (!item->is_closed && !stray) return item;
         this->drop(*item);
     }
     return nullptr;
@@ -120,7 +121,8 @@
     if (socket >= 0) {
         set_no_delay(socket);
         limit_unacknowledged(socket, unacknowledged_timeout);
-        // A server that has all of a request and is out of reach shows only by unanswered probes.
+        // After the whole request was acknowledged, only unanswered keep-alive probes reveal
+        // that a server has become unreachable.
         probe_while_idle(socket);
     }
     bufferevent_setcb(
@@ -152,7 +154,7 @@
 
 void server_links::take_event(const link_ptr& item, short what)
 {
-    if (item->over) return;
+    if (item->is_closed) return;
     if ((what & BEV_EVENT_CONNECTED) != 0) {
         item->connected = true;
         if (!item->unsent.empty()) {
@@ -185,14 +187,14 @@
 {
     const answer_facts facts = this->dialect.decode_answer(head);
     constexpr int client_error = 400;
-    const bool other = !facts.request_id.empty() && facts.request_id != item.request_id;
-    // Only refusals come without the id that they answer.
-    const bool nameless = facts.request_id.empty() && head.status < client_error;
-    item.skipping = item.attempt == 0 || other || nameless;
+    const bool other_request = !facts.request_id.empty() && facts.request_id != item.request_id;
+    // Only error responses may lack the request id.
+    const bool without_id = facts.request_id.empty() && head.status < client_error;
+    item.skipping = item.attempt == 0 || other_request || without_id;
     if (facts.close || !head.keep_alive) item.close_after = true;
     if (facts.idle_timeout) {
-        // Half of it, since the server's clock started earlier than ours.
-        item.keep = std::min<duration>(idle_at_most, milliseconds(*facts.idle_timeout) / 2);
+        // Half of the announced time, because the server's idle timer started earlier than ours.
+        item.max_idle = std::min<duration>(idle_at_most, milliseconds(*facts.idle_timeout) / 2);
     }
     if (!item.skipping) this->on_head.emit(item.attempt, head, facts);
 }
@@ -200,7 +202,7 @@
 void server_links::read(const link_ptr& item)
 {
     evbuffer* input = bufferevent_get_input(item->socket.get());
-    while (!item->over && evbuffer_get_length(input) > 0) {
+    while (!item->is_closed && evbuffer_get_length(input) > 0) {
         if (item->attempt == 0) {
             this->drop(*item);
             return;
@@ -211,7 +213,7 @@
             this->fail(item, "parse", "not an answer");
             return;
         }
-        // A late answer to an earlier request: ours is still to come on this connection.
+        // That was a late response to an earlier request; the expected one is still to come.
         if (std::exchange(item->skipping, false)) continue;
         this->finish_answer(item);
         return;
@@ -225,8 +227,8 @@
     this->attempts.erase(attempt);
     const bool stray = evbuffer_get_length(bufferevent_get_input(item->socket.get())) > 0;
     const bool unsent = evbuffer_get_length(bufferevent_get_output(item->socket.get())) > 0;
-    // An answer that came before the request was sent in full leaves the connection unusable: the
-    // server would take what follows for the rest of the body.
+    // If the response arrived before the request was sent in full, the connection cannot be reused:
+    // the server would read the next request as the rest of the body.
     if (item->close_after || stray || unsent) {
         this->drop(*item);
     } else {
@@ -250,10 +252,10 @@
 
 void server_links::drop(link& item)
 {
-    if (item.over) return;
-    item.over = true;
+    if (item.is_closed) return;
+    item.is_closed = true;
     bufferevent_disable(item.socket.get(), EV_READ | EV_WRITE);
-    // The descriptor is closed at once, so that the server stops; the object goes in the sweep.
+    // The socket is shut down at once, so that the server stops; the object is freed in the sweep.
     const evutil_socket_t socket = bufferevent_getfd(item.socket.get());
     if (socket >= 0) ::shutdown(socket, SHUT_RDWR);
     this->closed.push_back(item.shared_from_this());
@@ -284,7 +286,7 @@
     for (const link_ptr& item : late)
         this->fail(item, "connect", "timed out");
     for (auto& [server, pool] : this->idle) {
-        while (!pool.empty() && time - pool.front()->since > pool.front()->keep) {
+        while (!pool.empty() && time - pool.front()->since > pool.front()->max_idle) {
             const link_ptr old = pool.front();
             this->drop(*old);
         }
--- a/src/server_links.h
+++ b/src/server_links.h
@@ -1,9 +1,9 @@
 /** \file
- * Connections to servers: sends one request at a time on each, reads its answer, keeps idle ones.
+ * Pool of keep-alive HTTP/1.1 connections to servers. Each carries one request at a time.
  *
- * Says exactly how far an attempt came, because what may be told to a caller and whether a request
- * may be sent again depend on it. An answer that echoes another request's id is passed over: it is
- * a late one to an earlier request. A connection that holds bytes nobody asked for is closed.
+ * Reports exactly how far an attempt got, because the response to the caller and the decision to
+ * retry depend on it. A response that echoes another request's id is skipped: it is a late response
+ * to an earlier request. An idle connection with unexpected input is closed.
  */
 #pragma once
 
@@ -19,19 +19,20 @@
 
 namespace worksshift {
 
-/** How far an attempt came. */
+/** How far an attempt got. */
 enum class send_result : std::uint8_t {
-    answered, ///< the answer is whole
+    answered, ///< the response is complete
     not_sent, ///< no byte of the request reached the server
-    broken,   ///< the request was sent; no whole answer came
+    broken,   ///< the request was sent, but no complete response arrived
 };
 
+/** Outcome of an attempt. */
 struct attempt_end {
     std::uint64_t attempt = 0;
     send_result result = send_result::broken;
-    const char* step = ""; ///< at which it ended
+    const char* step = ""; ///< the step at which the attempt ended
     std::string detail;
-    bool peer_closed = false; ///< the server's side ended the connection
+    bool peer_closed = false; ///< the server closed or reset the connection
 };
 
 /** One request to be sent to a server. */
@@ -39,22 +40,25 @@
     std::uint64_t attempt = 0;
     server_id server;
     link_address address;
-    std::string request_id; ///< the server echoes it
+    std::string request_id; ///< echoed by the server in its response
     std::string head;
-    std::string_view body; ///< must stay until the attempt is over
-    bool no_answer_body = false;
-    bool repeatable = false;
+    std::string_view body;       ///< not owned; must stay valid until the attempt is over
+    bool no_answer_body = false; ///< the response has no body, as after HEAD
+    bool repeatable = false;     ///< the request may be executed more than once
 };
 
-/** Time to establish a connection. Servers are milliseconds away; one that takes longer is out of
- * reach, and another can still meet the caller's objective. */
+/** Connect timeout. The network delay to servers is a few milliseconds, so a server that takes
+ * longer is unreachable, and another one can still meet the caller's latency objective. */
 constexpr duration connect_timeout = milliseconds(250);
-/** Sent bytes that stay unacknowledged for so long end the connection: the peer is out of reach. */
+/** A connection is closed when sent bytes stay unacknowledged for this long: the server is
+ * unreachable. */
 constexpr milliseconds unacknowledged_timeout(1500);
-/** An idle connection is kept for so long at most, and for half of what the server announces. */
+/** Maximum idle time of a pooled connection; half of the timeout that the server announces if that
+ * is shorter. */
 constexpr duration idle_at_most = seconds(4);
-/** A request that must not run twice goes on a connection that was used so lately that the server
- * cannot have closed it, or else on a new one: an idle close would leave its outcome unknown. */
+/** A request that must not run twice reuses a connection only if it has been idle for at most this
+ * time, too short for the server to have closed it; otherwise a new one is opened. If the server
+ * closed the idle connection as the request was sent, its outcome would be unknown. */
 constexpr duration fresh_within = milliseconds(700);
 
 class server_links {
@@ -67,27 +71,34 @@
     server_links& operator=(server_links&&) = delete;
 
     void start(const attempt_order& order);
-    /** Closes the attempt's connection, so that the server stops. No signal follows. */
+    /** Closes the attempt's connection, so that the server stops processing. Emits no signal. */
     void cancel(std::uint64_t attempt);
-    /** Finds out whether the server has ended, by a connection on which nothing is sent; one that
-     * is established is kept for later requests. `on_checked` follows. \p check: what the result is
-     * told by; of several with the same one is made. */
+    /** Checks whether the server's process has ended, by opening a connection without sending
+     * anything; an established connection goes into the pool. The result is reported by
+     * `on_checked`. \p check: identifies the check in the result; does nothing if a check with this
+     * value is in progress. */
     void check(std::uint32_t check, const server_id& server, const link_address& address);
-    /** Ends attempts that got no connection in time and closes idle connections. */
+    /** Fails attempts and checks whose connection was not established in time, closes connections
+     * that were idle for too long, and frees closed ones. */
     void sweep(instant now);
-    /** Closes the idle connections to a server that is gone. */
+    /** Closes the idle connections to a server that is leaving, restarted or gone. */
     void forget(const server_id& server);
-    /** Closes all idle connections: how long they have been idle is not known any more. */
+    /** Closes all idle connections, for when their idle time is unknown after a suspension of the
+     * VM.
+     */
     void forget_all();
 
     [[nodiscard]] std::size_t active() const { return this->attempts.size(); }
     [[nodiscard]] std::uint64_t opened() const { return this->connections_opened; }
 
+    /** Signals of an attempt, by its number: the response's head, pieces of its body, its end. */
     sigc::signal<void(std::uint64_t, const http_head&, const answer_facts&)> on_head;
     sigc::signal<void(std::uint64_t, std::string_view)> on_body;
     sigc::signal<void(const attempt_end&)> on_end;
-    /** Whether the server of a check has ended: its host refused the connection. One that does not
-     * answer may be busy, or out of reach. */
+    /** Result of a check: true if the server's process has ended, that is, its host refused the
+     * connection. A server that does not answer may be busy or unreachable, so it counts as
+     * running.
+     */
     sigc::signal<void(std::uint32_t, bool)> on_checked;
 
 private:
@@ -110,7 +121,7 @@
     std::unordered_map<std::uint64_t, link_ptr> attempts;
     std::unordered_map<std::uint32_t, link_ptr> checks;
     std::unordered_map<server_id, std::vector<link_ptr>> idle;
-    std::vector<link_ptr> closed; ///< freed in the next sweep, never within their own callbacks
+    std::vector<link_ptr> closed; ///< freed in the next sweep, never in their own callbacks
     std::uint64_t connections_opened = 0;
 };
 
