--- a/src/caller_links.cpp
+++ b/src/caller_links.cpp
@@ -14,17 +14,20 @@
 
 namespace {
 
-/** Connections that wait to be accepted. All callers of a failed VM may come at once. */
+/** Backlog of connections to be accepted: all callers of a failed VM may reconnect at once. */
 constexpr int listen_backlog = 1024;
-/** Time to read what a refused caller still sends, so that it can read our answer. */
+/** How long input is still read and discarded after the last response on a connection, so that the
+ * caller can read that response before the connection is closed. */
 constexpr duration linger_time = seconds(1);
-/** Time for a whole body to come, beside the head's. */
+/** Time limit for a complete body, counted from the end of the head. */
 constexpr duration body_timeout = seconds(10);
-/** A caller that takes nothing for so long is out of reach; its answer would be kept for it. Longer
- * than callers wait for most answers, so that a short cut on the way costs none. */
+/** A connection is closed when sent bytes stay unacknowledged for this long: the caller is
+ * unreachable, and its response would stay buffered. Longer than callers wait for most responses,
+ * so that a short network outage costs none of them. */
 constexpr milliseconds caller_unacknowledged_timeout(10000);
-/** Unread bytes of a next request at which reading stops until the answer is complete. */
-constexpr std::size_t read_ahead_at_most = std::size_t{64} * 1024;
+/** Maximum number of bytes that are buffered of pipelined requests while a response is in progress.
+ */
+constexpr std::size_t max_read_ahead_bytes = std::size_t{64} * 1024;
 constexpr int bad_request = 400;
 constexpr int request_timeout = 408;
 constexpr int content_too_large = 413;
@@ -40,20 +43,25 @@
 struct caller_links::link {
     explicit link(std::size_t head_at_most) : reader(http_reader::side::requests, head_at_most) {}
 
-    enum class stage : std::uint8_t { reading, asking, lingering, over };
+    enum class stage : std::uint8_t {
+        reading,    ///< idle, or reading a request
+        responding, ///< a request waits for its response, or the response is being sent
+        lingering,  ///< the last response was sent; further input is discarded
+        closed      ///< to be freed in the next sweep
+    };
 
     std::uint64_t id = 0;
     caller_links* owner = nullptr;
     event_ptr<bufferevent> socket;
     http_reader reader;
     stage at = stage::reading;
-    std::uint64_t request = 0;
+    std::uint64_t request = 0; ///< 0: none in progress
     http_head head;
     std::string body;
     bool keep_alive = true;
-    bool chunked = false;  ///< the answer is being sent in chunks
-    bool finished = false; ///< the answer is written; the connection ends when it has left
-    instant since{};       ///< of the stage, or of the first byte of a head
+    bool chunked = false;  ///< the response is sent in chunks
+    bool finished = false; ///< the response is written to the buffer, but not yet sent in full
+    instant since{}; ///< start of the stage, arrival of the head's first byte, or end of the head
 };
 
 caller_links::caller_links(event_base* base, const link_address& listen) : base(base)
@@ -70,19 +78,20 @@
                          "the address for callers cannot be bound");
     }
     evconnlistener_set_error_cb(this->listener.get(), [](evconnlistener*, void* self) {
-        static_cast<caller_links*>(self)->rest();
+        static_cast<caller_links*>(self)->pause_accepting();
     });
 }
 
 caller_links::~caller_links() = default;
 
-/** No descriptor is free: new callers wait in the system's queue until the next sweep. */
-void caller_links::rest()
+/** Called when accept() failed, usually because no file descriptor is free. New connections wait in
+ * the kernel's queue until the next sweep. */
+void caller_links::pause_accepting()
 {
     log_event(log_level::warn, "accept_failed",
               {{"reason", std::strerror(errno)}, {"connections", this->links.size()}});
     evconnlistener_disable(this->listener.get());
-    this->resting = true;
+    this->accepting_paused = true;
 }
 
 void caller_links::accept(evutil_socket_t socket)
@@ -95,8 +104,10 @@
     set_no_delay(socket);
     limit_unacknowledged(socket, caller_unacknowledged_timeout);
     item->socket.reset(bufferevent_socket_new(this->base, socket, BEV_OPT_CLOSE_ON_FREE));
-    item->reader.on_head = [this, item](http_head& head) { this->take_head(*item, head); };
-    item->reader.on_body = [this, item](std::string_view bytes) { this->take_body(*item, bytes); };
+    item->reader.on_head = [this, item](http_head& head) { this->handle_head(*item, head); };
+    item->reader.on_body = [this, item](std::string_view bytes) {
+        this->handle_body(*item, bytes);
+    };
     bufferevent_setcb(
         item->socket.get(),
         [](bufferevent*, void* given) {
@@ -109,15 +120,15 @@
         },
         [](bufferevent*, short what, void* given) {
             auto* found = static_cast<link*>(given);
-            found->owner->take_event(*found, what);
+            found->owner->handle_event(*found, what);
         },
         item);
-    bufferevent_setwatermark(item->socket.get(), EV_READ, 0, read_ahead_at_most);
+    bufferevent_setwatermark(item->socket.get(), EV_READ, 0, max_read_ahead_bytes);
     bufferevent_enable(item->socket.get(), EV_READ);
     this->links.emplace(item->id, std::move(made));
 }
 
-void caller_links::take_head(link& item, const http_head& head)
+void caller_links::handle_head(link& item, const http_head& head)
 {
     item.head = head;
     item.body.clear();
@@ -130,7 +141,7 @@
     }
 }
 
-void caller_links::take_body(link& item, std::string_view bytes)
+void caller_links::handle_body(link& item, std::string_view bytes)
 {
     if (item.at != link::stage::reading) return;
     if (item.body.size() + bytes.size() > this->limits.body_bytes) {
@@ -151,7 +162,7 @@
         if (item.at != link::stage::reading) return;
         if (result == read_result::need_more) return;
         if (result == read_result::message_ended) {
-            this->hand_over(item);
+            this->deliver_request(item);
         } else if (result == read_result::head_too_large) {
             this->refuse(item, head_too_large, "head too large");
         } else {
@@ -160,20 +171,20 @@
     }
 }
 
-void caller_links::hand_over(link& item)
+void caller_links::deliver_request(link& item)
 {
-    item.at = link::stage::asking;
+    item.at = link::stage::responding;
     item.since = now();
     item.keep_alive = item.head.keep_alive;
     item.chunked = false;
     item.request = this->next_request++;
-    this->asking[item.request] = &item;
+    this->in_progress[item.request] = &item;
     this->on_request.emit({item.request, std::move(item.head), std::move(item.body)});
     item.head = http_head{};
     item.body.clear();
 }
 
-/** Answers a request that cannot be read to its end, and closes. */
+/** Rejects a request that cannot be read completely, and closes the connection afterwards. */
 void caller_links::refuse(link& item, int status, std::string_view text)
 {
     log_event(log_level::info, "request_refused",
@@ -194,17 +205,17 @@
     }
 }
 
-void caller_links::take_event(link& item, short what)
+void caller_links::handle_event(link& item, short what)
 {
     const bool ended = (what & (BEV_EVENT_EOF | BEV_EVENT_ERROR)) != 0;
-    if (!ended || item.at == link::stage::over) return;
+    if (!ended || item.at == link::stage::closed) return;
     this->drop(item);
 }
 
 caller_links::link* caller_links::find(std::uint64_t request)
 {
-    const auto found = this->asking.find(request);
-    return found == this->asking.end() ? nullptr : found->second;
+    const auto found = this->in_progress.find(request);
+    return found == this->in_progress.end() ? nullptr : found->second;
 }
 
 std::string caller_links::write_head(const link& item, const http_head& head,
@@ -276,13 +287,13 @@
     if (item == nullptr) return;
     evbuffer* out = bufferevent_get_output(item->socket.get());
     if (item->chunked) write_last_chunk(out);
-    this->asking.erase(request);
+    this->in_progress.erase(request);
     item->finished = true;
     write_now(item->socket.get());
     if (evbuffer_get_length(out) == 0) this->end_answer(*item);
 }
 
-/** The answer has left: the connection takes the next request, or ends. */
+/** Called when the response has been sent: reads the next request or closes the connection. */
 void caller_links::end_answer(link& item)
 {
     item.finished = false;
@@ -301,19 +312,19 @@
 {
     link* item = this->find(request);
     if (item == nullptr) return;
-    this->asking.erase(request);
+    this->in_progress.erase(request);
     item->request = 0;
     this->drop(*item);
 }
 
 void caller_links::drop(link& item)
 {
-    if (item.at == link::stage::over) return;
-    item.at = link::stage::over;
+    if (item.at == link::stage::closed) return;
+    item.at = link::stage::closed;
     const std::uint64_t request = std::exchange(item.request, 0);
     bufferevent_disable(item.socket.get(), EV_READ | EV_WRITE);
     this->dropped.push_back(item.id);
-    if (request != 0 && this->asking.erase(request) > 0) this->on_gone.emit(request);
+    if (request != 0 && this->in_progress.erase(request) > 0) this->on_gone.emit(request);
 }
 
 void caller_links::check(link& item, instant time)
@@ -332,8 +343,8 @@
             this->refuse(item, request_timeout, "head too slow");
         }
         return;
-    case link::stage::asking:
-    case link::stage::over:
+    case link::stage::responding:
+    case link::stage::closed:
         return;
     }
 }
@@ -343,7 +354,7 @@
     for (const std::uint64_t id : this->dropped)
         this->links.erase(id);
     this->dropped.clear();
-    if (std::exchange(this->resting, false) && this->listener != nullptr) {
+    if (std::exchange(this->accepting_paused, false) && this->listener != nullptr) {
         evconnlistener_enable(this->listener.get());
     }
     for (const auto& [id, item] : this->links)
