--- a/src/server_links.cpp
+++ b/src/server_links.cpp
@@ -112,7 +112,7 @@
     item->server = server;
     item->since = now();
     link* raw = item.get();
-    item->reader.on_head = [this, raw](http_head& head) { this->take_head(*raw, head); };
+    item->reader.on_head = [this, raw](http_head& head) { this->handle_head(*raw, head); };
     item->reader.on_body = [this, raw](std::string_view bytes) {
         if (!raw->skipping && raw->attempt != 0) this->on_body.emit(raw->attempt, bytes);
     };
@@ -134,7 +134,7 @@
         nullptr,
         [](bufferevent*, short what, void* given) {
             auto* found = static_cast<link*>(given);
-            found->owner->take_event(found->shared_from_this(), what);
+            found->owner->handle_event(found->shared_from_this(), what);
         },
         raw);
     const sockaddr_in to = to_socket_address(address);
@@ -152,7 +152,7 @@
     write_now(item.socket.get());
 }
 
-void server_links::take_event(const link_ptr& item, short what)
+void server_links::handle_event(const link_ptr& item, short what)
 {
     if (item->is_closed) return;
     if ((what & BEV_EVENT_CONNECTED) != 0) {
@@ -183,7 +183,7 @@
     this->fail(item, item->connected ? "read" : "connect", clean ? "closed" : std::strerror(error));
 }
 
-void server_links::take_head(link& item, const http_head& head)
+void server_links::handle_head(link& item, const http_head& head)
 {
     const answer_facts facts = this->dialect.decode_answer(head);
     constexpr int client_error = 400;
--- a/src/server_links.h
+++ b/src/server_links.h
@@ -109,9 +109,9 @@
     link_ptr connect(const server_id& server, const link_address& address);
     void end_check(link& item, bool ended);
     void send(link& item, const attempt_order& order);
-    void take_head(link& item, const http_head& head);
+    void handle_head(link& item, const http_head& head);
     void read(const link_ptr& item);
-    void take_event(const link_ptr& item, short what);
+    void handle_event(const link_ptr& item, short what);
     void finish_answer(const link_ptr& item);
     void fail(const link_ptr& item, const char* step, std::string detail);
     void drop(link& item);
