--- a/src/http_call.cpp
+++ b/src/http_call.cpp
@@ -46,7 +46,7 @@
 {
     this->calls.push_back(std::make_unique<pending>());
     pending* item = this->calls.back().get();
-    item->number = ++this->made;
+    item->number = ++this->last_number;
     item->handler = std::move(handler);
     item->deadline = std::make_unique<timer>(this->base, [item] { finish(*item, nullptr); });
     item->deadline->start_once(limit.whole);
@@ -71,7 +71,7 @@
         finish(*item, nullptr);
         return item->number;
     }
-    // A call may wait for long, and its connection may go silent without a sign.
+    // A call may wait for a long time; only keep-alive probes reveal a lost connection meanwhile.
     probe_while_idle(bufferevent_getfd(evhttp_connection_get_bufferevent(item->connection.get())));
     return item->number;
 }
--- a/src/http_call.h
+++ b/src/http_call.h
@@ -1,5 +1,6 @@
 /** \file
- * One HTTP request to an outside system, with a deadline, by evhttp.
+ * Asynchronous HTTP client on evhttp for calls to the platform and to other processes: one
+ * connection per call, with a deadline.
  */
 #pragma once
 
@@ -16,29 +17,31 @@
 namespace worksshift {
 
 struct http_response {
-    int status = 0; ///< 0: no answer
+    int status = 0; ///< 0: no response
     std::vector<header> headers;
     std::string body;
 
+    /** Value of the first header with this name in any case; empty if there is none. */
     [[nodiscard]] std::string find(std::string_view name) const;
 };
 
+/** Called once with the response, or with status 0 if there was none before the deadline. */
 using http_handler = std::function<void(const http_response&)>;
 
-/** Makes calls and owns them until they are over. */
+/** Makes calls and owns them until they are complete. */
 class http_caller {
 public:
     explicit http_caller(event_base* base) : base(base) {}
 
-    /** Returns the number of the call. */
+    /** Starts a call and returns its number. */
     std::uint64_t call(const link_address& to, evhttp_cmd_type method, const std::string& path,
                        const std::vector<header>& headers, const std::string& body,
                        const call_limit& limit, http_handler handler);
-    /** Gives a call up, if it is still under way: its handler is not called, and its connection is
+    /** Cancels a call that is still in progress: its handler is not called, and its connection is
      * closed in the next sweep. */
     void cancel(std::uint64_t call);
 
-    /** Frees finished calls; must not be called from within a handler. */
+    /** Frees completed calls; must not be called from within a handler. */
     void sweep();
 
 private:
@@ -47,16 +50,16 @@
         event_ptr<evhttp_connection> connection;
         http_handler handler;
         std::unique_ptr<timer> deadline;
-        bool over = false;
+        bool over = false; ///< completed or cancelled
     };
     static void finish(pending& item, evhttp_request* answer);
 
     event_base* base;
     std::list<std::unique_ptr<pending>> calls;
-    std::uint64_t made = 0;
+    std::uint64_t last_number = 0;
 };
 
-/** All headers of an evhttp list. */
+/** Copies all headers of an evhttp list. */
 std::vector<header> copy_headers(const evkeyvalq* list);
 
 } // namespace worksshift
