--- a/src/http_wire.cpp
+++ b/src/http_wire.cpp
@@ -22,7 +22,7 @@
     "upgrade",
 };
 
-/** Of a header beside its name and value: colon, space and the line's end. */
+/** Bytes of a header line besides its name and value: colon, space and CRLF. */
 constexpr std::size_t line_overhead = 4;
 
 } // namespace
@@ -66,7 +66,8 @@
     };
     made.on_header_field = [](http_parser* parser, const char* at, std::size_t size) {
         http_reader& reader = self(parser);
-        // Trailers come after the head was handed over; they concern this connection only.
+        // Trailers arrive after the head was passed on; they apply to this connection only and are
+        // dropped.
         if (reader.have_head) return 0;
         if (reader.head.headers.empty() || reader.last_was_value) {
             reader.head.headers.emplace_back();
@@ -82,7 +83,7 @@
         reader.head.headers.back().value.append(at, size);
         return 0;
     };
-    made.on_headers_complete = [](http_parser* parser) { return self(parser).take_head(); };
+    made.on_headers_complete = [](http_parser* parser) { return self(parser).handle_head(); };
     made.on_body = [](http_parser* parser, const char* at, std::size_t size) {
         self(parser).on_body({at, size});
         return 0;
@@ -108,7 +109,7 @@
     this->ended = false;
 }
 
-int http_reader::take_head()
+int http_reader::handle_head()
 {
     this->have_head = true;
     this->head.keep_alive = http_should_keep_alive(&this->parser) != 0;
@@ -119,7 +120,8 @@
         constexpr int informational = 100;
         if (this->head.status / informational == 1) return 0;
     }
-    // The parser lets blanks pass in names; a server might read such a header as another one.
+    // http-parser accepts blanks in header names. Such a header is rejected, because a server might
+    // interpret it as a different one.
     const auto blank = [](const header& item) {
         return item.name.find_first_of(" \t") != std::string::npos;
     };
@@ -135,7 +137,7 @@
     return skip_body ? 1 : 0;
 }
 
-read_result http_reader::judge(std::size_t given, std::size_t consumed)
+read_result http_reader::classify(std::size_t given, std::size_t consumed)
 {
     if (!this->have_head) {
         this->head_bytes += consumed;
@@ -158,7 +160,7 @@
             reinterpret_cast<const char*>(evbuffer_pullup(input, static_cast<ev_ssize_t>(size)));
         this->begun = true;
         const std::size_t consumed = http_parser_execute(&this->parser, &callbacks, bytes, size);
-        const read_result result = this->judge(size, consumed);
+        const read_result result = this->classify(size, consumed);
         evbuffer_drain(input, consumed);
         if (result == read_result::need_more) continue;
         constexpr int informational = 100;
--- a/src/http_wire.h
+++ b/src/http_wire.h
@@ -1,10 +1,10 @@
 /** \file
- * HTTP/1.1 messages as they stand on a connection: an incremental reader over http-parser, and the
- * few pieces of text that we write ourselves.
+ * HTTP/1.1 wire format: an incremental message reader on top of http-parser, and helpers that write
+ * heads and chunks.
  *
- * evhttp hides what this path has to tell apart: bytes after a whole answer, an answer that ended
- * with its connection, and whether a connection was used at all. So callers' and servers'
- * connections are read here, and evhttp serves the rest.
+ * Connections of callers and servers use this module because evhttp hides distinctions that request
+ * forwarding needs: bytes after a complete response, a response that ended with its connection, and
+ * whether a connection was used at all. All other HTTP traffic uses evhttp.
  */
 #pragma once
 
@@ -21,55 +21,61 @@
 
 namespace worksshift {
 
-/** Start line and headers of one request or answer. */
+/** Start line and headers of one request or response. */
 struct http_head {
     std::string method; ///< of a request
     std::string target; ///< of a request: path and query as sent
-    int status = 0;     ///< of an answer
+    int status = 0;     ///< of a response
     std::vector<header> headers;
-    bool keep_alive = true;
+    bool keep_alive = true; ///< the connection may carry further messages
 
-    /** Value of the first header with this name in any case; nullptr when there is none. */
+    /** Value of the first header with this name in any case; nullptr if there is none. */
     [[nodiscard]] const std::string* find(std::string_view name) const;
 };
 
-/** Whether two header names are the same; they are compared without case. */
+/** Compares two header names, ignoring case. */
 bool same_name(std::string_view left, std::string_view right);
 
-/** Whether a header concerns one connection only and is never passed on. */
+/** Whether a header is hop-by-hop, that is, applies to one connection and is never forwarded. */
 bool is_hop_header(std::string_view name);
 
-/** What a reader made of the bytes that it was given. */
+/** Result of reading input. */
 enum class read_result : std::uint8_t { need_more, message_ended, malformed, head_too_large };
 
-/** Reads one message after the other. Stops behind each, so that what follows stays unread. */
+/** Incremental reader of consecutive messages. Stops at the end of each message, so that the bytes
+ * after it stay unread. */
 class http_reader {
 public:
     enum class side : std::uint8_t { requests, answers };
 
     http_reader(side reads, std::size_t head_at_most);
 
+    /** Called with each head and with pieces of the body. */
     std::function<void(http_head&)> on_head;
     std::function<void(std::string_view)> on_body;
 
-    /** Consumes bytes of \p input up to the end of one message. */
+    /** Consumes \p input up to the end of one message. */
     read_result read(evbuffer* input);
-    /** The peer sent its last byte. An answer without a length ends well by that. */
+    /** To be called when the peer has closed its side. A response without a length is complete
+     * then.
+     */
     read_result read_end();
 
-    /** The next answer has no body whatever its head says, as after HEAD. */
+    /** The next response has no body whatever its headers say, as after a HEAD request. */
     void expect_no_body() { this->bodiless = true; }
-    /** Between messages: nothing of the next one has come. */
+    /** Between messages: no byte of the next one has been read. */
     [[nodiscard]] bool idle() const { return !this->begun; }
+    /** The current message's head was read in full. */
     [[nodiscard]] bool head_done() const { return this->have_head; }
+    /** Sets the maximum size of a head. */
     void set_head_at_most(std::size_t bytes) { this->head_at_most = bytes; }
 
 private:
     static http_parser_settings make_callbacks();
     static http_reader& self(http_parser* parser);
     void reset();
-    int take_head();
-    read_result judge(std::size_t given, std::size_t consumed);
+    int handle_head();
+    read_result classify(std::size_t given, std::size_t consumed);
 
     side reads;
     std::size_t head_at_most;
@@ -81,16 +87,16 @@
     bool oversized = false;
     bool have_head = false;
     bool ended = false;
-    bool bodiless = false;
+    bool bodiless = false; ///< see expect_no_body
 };
 
-/** Adds one chunk of a chunked body. */
+/** Writes one chunk of a chunked body. */
 void write_chunk(evbuffer* out, std::string_view bytes);
-/** Adds the mark that ends a chunked body. */
+/** Writes the zero-length chunk that ends a chunked body. */
 void write_last_chunk(evbuffer* out);
-/** Appends `name: value` and the line's end. */
+/** Appends `name: value` and CRLF. */
 void append_header(std::string& out, std::string_view name, std::string_view value);
-/** The usual reason phrase of a status. */
+/** The standard reason phrase of a status code. */
 std::string_view reason_of(int status);
 
 } // namespace worksshift
