--- a/apps/worksshift_router.cpp
+++ b/apps/worksshift_router.cpp
@@ -1,5 +1,5 @@
 /** \file
- * The router daemon: reads its settings and runs one router on the platform's protocol.
+ * The router daemon: reads its settings and runs one router with the platform's adapter.
  */
 #include <cstdlib>
 #include <iostream>
@@ -28,8 +28,9 @@
                            [=] { return parse_router_settings(count, arguments); });
             status = process.run();
         }
-        // The log library joins its threads when a process ends, which on the users' platform
-        // took until the process was killed. All lines are written by now.
+        // Skips the destructors of static objects: the log library joins its threads in them, and
+        // on the users' platform that blocked until the process was killed. All log lines have been
+        // written by now.
         flush_log();
         std::_Exit(status);
     } catch (const error& fault) {
