--- a/apps/worksshift_router.cpp
+++ b/apps/worksshift_router.cpp
@@ -28,9 +28,8 @@
                            [=] { return parse_router_settings(count, arguments); });
             status = process.run();
         }
-        // Skips the destructors of static objects: the log library joins its threads in them, and
-        // on the users' platform that blocked until the process was killed. All log lines have been
-        // written by now.
+        // No normal exit: the log library joins its threads then, which on the users' platform
+        // blocked until the process was killed. All log lines have been written by now.
         flush_log();
         std::_Exit(status);
     } catch (const error& fault) {
