--- a/test/error/callers_that_ask_badly.cpp
+++ b/test/error/callers_that_ask_badly.cpp
@@ -1,6 +1,6 @@
 /** \file
- * Requests that cannot be read, are too large or too slow, or that nobody may make, are refused
- * before a server sees them; headers that are ours to set cannot be set by callers.
+ * Malformed, oversized, slow and unauthorized requests must be rejected before they reach a server,
+ * and callers must not be able to set headers that are reserved for the router.
  */
 #include <cppunit/extensions/HelperMacros.h>
 
@@ -54,6 +54,7 @@
         });
     }
 
+    /** Guards against forwarding malformed requests and requests with ambiguous framing. */
     void unreadable()
     {
         for (const std::string& text :
@@ -64,6 +65,7 @@
         CPPUNIT_ASSERT(this->server->requests.empty());
     }
 
+    /** Guards against unbounded memory use by one request. */
     void too_large()
     {
         CPPUNIT_ASSERT_EQUAL(431, this->status_of(with_header("X: " + std::string(3000, 'x'))));
@@ -72,11 +74,13 @@
         CPPUNIT_ASSERT(this->server->requests.empty());
     }
 
+    /** Guards against connections held open by callers that never complete a head. */
     void too_slow()
     {
         CPPUNIT_ASSERT_EQUAL(408, this->status_of("GET /safe/x HTTP/1.1\r\nHost: h\r\n"));
     }
 
+    /** Guards against forwarding without a route or a valid key; public routes need no key. */
     void unknown_route_and_key()
     {
         CPPUNIT_ASSERT_EQUAL(404, this->status_of(request_text("GET", "/else/x", "1")));
@@ -88,6 +92,7 @@
         CPPUNIT_ASSERT_EQUAL(200, this->status_of(open));
     }
 
+    /** Guards against requests that wait forever when no configuration arrives. */
     void no_configuration_yet()
     {
         this->rig = std::make_unique<path_rig>();
@@ -98,6 +103,8 @@
         CPPUNIT_ASSERT(!header_in(caller.received, "retry-after").empty());
     }
 
+    /** Guards against rejecting requests shortly before the configuration arrives, and against
+     * failures when a waiting caller disconnects. */
     void configuration_on_its_way()
     {
         this->rig = std::make_unique<path_rig>();
@@ -105,18 +112,18 @@
             return scripted_answer{answer_text(200, request, "served"), then::keep};
         });
         raw_caller& caller = this->rig->add_caller();
-        raw_caller& leaver = this->rig->add_caller();
+        raw_caller& leaving_caller = this->rig->add_caller();
         caller.send(request_text("GET", "/safe/x", "1"));
-        leaver.send(request_text("GET", "/safe/x", "2"));
+        leaving_caller.send(request_text("GET", "/safe/x", "2"));
         CPPUNIT_ASSERT(this->rig->run_until([&] { return this->rig->path->active() == 2; }));
-        leaver.leave();
+        leaving_caller.leave();
         this->rig->run_for(milliseconds(20));
         CPPUNIT_ASSERT(caller.received.empty());
         this->rig->path->set_config(this->rig->dialect.decode_config(example_config(1)));
         CPPUNIT_ASSERT(this->rig->run_until([&] { return caller.received.ends_with("served"); }));
     }
 
-    /** Of the routes whose prefix begins the path the longest counts. */
+    /** Guards against matching a shorter prefix when a route with a longer one matches too. */
     void nested_routes()
     {
         const router_config_ptr config = this->rig->dialect.decode_config(example_config(1));
@@ -128,6 +135,7 @@
         CPPUNIT_ASSERT(config->find("other", "/safe/x") == nullptr);
     }
 
+    /** Guards against callers that set reserved headers, and against forwarding API keys. */
     void headers_of_ours()
     {
         CPPUNIT_ASSERT_EQUAL(
@@ -141,6 +149,7 @@
         CPPUNIT_ASSERT(std::stoi(header_in(seen, "x-deadline-ms")) <= 1500);
     }
 
+    /** Guards against responses to pipelined requests being sent out of order. */
     void pipelined()
     {
         raw_caller& caller = this->rig->add_caller();
@@ -154,6 +163,7 @@
         CPPUNIT_ASSERT(first < second && second < caller.received.find(" 404 "));
     }
 
+    /** Guards against bodies that are lost or forwarded with chunk framing. */
     void chunked_body()
     {
         std::string text = request_text("POST", "/safe/x", "81");
