--- a/test/error/forged_headers.cpp
+++ b/test/error/forged_headers.cpp
@@ -1,7 +1,7 @@
 /** \file
- * Headers by which the router steers servers (holds, pins, copies, urgency and the like) cannot be
- * set by callers: in no case, sent twice or not, on no kind of route, on first, repeated and
- * resumed sends. The server gets what the router says, or nothing.
+ * Callers must not be able to set the headers by which the router controls servers (holds, pins,
+ * copies, priority and others), whatever their case or number, on any kind of route, and on first,
+ * retried and resumed attempts. A server receives the router's value or none.
  */
 #include <array>
 #include <map>
@@ -16,7 +16,7 @@
 using namespace worksshift;
 using then = scripted_answer::then;
 
-/** What only the router may say to a server, as the platform's pages give it. */
+/** Headers that only the router may send to a server, as documented by the platform. */
 constexpr std::array reserved{"X-Tenant",         "X-Expect-Instance", "X-Request-Priority",
                               "X-Expect-Version", "Kv-Fetch",          "X-Pin-Ms",
                               "X-Hold",           "Kv-From",           "X-Kv-Backup",
@@ -29,7 +29,7 @@
     return text;
 }
 
-/** A request that carries every reserved header, once as it is written and once in capitals. */
+/** A request with every reserved header twice: as documented and in capitals. */
 std::string forged_request(const std::string& target, const std::string& id,
                            const std::string& more = {})
 {
@@ -94,6 +94,7 @@
         this->rig->path->set_config(this->rig->dialect.decode_config(example_config(1)));
     }
 
+    /** Guards against a forged header on the first attempt, on each kind of route. */
     void never_reach_a_server()
     {
         scripted_server& desk = this->add_plain("a", "desk");
@@ -114,6 +115,7 @@
                              header_in(engine.requests.front(), "x-request-priority"));
     }
 
+    /** Guards against a forged header on a retry after a rejected attempt. */
     void never_on_a_repeated_send()
     {
         const auto refuse_once = [refused = false](const std::string& request) mutable {
@@ -131,6 +133,7 @@
         assert_clean(second);
     }
 
+    /** Guards against a forged header on the attempt that resumes a broken stream. */
     void never_on_a_resumed_send()
     {
         const auto break_off = [](const std::string& request) {
@@ -151,7 +154,7 @@
         assert_clean(second);
     }
 
-    /** Only a route that allows it lets its caller name the event to go on behind. */
+    /** Guards against a caller setting the resume position on a route that is not resumable. */
     void position_of_a_stream_that_cannot_be_resumed()
     {
         scripted_server& desk = this->add_plain("a", "desk");
@@ -165,7 +168,7 @@
         CPPUNIT_ASSERT_EQUAL(std::string("7"), header_in(engine.requests.back(), "last-event-id"));
     }
 
-    /** Whoever reads the last one, or both, must not see another request than the router did. */
+    /** Guards against a server reading another value than the router from a header sent twice. */
     void first_of_two_counts()
     {
         scripted_server& desk = this->add_plain("a", "desk");
@@ -180,6 +183,7 @@
         CPPUNIT_ASSERT(header_in(seen, "x-api-key").empty());
     }
 
+    /** Guards against ignoring reserved headers without counting them in the metrics. */
     void are_counted()
     {
         this->add_plain("a", "desk");
