--- a/test/fuzz/registry_pages_are_decoded.cpp
+++ b/test/fuzz/registry_pages_are_decoded.cpp
@@ -1,6 +1,6 @@
 /** \file
- * Whatever stands in one entry of a page, the entries beside it are read, and decoding ends with a
- * page or with a peer_error.
+ * Arbitrary content of one entry of a registry page must not affect the other entries, and decoding
+ * must end with a page or with a peer_error.
  */
 #include <cppunit/extensions/HelperMacros.h>
 #include <rapidcheck.h>
@@ -12,15 +12,17 @@
 
 using namespace worksshift;
 
-const std::string sound = R"({"service":"desk","address":"127.0.0.1:1","zone":"dc","version":"v1",)"
-                          R"("slots":4,"state":"ready","coldRemainingMs":0,"sequence":1})";
+const std::string valid_document =
+    R"({"service":"desk","address":"127.0.0.1:1","zone":"dc","version":"v1",)"
+    R"("slots":4,"state":"ready","coldRemainingMs":0,"sequence":1})";
 
-/** JSON values of any shape, and texts that look like them but are none. */
+/** JSON values of any kind, and malformed text that resembles JSON. */
 rc::Gen<std::string> any_value(int depth)
 {
     const auto text = rc::gen::map(
         rc::gen::container<std::string>(rc::gen::inRange('\x01', '\x7f')), [](std::string raw) {
-            std::erase_if(raw, [](char each) { return each == '"' || each == '\\'; });
+            std::erase_if(raw,
+                          [](char character) { return character == '"' || character == '\\'; });
             return "\"" + raw + "\"";
         });
     const auto bytes =
@@ -47,12 +49,12 @@
 
 const std::string good_metadata = R"({"name":"a","revision":3})";
 
-/** A sound entry with the value of one field replaced. */
+/** A valid entry with the value of one field replaced. */
 std::string with_field(const std::string& field, const std::string& value)
 {
-    const std::size_t at = sound.find("\"" + field + "\":") + field.size() + 3;
-    const std::size_t end = sound.find_first_of(",}", at);
-    return sound.substr(0, at) + value + sound.substr(end);
+    const std::size_t at = valid_document.find("\"" + field + "\":") + field.size() + 3;
+    const std::size_t end = valid_document.find_first_of(",}", at);
+    return valid_document.substr(0, at) + value + valid_document.substr(end);
 }
 
 class registry_pages_are_decoded : public CppUnit::TestFixture {
@@ -64,24 +66,26 @@
 
     protocol dialect = platform_protocol();
 
-    /** Reads the object as a server; \throws only what a follower of the registry expects. */
+    /** Decodes the object as a server; any exception but peer_error fails the test. */
     void read(const stored_object& object) const
     {
         try {
             const server_record record = this->dialect.decode_server(object);
             RC_ASSERT(!record.service.empty() && record.slots > 0 && record.address.port > 0);
         } catch (const peer_error&) {
-            // What cannot be read names no server.
+            // An invalid entry is rejected.
         }
     }
 
 public:
+    /** Guards against one malformed entry hiding the valid entries of its page. */
     void any_entry_costs_itself_only()
     {
         const bool passed = rc::check("any entry costs itself only", [this] {
             const std::string other = item(*any_value(2), *any_value(2));
-            const std::string page = R"({"items":[)" + item(good_metadata, sound) + "," + other +
-                                     "," + item(good_metadata, sound) + R"(],"asOf":5})";
+            const std::string page = R"({"items":[)" + item(good_metadata, valid_document) + "," +
+                                     other + "," + item(good_metadata, valid_document) +
+                                     R"(],"asOf":5})";
             const object_page read = this->dialect.decode_page(page);
             RC_ASSERT(read.objects.size() + read.unreadable == 3U);
             RC_ASSERT(this->dialect.decode_server(read.objects.front()).slots == 4U);
@@ -90,6 +94,7 @@
         CPPUNIT_ASSERT(passed);
     }
 
+    /** Guards against a field of unexpected type or value raising anything but peer_error. */
     void any_field_is_read_or_refused()
     {
         const bool passed = rc::check("any field is read or refused", [this] {
@@ -104,11 +109,12 @@
         CPPUNIT_ASSERT(passed);
     }
 
+    /** Guards against a corrupt or truncated page raising anything but peer_error. */
     void any_bytes_end_in_a_page_or_an_error()
     {
         const bool passed = rc::check("any bytes end in a page or an error", [this] {
             std::string page = R"({"events":[{"removed":false,"object":)" +
-                               item(good_metadata, sound) + R"(}],"asOf":5})";
+                               item(good_metadata, valid_document) + R"(}],"asOf":5})";
             const auto at = *rc::gen::inRange<std::size_t>(0, page.size());
             page[at] = *rc::gen::arbitrary<char>();
             if (*rc::gen::arbitrary<bool>()) page.resize(at);
@@ -116,7 +122,7 @@
                 for (const stored_object& object : this->dialect.decode_page(page).objects)
                     this->read(object);
             } catch (const peer_error&) {
-                // The call counts as failed.
+                // The caller treats this as a failed call.
             }
         });
         CPPUNIT_ASSERT(passed);
