--- a/test/correctness/router_fleet_serves.cpp
+++ b/test/correctness/router_fleet_serves.cpp
@@ -1,6 +1,6 @@
 /** \file
- * Routers as processes: a configuration is in force on all of them, also where the store does not
- * answer; a leaving server gets no new work from any; a planned stop cuts nothing off.
+ * Several router processes: a configuration takes effect on all of them, even if the store does not
+ * answer; a draining server gets no new requests from any; a planned stop cuts off no request.
  */
 #include <cppunit/extensions/HelperMacros.h>
 
@@ -41,7 +41,7 @@
         return fleet;
     }
 
-    /** The example with the key `k1` replaced. */
+    /** The example configuration with the key `k1` replaced. */
     static std::string config_with_key(std::uint64_t version, const std::string& key)
     {
         std::string text = example_config(version);
@@ -59,24 +59,26 @@
     }
 
 public:
+    /** Guards against a router that misses a new configuration or accepts an older one. */
     static void configuration_is_in_force_everywhere()
     {
         const auto fleet = served_fleet(5);
         CPPUNIT_ASSERT(all_answer(*fleet, 200));
         fleet->set_config(config_with_key(4, "other"));
         CPPUNIT_ASSERT(fleet->run_until([&] { return all_answer(*fleet, 401); }, seconds(2)));
-        // An older version that comes late changes nothing.
+        // An older version that arrives late is ignored.
         fleet->set_config(example_config(3));
         fleet->run_until([] { return false; }, milliseconds(700));
         CPPUNIT_ASSERT(all_answer(*fleet, 401));
     }
 
+    /** Guards against a router that cannot start serving while the store is down. */
     static void configuration_of_a_dead_store_comes_from_others()
     {
         const auto fleet = served_fleet(4);
         fleet->store->fault = fakes::store_fault::busy;
         fleet->store->lose_waiting();
-        // A process that starts now learns all that it needs from the others.
+        // A process that starts now gets configuration and servers from the other routers.
         fleet->routers[3].signal(SIGKILL);
         fleet->routers[3].wait();
         fleet->start(3);
@@ -84,6 +86,7 @@
         CPPUNIT_ASSERT(all_answer(*fleet, 200));
     }
 
+    /** Guards against routers that still send requests to a server listed as draining. */
     static void leaving_server_gets_no_new_work()
     {
         const auto fleet = served_fleet(5);
@@ -95,6 +98,7 @@
         CPPUNIT_ASSERT_EQUAL(before, fleet->servers[0]->requests.size());
     }
 
+    /** Guards against a stop that breaks a running stream or rejects callers too early. */
     static void planned_stop_cuts_nothing()
     {
         const auto fleet = served_fleet(2);
@@ -123,7 +127,7 @@
             seconds(2)));
         fleet->routers[0].signal(SIGTERM);
         CPPUNIT_ASSERT(fleet->run_until([&] { return !fleet->ready(0); }, seconds(2)));
-        // Callers that still come are served, on connections that end with their answer.
+        // New callers are still served, and their connections are closed after the response.
         const std::string late = fleet->ask(0, request_text("GET", "/safe/x", "4"));
         CPPUNIT_ASSERT_EQUAL(200, status_in(late));
         CPPUNIT_ASSERT_EQUAL(std::string("close"), header_in(late, "connection"));
@@ -135,6 +139,7 @@
         CPPUNIT_ASSERT_EQUAL(0, fleet->routers[0].wait());
     }
 
+    /** Guards against accepting requests that cannot finish within the grace period of a stop. */
     static void late_requests_of_a_stop_are_not_taken()
     {
         const auto fleet = served_fleet(1);
@@ -146,7 +151,7 @@
         const auto kept = fleet->connect(0);
         kept->send(request_text("GET", "/safe/x", "1"));
         CPPUNIT_ASSERT(fleet->run_until([&] { return is_whole(kept->received); }, seconds(2)));
-        // Work that keeps the process alive to the end of its grace.
+        // An unanswered request keeps the process running to the end of its grace period.
         fleet->servers[0]->answer = [](const std::string&) -> scripted_answer {
             return {"", then::stay_silent};
         };
@@ -154,11 +159,12 @@
         fleet->routers[0].signal(SIGTERM);
         const auto busy = fleet->connect(0);
         busy->send(request_text("POST", "/unsafe/x", "2", "{}"));
-        // A request that is sent three seconds after the stop began must find no open connection.
+        // Three seconds after the stop began, no connection may be open for another request.
         CPPUNIT_ASSERT(fleet->run_until([&] { return kept->closed; }, seconds(3)));
         CPPUNIT_ASSERT_EQUAL(std::string(), fleet->ask(0, request_text("GET", "/safe/x", "3")));
     }
 
+    /** Guards against a status page that differs from the router's view of VMs and servers. */
     static void status_tells_what_a_router_believes()
     {
         const auto fleet = served_fleet(3);
@@ -169,12 +175,12 @@
         fleet->set_server_state("b", "draining");
         fleet->set_config(example_config(7));
         CPPUNIT_ASSERT(fleet->run_until([&] { return status()["revision"] == 7; }, seconds(5)));
-        const auto told = [&] {
+        const auto status_is_current = [&] {
             const nlohmann::json now = status();
             return now["servers"].size() == 2 && now["servers"][0]["server"] == "a" &&
                    now["servers"][0]["accepting"] == true && now["servers"][1]["draining"] == true;
         };
-        CPPUNIT_ASSERT(fleet->run_until(told, seconds(5)));
+        CPPUNIT_ASSERT(fleet->run_until(status_is_current, seconds(5)));
         CPPUNIT_ASSERT(status()["alarms"].empty());
         const auto all_alive = [&] {
             const nlohmann::json now = status();
@@ -185,8 +191,9 @@
         CPPUNIT_ASSERT(fleet->run_until(all_alive, seconds(5)));
     }
 
-    /** Of eight VMs the two delegates wait for a change at the store by linearizable calls, and up
-     * to three more by cheap ones, so each change answers so many. */
+    /** Guards against store load that grows with the fleet: of eight VMs, two delegates watch the
+     * store with linearizable calls and up to three more with the cheaper stale ones, so that a
+     * change causes at most five responses. */
     static void few_watch_the_store()
     {
         const auto fleet = served_fleet(8);
