--- a/test/support/router_fleet.cpp
+++ b/test/support/router_fleet.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-constexpr unsigned first_host = 20; ///< of the routers' loopback addresses
+constexpr unsigned first_host = 20; ///< last byte of the first router's loopback address
 
 } // namespace
 
@@ -19,7 +19,7 @@
 {
     this->store = std::make_unique<fakes::fake_store>(this->base.get(), this->stores.front());
     this->routers.resize(count);
-    // Wakes the loop, so that conditions on time are looked at.
+    // Wakes the event loop, so that run_until checks its condition and time limit regularly.
     this->ticker.start_every(milliseconds(10));
 }
 
--- a/test/support/router_fleet.h
+++ b/test/support/router_fleet.h
@@ -1,7 +1,7 @@
 /** \file
- * Routers as separate processes on loopback addresses of their own, before scripted servers and a
- * stand-in of the store that run in the test's loop. Processes are ended by id when the object
- * goes.
+ * Test fixture that runs routers as separate processes, each on its own loopback address. Scripted
+ * servers and a fake store run in the test's event loop. The destructor terminates the processes by
+ * id.
  */
 #pragma once
 
@@ -15,22 +15,24 @@
 
 namespace support {
 
+/** Routers, servers and store of one test. A router is identified by its index from 0. */
 class router_fleet {
 public:
     explicit router_fleet(std::size_t routers);
 
-    /** Starts a router, or starts it anew; its callers' port listens soon after. */
+    /** Starts or restarts a router, without waiting until it listens. */
     void start(std::size_t router);
     void start_all();
-    /** Adds a server to the registry of the store. */
+    /** Starts a scripted server and adds it to the store's registry. */
     scripted_server& add_server(const std::string& id, const std::string& service,
                                 scripted_server::script answer,
                                 const std::string& data_centre = "dc");
-    /** Lists a server of the test's own in the registry. */
+    /** Adds a server that the test runs itself to the store's registry. */
     void list_server(const std::string& id, const std::string& service,
                      const worksshift::link_address& address,
                      const std::string& data_centre = "dc");
-    /** Where a router finds the store; takes effect with its next start. */
+    /** The address at which a router contacts the store. A change takes effect at its next start.
+     */
     [[nodiscard]] worksshift::link_address store_address(std::size_t router) const;
     void set_store_address(std::size_t router, const worksshift::link_address& address);
     void set_server_state(const std::string& id, const std::string& state);
@@ -38,14 +40,16 @@
     void set_config(const std::string& document) { this->store->put("config", "main", document); }
 
     std::unique_ptr<raw_caller> connect(std::size_t router);
-    /** Sends one request and returns all that came back when the answer was whole or the
-     * connection had ended; empty when neither came in five seconds. */
+    /** Sends one request and returns all bytes received until the response was complete, the
+     * connection was closed, or five seconds passed. */
     std::string ask(std::size_t router, const std::string& text);
-    /** Whether the router says that it takes callers. */
+    /** Whether the router's readiness check succeeds. */
     bool ready(std::size_t router);
+    /** Waits until all routers are ready; false if one is not within ten seconds. */
     bool all_ready();
-    /** What the router serves on its metrics port, with the answer's head. */
+    /** The response of the router's metrics port, including its head. */
     std::string metrics(std::size_t router, const std::string& path = "/metrics");
+    /** Runs the event loop until \p done; false if the time limit is reached first. */
     bool run_until(const std::function<bool()>& done, worksshift::duration limit);
 
     worksshift::event_ptr<event_base> base;
@@ -73,9 +77,9 @@
     worksshift::timer ticker;
 };
 
-/** Whether a raw answer is complete as HTTP says. */
+/** Whether a raw HTTP response is complete. */
 bool is_whole(const std::string& answer);
-/** Status of a raw answer; 0 when there is none. */
+/** Status code of a raw HTTP response; 0 if there is none yet. */
 int status_in(const std::string& answer);
 
 } // namespace support
