--- a/test/support/loopback_listener.cpp
+++ b/test/support/loopback_listener.cpp
@@ -19,7 +19,8 @@
         },
         this, LEV_OPT_CLOSE_ON_FREE | LEV_OPT_CLOSE_ON_EXEC | LEV_OPT_REUSEABLE, -1,
         reinterpret_cast<const sockaddr*>(&at), sizeof at));
-    if (this->listener == nullptr) throw std::runtime_error("no port is free");
+    if (this->listener == nullptr)
+        throw std::runtime_error("cannot listen on 127.0.0.1: no port is free");
     socklen_t size = sizeof at;
     getsockname(evconnlistener_get_fd(this->listener.get()), reinterpret_cast<sockaddr*>(&at),
                 &size);
@@ -28,8 +29,9 @@
 
 void close_by_reset(evutil_socket_t socket)
 {
-    const linger at_once{.l_onoff = 1, .l_linger = 0};
-    if (socket >= 0) setsockopt(socket, SOL_SOCKET, SO_LINGER, &at_once, sizeof at_once);
+    const linger reset_on_close{.l_onoff = 1, .l_linger = 0};
+    if (socket >= 0)
+        setsockopt(socket, SOL_SOCKET, SO_LINGER, &reset_on_close, sizeof reset_on_close);
 }
 
 } // namespace support
--- a/test/support/loopback_listener.h
+++ b/test/support/loopback_listener.h
@@ -1,5 +1,5 @@
 /** \file
- * A listening socket on a free port of loopback.
+ * A listening socket on a free port of the loopback address, for test servers.
  */
 #pragma once
 
@@ -12,11 +12,12 @@
 
 class loopback_listener {
 public:
-    /** \throws std::runtime_error when no port is free. */
+    /** \p accept: called with each accepted socket, which it owns. \throws std::runtime_error if no
+     * port is free. */
     loopback_listener(event_base* base, std::function<void(evutil_socket_t)> accept);
 
     [[nodiscard]] worksshift::link_address address() const { return {"127.0.0.1", this->port}; }
-    /** From now on connections are refused. */
+    /** Stops listening; later connections are refused. */
     void close() { this->listener.reset(); }
 
 private:
@@ -25,8 +26,8 @@
     std::uint16_t port = 0;
 };
 
-/** The connection ends with a reset when it is closed, so that many of them do not use up the
- * ports, and a peer sees that it was broken off. */
+/** Makes a later close of the socket reset the connection, so that many closed connections do not
+ * exhaust the ports, and the peer can tell that the connection was aborted. */
 void close_by_reset(evutil_socket_t socket);
 
 } // namespace support
