--- a/test/performance/router.cpp
+++ b/test/performance/router.cpp
@@ -1,6 +1,6 @@
 /** \file
- * What a router costs: processor time for each event of a stream and memory for each stream under a
- * steady load through one router, and what fleets of several sizes spend on themselves while idle.
+ * Resource use of routers: CPU time per stream event and memory per stream under a steady load
+ * through one router, the idle cost of fleets of several sizes, and the time to choose a server.
  */
 #include "support/figure.h"
 #include "support/router_fleet.h"
@@ -14,14 +14,15 @@
 constexpr unsigned events_per_stream = 200;
 constexpr duration event_period = milliseconds(20);
 
+/** Value of a counter in the metrics text; 0 if it is missing. */
 double counter(const std::string& text, const std::string& name)
 {
     const std::size_t at = text.find("\n" + name + " ");
     return at == std::string::npos ? 0 : std::stod(text.substr(at + name.size() + 2));
 }
 
-/** Streams that all run at once, an event each 20 ms, as an engine under load sends them. */
-void measure_path(figures& shown)
+/** Concurrent streams with an event every 20 ms each, as an engine under load sends them. */
+void measure_path(figures& report)
 {
     router_fleet fleet(1);
     std::string config = example_config(1);
@@ -31,7 +32,7 @@
     const auto begin = [](const std::string& request) -> scripted_answer {
         return {stream_head(request) + event_chunk(1, "first"), scripted_answer::then::keep};
     };
-    // One connection each, so that events can be pushed on all of them.
+    // One server per stream, because a scripted server pushes only on its newest connection.
     std::vector<scripted_server*> engines;
     for (std::size_t i = 0; i < streams; ++i)
         engines.push_back(&fleet.add_server("e" + std::to_string(i), "llm", begin));
@@ -64,23 +65,23 @@
     }
     const double spent = cpu_seconds(process) - before;
     constexpr double micros = 1e6;
-    shown.at_most("router.processor_per_event", spent * micros / static_cast<double>(passed), "us",
-                  25);
-    shown.note("router.events_passed", static_cast<double>(passed), "events");
-    shown.at_most("router.memory_per_stream", per_stream_kb, "KB", 64);
-    shown.at_most("router.memory_at_start", before_kb / 1024, "MB", 25);
+    report.at_most("router.processor_per_event", spent * micros / static_cast<double>(passed), "us",
+                   25);
+    report.note("router.events_passed", static_cast<double>(passed), "events");
+    report.at_most("router.memory_per_stream", per_stream_kb, "KB", 64);
+    report.at_most("router.memory_at_start", before_kb / 1024, "MB", 25);
 }
 
-/** Idle fleets: what a VM spends on digests, watches and its tick. */
-void measure_control(std::size_t vms, figures& shown)
+/** Idle fleet: CPU time, digest traffic and store calls of a VM. */
+void measure_control(std::size_t vms, figures& report)
 {
     router_fleet fleet(vms);
     fleet.set_config(example_config(1));
-    const auto good = [](const std::string& request) -> scripted_answer {
+    const auto answer_ok = [](const std::string& request) -> scripted_answer {
         return {answer_text(200, request, "x"), scripted_answer::then::keep};
     };
     for (int i = 0; i < 20; ++i)
-        fleet.add_server("s" + std::to_string(i), "desk", good);
+        fleet.add_server("s" + std::to_string(i), "desk", answer_ok);
     fleet.start_all();
     fleet.all_ready();
     constexpr duration settle = seconds(5);
@@ -94,16 +95,17 @@
     const double s = std::chrono::duration<double>(span).count();
     const std::string size = "router.control_" + std::to_string(vms) + "_vms.";
     constexpr double percent = 100;
-    shown.at_most(size + "processor", (cpu_seconds(fleet.routers[0].id()) - before) / s * percent,
-                  "percent", 3.3);
-    shown.at_most(size + "digests_sent", (counter(fleet.metrics(0), sent) - bytes) / s, "B/s",
-                  12000);
-    shown.note(size + "store_calls",
-               static_cast<double>(fleet.store->watches + fleet.store->lists - calls) / s, "per_s");
+    report.at_most(size + "processor", (cpu_seconds(fleet.routers[0].id()) - before) / s * percent,
+                   "percent", 3.3);
+    report.at_most(size + "digests_sent", (counter(fleet.metrics(0), sent) - bytes) / s, "B/s",
+                   12000);
+    report.note(size + "store_calls",
+                static_cast<double>(fleet.store->watches + fleet.store->lists - calls) / s,
+                "per_s");
 }
 
-/** Choosing an engine for a prompt, of so many. */
-void measure_choice(std::size_t servers, figures& shown)
+/** Mean time to choose one of \p servers engines for a prompt. */
+void measure_choice(std::size_t servers, figures& report)
 {
     constexpr int rounds = 400;
     server_table table({"dc"});
@@ -122,20 +124,20 @@
         sum += table.choose({{"llm"}, true, key, {}}, now).load;
     }
     const std::chrono::duration<double, std::micro> span = std::chrono::steady_clock::now() - begin;
-    shown.at_most("router.choice_of_" + std::to_string(servers), span.count() / rounds, "us", 200);
-    shown.note("router.choice_of_" + std::to_string(servers) + ".sum", static_cast<double>(sum),
-               "requests");
+    report.at_most("router.choice_of_" + std::to_string(servers), span.count() / rounds, "us", 200);
+    report.note("router.choice_of_" + std::to_string(servers) + ".sum", static_cast<double>(sum),
+                "requests");
 }
 
 } // namespace
 
 int main()
 {
-    figures shown;
+    figures report;
     for (const std::size_t servers : {93, 1400, 3000})
-        measure_choice(servers, shown);
-    measure_path(shown);
+        measure_choice(servers, report);
+    measure_path(report);
     for (const std::size_t vms : {4, 16, 48})
-        measure_control(vms, shown);
-    return shown.exit_status();
+        measure_control(vms, report);
+    return report.exit_status();
 }
