--- a/test/support/figure.h
+++ b/test/support/figure.h
@@ -1,5 +1,6 @@
 /** \file
- * Figures of a measurement: one line each, with its bound; a program fails when one is past it.
+ * Results of a benchmark: prints one line each, with its bound; the program fails if one exceeds
+ * its bound.
  */
 #pragma once
 
@@ -16,7 +17,7 @@
 
 namespace support {
 
-/** Memory of this process that is resident, in KiB. */
+/** Resident memory of this process, in KiB. */
 inline double own_resident_kb()
 {
     std::ifstream file("/proc/self/statm");
@@ -26,7 +27,7 @@
     return resident * static_cast<double>(sysconf(_SC_PAGESIZE)) / 1024;
 }
 
-/** User and system time of a process so far, in seconds. */
+/** CPU time (user and system) that a process has used, in seconds. */
 inline double cpu_seconds(pid_t process)
 {
     std::ifstream file("/proc/" + std::to_string(process) + "/stat");
@@ -43,7 +44,7 @@
     return ticks / static_cast<double>(sysconf(_SC_CLK_TCK));
 }
 
-/** Memory of a process that is resident, in KiB. */
+/** Resident memory of a process, in KiB; 0 if it cannot be read. */
 inline double resident_kb(pid_t process)
 {
     std::ifstream file("/proc/" + std::to_string(process) + "/status");
@@ -53,7 +54,8 @@
     return 0;
 }
 
-/** The value below which the share of the values lies; 0 without any. */
+/** A percentile of the values, without interpolation. \p share: from 0 to 1. Zero if there are no
+ * values. */
 inline double percentile(std::vector<double> values, double share)
 {
     if (values.empty()) return 0;
@@ -62,9 +64,10 @@
     return values[static_cast<std::size_t>(std::lround(last * share))];
 }
 
+/** Prints results and records whether all were within their bounds. */
 class figures {
 public:
-    /** A figure without a bound: a baseline, or for the record. */
+    /** Prints a result without a bound. */
     void note(const std::string& name, double value, const char* unit)
     {
         std::printf("name=%s value=%.6g unit=%s bound=none\n", name.c_str(), value, unit);
@@ -78,16 +81,17 @@
     {
         this->print(name, value, unit, ">=", bound, value >= bound);
     }
+    /** 1 if a result was out of its bound, else 0. */
     [[nodiscard]] int exit_status() const { return this->failed ? 1 : 0; }
 
 private:
     void print(const std::string& name, double value, const char* unit, const char* relation,
-               double bound, bool held)
+               double bound, bool within_bound)
     {
         std::printf("name=%s value=%.6g unit=%s bound=%s%.6g%s\n", name.c_str(), value, unit,
-                    relation, bound, held ? "" : " PAST ITS BOUND");
+                    relation, bound, within_bound ? "" : " PAST ITS BOUND");
         std::fflush(stdout);
-        this->failed = this->failed || !held;
+        this->failed = this->failed || !within_bound;
     }
 
     bool failed = false;
