--- a/src/caller_links.cpp
+++ b/src/caller_links.cpp
@@ -25,8 +25,7 @@
  * unreachable, and its response would stay buffered. Longer than callers wait for most responses,
  * so that a short network outage costs none of them. */
 constexpr milliseconds caller_unacknowledged_timeout(10000);
-/** Maximum number of bytes that are buffered of pipelined requests while a response is in progress.
- */
+/** Maximum number of bytes buffered of pipelined requests while a response is in progress. */
 constexpr std::size_t max_read_ahead_bytes = std::size_t{64} * 1024;
 constexpr int bad_request = 400;
 constexpr int request_timeout = 408;
