--- a/src/http_call.h
+++ b/src/http_call.h
@@ -25,7 +25,7 @@
     [[nodiscard]] std::string find(std::string_view name) const;
 };
 
-/** Called once with the response, or with status 0 if there was none before the deadline. */
+/** Called once with the response, or with status 0 if the call failed or timed out. */
 using http_handler = std::function<void(const http_response&)>;
 
 /** Makes calls and owns them until they are complete. */
