--- a/src/http_wire.h
+++ b/src/http_wire.h
@@ -56,9 +56,7 @@
 
     /** Consumes \p input up to the end of one message. */
     read_result read(evbuffer* input);
-    /** To be called when the peer has closed its side. A response without a length is complete
-     * then.
-     */
+    /** Handles the end of input. A response without a length is complete at this point. */
     read_result read_end();
 
     /** The next response has no body whatever its headers say, as after a HEAD request. */
