--- a/src/protocol.h
+++ b/src/protocol.h
@@ -167,8 +167,7 @@
     std::uint64_t born_ms = 0;
 };
 
-/** An object of the store: the fields that the store itself defines, and the document as raw text.
- */
+/** An object of the store: the store's own fields, and the document as raw text. */
 struct stored_object {
     std::string name;
     std::uint64_t revision = 0;
