--- a/src/router.h
+++ b/src/router.h
@@ -37,9 +37,7 @@
     router(router&&) = delete;
     router& operator=(router&&) = delete;
 
-    /** Runs until shutdown is complete. Returns the exit status: 0 if no request was cut off,
-     * else 1.
-     */
+    /** Runs until shutdown is complete. Returns the exit status: 0 unless requests were cut off. */
     int run();
 
 private:
