--- a/src/server_links.h
+++ b/src/server_links.h
@@ -83,9 +83,8 @@
     void sweep(instant now);
     /** Closes the idle connections to a server that is leaving, restarted or gone. */
     void forget(const server_id& server);
-    /** Closes all idle connections, for when their idle time is unknown after a suspension of the
-     * VM.
-     */
+    /** Closes all idle connections. Used after a suspension of the VM, when their idle time is
+     * unknown. */
     void forget_all();
 
     [[nodiscard]] std::size_t active() const { return this->attempts.size(); }
@@ -96,9 +95,8 @@
     sigc::signal<void(std::uint64_t, std::string_view)> on_body;
     sigc::signal<void(const attempt_end&)> on_end;
     /** Result of a check: true if the server's process has ended, that is, its host refused the
-     * connection. A server that does not answer may be busy or unreachable, so it counts as
-     * running.
-     */
+     * connection. A server that does not answer may be busy or unreachable, so the
+     * result is false. */
     sigc::signal<void(std::uint32_t, bool)> on_checked;
 
 private:
