--- a/test/support/loopback_listener.cpp
+++ b/test/support/loopback_listener.cpp
@@ -19,8 +19,7 @@
         },
         this, LEV_OPT_CLOSE_ON_FREE | LEV_OPT_CLOSE_ON_EXEC | LEV_OPT_REUSEABLE, -1,
         reinterpret_cast<const sockaddr*>(&at), sizeof at));
-    if (this->listener == nullptr)
-        throw std::runtime_error("cannot listen on 127.0.0.1: no port is free");
+    if (this->listener == nullptr) throw std::runtime_error("no free loopback port");
     socklen_t size = sizeof at;
     getsockname(evconnlistener_get_fd(this->listener.get()), reinterpret_cast<sockaddr*>(&at),
                 &size);
