--- a/src/server_registry.cpp
+++ b/src/server_registry.cpp
@@ -25,7 +25,7 @@
     for (const stored_object& item : all)
         names.insert(item.name);
     for (const auto& [id, row] : this->table.rows()) {
-        if (!names.contains(id.text)) this->miss(id, origin, now);
+        if (!names.contains(id.text)) this->mark_missing(id, origin, now);
     }
     this->take_part(all, origin, now);
 }
@@ -33,15 +33,15 @@
 void server_registry::take_part(std::span<const stored_object> part, const news_origin& origin,
                                 instant now)
 {
-    const bool few = part.size() <= this->table.rows().size() + logged_one_by_one;
-    const logging told = few ? logging::each : logging::none;
+    const bool log_each = part.size() <= this->table.rows().size() + logged_one_by_one;
+    const logging log_detail = log_each ? logging::each : logging::none;
     const auto changed = std::ranges::count_if(
-        part, [&](const stored_object& item) { return this->put(item, told, origin, now); });
+        part, [&](const stored_object& item) { return this->put(item, log_detail, origin, now); });
     log_event(log_level::info, "servers_listed",
               {{"servers", part.size()},
                {"changed", changed},
                {"missing", this->missing.size()},
-               {"each_logged", few ? 1 : 0}});
+               {"each_logged", log_each ? 1 : 0}});
 }
 
 void server_registry::take_change(const stored_object& item, const news_origin& origin, instant now)
@@ -49,25 +49,25 @@
     if (!item.removed) {
         this->put(item, logging::each, origin, now);
     } else if (!this->is_former(item)) {
-        this->miss(server_id{item.name}, origin, now);
+        this->mark_missing(server_id{item.name}, origin, now);
     }
 }
 
-/** Notes that the server is not listed any more. One that said that it leaves has left. */
-void server_registry::miss(const server_id& id, const news_origin& origin, instant now)
+/** Marks a server as missing from the registry. If it had announced that it leaves, it has left. */
+void server_registry::mark_missing(const server_id& id, const news_origin& origin, instant now)
 {
     const server_entry* row = this->table.find(id);
     if (row == nullptr || row->gone) return;
     missing_entry entry{now};
-    entry.left = row->record.draining || row->leaving;
+    entry.has_left = row->record.draining || row->leaving;
     std::visit(
-        visitor{[&](const told_by_store& store) { entry.as_it_happened = store.as_it_happens; },
+        visitor{[&](const told_by_store& store) { entry.removal_observed = store.as_it_happens; },
                 [&](const told_by_vm& vm) {
                     const auto found =
                         std::ranges::lower_bound(vm.kept, id.text, {}, &kept_server::name);
-                    entry.as_it_happened = true;
+                    entry.removal_observed = true;
                     if (found == vm.kept.end() || found->name != id.text) {
-                        entry.left = true;
+                        entry.has_left = true;
                     } else {
                         entry.since = vm.asked_at - milliseconds(found->missing_ms);
                     }
@@ -81,23 +81,23 @@
     std::vector<kept_server> servers;
     for (const auto& [id, entry] : this->missing) {
         const auto age = std::max<std::int64_t>((now - entry.since) / milliseconds(1), 0);
-        if (!entry.left) servers.push_back({id.text, static_cast<std::uint32_t>(age)});
+        if (!entry.has_left) servers.push_back({id.text, static_cast<std::uint32_t>(age)});
     }
     return servers;
 }
 
-/** Whether it was a former life of the server that went. */
+/** Whether the removed entry was written by an earlier instance of the server. */
 bool server_registry::is_former(const stored_object& removal) const
 {
     try {
         return this->table.is_former(this->dialect.decode_server(removal));
     } catch (const error&) {
-        // Whoever wrote it: the entry is gone.
+        // The entry cannot be decoded, so it is treated as a removal, whoever wrote it.
         return false;
     }
 }
 
-bool server_registry::put(const stored_object& item, logging told, const news_origin& origin,
+bool server_registry::put(const stored_object& item, logging log_detail, const news_origin& origin,
                           instant now)
 {
     try {
@@ -105,10 +105,10 @@
         if (this->table.is_former(record)) return false;
         this->missing.erase(record.id);
         const server_entry* known = this->table.find(record.id);
-        const bool again = known != nullptr && known->record.born_ms < record.born_ms;
-        const std::uint64_t before = again ? known->record.born_ms : 0;
+        const bool restarted = known != nullptr && known->record.born_ms < record.born_ms;
+        const std::uint64_t before = restarted ? known->record.born_ms : 0;
         if (!this->table.put(record, now)) return false;
-        if (again) {
+        if (restarted) {
             log_event(log_level::info, "server_restarted",
                       {{"server", record.id.text},
                        {"born_ms", record.born_ms},
@@ -116,7 +116,7 @@
                        {"revision", item.revision}});
             this->on_restarted.emit(record.id);
         }
-        if (told == logging::each) {
+        if (log_detail == logging::each) {
             log_event(log_level::info, "server_listed",
                       {{"server", record.id.text},
                        {"service", record.service.text},
@@ -127,33 +127,34 @@
         if (record.draining) this->on_leaving.emit(record.id);
         return true;
     } catch (const error& fault) {
-        this->note_unreadable(item, fault.what(), origin, now);
+        this->record_unreadable(item, fault.what(), origin, now);
         return false;
     }
 }
 
-/** The entry names no server. One that it named before is gone like one whose entry was removed. */
-void server_registry::note_unreadable(const stored_object& item, std::string_view reason,
-                                      const news_origin& origin, instant now)
+/** Counts an entry that does not decode to a server. If the name belonged to a known server, that
+ * server is missing, as if its entry had been removed. */
+void server_registry::record_unreadable(const stored_object& item, std::string_view reason,
+                                        const news_origin& origin, instant now)
 {
-    this->miss(server_id{item.name}, origin, now);
+    this->mark_missing(server_id{item.name}, origin, now);
     ++this->unreadable_total;
-    if (this->unreadable_now.count++ > 0) return;
-    this->unreadable_now.first = item.name.substr(0, reason_at_most);
-    this->unreadable_now.reason = reason.substr(0, reason_at_most);
+    if (this->unlogged_unreadable.count++ > 0) return;
+    this->unlogged_unreadable.first = item.name.substr(0, reason_at_most);
+    this->unlogged_unreadable.reason = reason.substr(0, reason_at_most);
 }
 
 void server_registry::log_unreadable(instant now)
 {
-    if (this->unreadable_now.count == 0) return;
+    if (this->unlogged_unreadable.count == 0) return;
     if (now - this->unreadable_logged < unreadable_line_every) return;
     this->unreadable_logged = now;
     log_event(log_level::warn, "servers_unreadable",
-              {{"entries", this->unreadable_now.count},
-               {"first", this->unreadable_now.first},
-               {"reason", this->unreadable_now.reason},
+              {{"entries", this->unlogged_unreadable.count},
+               {"first", this->unlogged_unreadable.first},
+               {"reason", this->unlogged_unreadable.reason},
                {"total", this->unreadable_total}});
-    this->unreadable_now = {};
+    this->unlogged_unreadable = {};
 }
 
 void server_registry::remove(const server_id& id, duration kept)
@@ -164,64 +165,69 @@
     this->on_leaving.emit(id);
 }
 
-/** The services of which so many servers went that their entries must have lapsed. */
-std::set<service_id> server_registry::lapsed_together() const
+/** Services of which so many servers are missing that their entries must have expired, which
+ * happens if the store was unavailable. */
+std::set<service_id> server_registry::services_with_mass_expiry() const
 {
-    struct sum {
+    struct service_counts {
         std::size_t all = 0;
-        std::size_t lapsed = 0;
+        std::size_t missing = 0;
     };
-    std::map<service_id, sum> sums;
+    std::map<service_id, service_counts> counts_by_service;
     for (const auto& [id, row] : this->table.rows()) {
         if (row.gone) continue;
         const auto found = this->missing.find(id);
         const bool is_missing = found != this->missing.end();
-        if (is_missing && found->second.left) continue;
-        sum& of_service = sums[row.record.service];
-        ++of_service.all;
-        if (is_missing) ++of_service.lapsed;
+        if (is_missing && found->second.has_left) continue;
+        service_counts& counts = counts_by_service[row.record.service];
+        ++counts.all;
+        if (is_missing) ++counts.missing;
     }
     std::set<service_id> services;
-    for (const auto& [service, counted] : sums) {
+    for (const auto& [service, counted] : counts_by_service) {
         const double all = static_cast<double>(counted.all);
-        if (static_cast<double>(counted.lapsed) > lapsed_share * all) services.insert(service);
+        if (static_cast<double>(counted.missing) > lapsed_share * all) services.insert(service);
     }
     return services;
 }
 
-/** \p together: with most of its service. */
-instant server_registry::used_until(const missing_entry& entry, bool together, instant store_back)
+/** When the server's retention ends. \p mass_expiry: most of its service is missing as well. \p
+ * store_back: when the store last returned from an outage. */
+instant server_registry::used_until(const missing_entry& entry, bool mass_expiry,
+                                    instant store_back)
 {
-    if (entry.left) return entry.since;
-    const instant soon = entry.since + leaving_kept_for;
-    const instant back = store_back + lapsed_kept_for;
-    if (entry.since < back) return together ? std::max(back, soon) : std::min(back, soon);
-    // An outage that nobody noticed shows by entries that lapse together.
-    return together && entry.as_it_happened ? soon : entry.since;
+    if (entry.has_left) return entry.since;
+    const instant removal_grace_end = entry.since + leaving_kept_for;
+    const instant store_grace_end = store_back + lapsed_kept_for;
+    if (entry.since < store_grace_end)
+        return mass_expiry ? std::max(store_grace_end, removal_grace_end)
+                           : std::min(store_grace_end, removal_grace_end);
+    // Entries that disappear together may have expired in an outage that no VM noticed.
+    return mass_expiry && entry.removal_observed ? removal_grace_end : entry.since;
 }
 
 void server_registry::sweep(instant now, instant store_back)
 {
     this->log_unreadable(now);
     if (this->missing.empty()) return;
-    const std::set<service_id> lapsed = this->lapsed_together();
-    const bool few = this->missing.size() <= logged_one_by_one;
+    const std::set<service_id> mass_expired = this->services_with_mass_expiry();
+    const bool log_each = this->missing.size() <= logged_one_by_one;
     std::size_t unlogged = 0;
-    std::vector<std::pair<server_id, duration>> over;
+    std::vector<std::pair<server_id, duration>> to_remove;
     for (auto& [id, entry] : this->missing) {
         const server_entry* row = this->table.find(id);
-        const bool together = row != nullptr && lapsed.contains(row->record.service);
-        const instant until = used_until(entry, together, store_back);
+        const bool mass_expiry = row != nullptr && mass_expired.contains(row->record.service);
+        const instant until = used_until(entry, mass_expiry, store_back);
         if (now >= until) {
-            over.emplace_back(id, now - entry.since);
+            to_remove.emplace_back(id, now - entry.since);
         } else if (!std::exchange(entry.logged, true)) {
-            if (!few) {
+            if (!log_each) {
                 ++unlogged;
                 continue;
             }
             log_event(log_level::info, "server_missing",
                       {{"server", id.text},
-                       {"together", together ? 1 : 0},
+                       {"together", mass_expiry ? 1 : 0},
                        {"store_back_ms", (now - store_back) / milliseconds(1)},
                        {"kept_ms", (until - entry.since) / milliseconds(1)}});
         }
@@ -229,10 +235,10 @@
     if (unlogged > 0) {
         log_event(log_level::info, "servers_missing",
                   {{"servers", unlogged},
-                   {"services_together", lapsed.size()},
+                   {"services_together", mass_expired.size()},
                    {"store_back_ms", (now - store_back) / milliseconds(1)}});
     }
-    for (const auto& [id, kept] : over) {
+    for (const auto& [id, kept] : to_remove) {
         this->missing.erase(id);
         this->remove(id, kept);
     }
--- a/src/server_registry.h
+++ b/src/server_registry.h
@@ -1,12 +1,13 @@
 /** \file
- * Keeps the table of servers as the registry has it, and tells servers that leave from entries that
- * lapsed because the store was away.
+ * Maintains the server table from the registry, and tells servers that leave from servers whose
+ * entries expired because the store was unavailable.
  *
- * Entries that lapsed are back within about two seconds of the store's return, so they are kept for
- * that time. A server that leaves must get no new work two seconds later, so a single entry that
- * goes is kept for less. The time counts from when the first VM missed the entry: what this one
- * learns late from another is as old as the other says, and what the other does not use any more
- * has left.
+ * Expired entries are written again within about two seconds of the store's return, so their
+ * servers stay in use for that time. A server that leaves must get no new work after two seconds,
+ * so a server whose single entry disappears is retained for less. The retention counts from when
+ * the first VM noticed the missing entry: a server that another VM reports as retained has been
+ * missing for as long as that VM says, and a missing server that it does not report as retained has
+ * left.
  */
 #pragma once
 
@@ -24,99 +25,103 @@
 
 namespace worksshift {
 
-/** The store told of the registry. */
+/** The update came from the store. */
 struct told_by_store {
-    /** Changes are told as they happen; a list does not say when an entry went. */
+    /** True for the answer of a watch; a list does not say when an entry was removed. */
     bool as_it_happens = false;
 };
-/** Another VM did. */
+/** The update came from another VM. */
 struct told_by_vm {
-    std::span<const kept_server> kept; ///< by that VM
+    std::span<const kept_server> kept; ///< missing servers it still uses, by name
     instant asked_at{};
 };
 using news_origin = std::variant<told_by_store, told_by_vm>;
 
-/** Of an update by another VM. One that did not know the servers which are known here, at \p
- * revision, says no more of those that went than a list of the store. */
+/** Origin of an update that another VM sent. If that VM's first list is newer than \p revision, it
+ * may never have known the servers that are known here, so its update says no more about missing
+ * servers than a list of the store. */
 news_origin origin_of(const registry_update& update, std::uint64_t revision, instant asked_at);
 
 class server_registry {
 public:
-    /** After the store's return, for entries that lapsed together. */
+    /** After the store's return, for entries that expired together. */
     static constexpr duration lapsed_kept_for = milliseconds(2300);
-    /** After a single entry went soon after the store's return, or most of a service at once. With
-     * the pause between two calls to the store it is less than a server that leaves may be used
-     * for. */
+    /** For a single entry that disappears soon after the store's return, or for entries of most of
+     * a service that disappear at once. Together with the pause between two calls to the store it
+     * is below the time for which a leaving server may be used. */
     static constexpr duration leaving_kept_for = milliseconds(1300);
-    /** Of a list with more news than this, one line is logged and not one a server: 3,000 lines at
-     * a start would fill the log's bound, and what matters would be left out. */
+    /** A list with more changes than this is logged in one line instead of one line per server:
+     * 3,000 lines at a start would exhaust the log's rate limit and displace the lines that
+     * matter. */
     static constexpr std::size_t logged_one_by_one = 100;
-    /** Entries that cannot be read are logged in one line for all of this time, since another
-     * writer may leave thousands. */
+    /** Interval between two log lines about unreadable entries, since another writer may leave
+     * thousands of them. */
     static constexpr duration unreadable_line_every = seconds(1);
-    /** Of the reason why one cannot be read, as it may quote what stands there. */
+    /** Maximum length, in bytes, of the logged name and reason of an unreadable entry, as the
+     * reason may quote the entry's text. */
     static constexpr std::size_t reason_at_most = 120;
-    /** From this share of a service's servers on, entries have lapsed, and do not leave. */
+    /** If more than this share of a service's servers is missing, their entries are taken to have
+     * expired. */
     static constexpr double lapsed_share = 0.5;
 
     server_registry(server_table& table, const protocol& dialect) : table(table), dialect(dialect)
     {
     }
 
-    /** All entries there are. */
+    /** Applies a complete list of the entries. */
     void take_list(std::span<const stored_object> all, const news_origin& origin, instant now);
-    /** Some of the entries there are. */
+    /** Applies part of a list: servers that are not in it are not missing. */
     void take_part(std::span<const stored_object> part, const news_origin& origin, instant now);
     void take_change(const stored_object& item, const news_origin& origin, instant now);
-    /** Servers that are not listed any more, and are used for the time being. */
+    /** Servers that are missing from the registry and still in use, sorted by name. */
     [[nodiscard]] std::vector<kept_server> kept(instant now) const;
-    /** Takes out what is gone for good, and logs what could not be read. \p store_back is when the
-     * store last came back from an outage. */
+    /** Removes the servers whose retention has ended, and logs unreadable entries. \p store_back is
+     * when the store last returned from an outage. */
     void sweep(instant now, instant store_back);
 
-    /** Whether a whole list has come. */
+    /** Whether a complete list was applied. */
     [[nodiscard]] bool known() const { return this->listed; }
-    /** How often an entry was met that no server can have written. */
+    /** Number of entries received so far that no server can have written. */
     [[nodiscard]] std::uint64_t unreadable() const { return this->unreadable_total; }
 
-    /** The server takes no new work any more. */
+    /** The server takes no new work. */
     sigc::signal<void(const server_id&)> on_leaving;
-    /** The server started again under its id: no connection to it from before is of use. */
+    /** The server restarted under its id; connections opened to it before are unusable. */
     sigc::signal<void(const server_id&)> on_restarted;
 
 private:
     enum class logging : std::uint8_t { each, none };
-    /** Entries that name no server, of one list or since the last line about them. */
+    /** Entries that could not be decoded since the last log line about them. */
     struct unreadable_entries {
         std::size_t count = 0;
-        std::string first;  ///< name
-        std::string reason; ///< of the first
+        std::string first;  ///< name of the first entry
+        std::string reason; ///< why the first entry could not be decoded
     };
 
-    /** A server that is not listed any more, and is not taken out yet. */
+    /** A server that is missing from the registry and has not been removed from the table. */
     struct missing_entry {
         instant since{};
-        bool as_it_happened = false; ///< not found missing from a list
-        bool left = false;           ///< for certain
+        bool removal_observed = false; ///< received as a change, not inferred from a list
+        bool has_left = false;         ///< known to have left; its entry did not expire
         bool logged = false;
     };
 
-    /** Returns whether anything changed. */
-    bool put(const stored_object& item, logging told, const news_origin& origin, instant now);
-    void miss(const server_id& id, const news_origin& origin, instant now);
-    [[nodiscard]] static instant used_until(const missing_entry& entry, bool together,
+    /** Returns whether the table changed. */
+    bool put(const stored_object& item, logging log_detail, const news_origin& origin, instant now);
+    void mark_missing(const server_id& id, const news_origin& origin, instant now);
+    [[nodiscard]] static instant used_until(const missing_entry& entry, bool mass_expiry,
                                             instant store_back);
-    void note_unreadable(const stored_object& item, std::string_view reason,
-                         const news_origin& origin, instant now);
+    void record_unreadable(const stored_object& item, std::string_view reason,
+                           const news_origin& origin, instant now);
     void log_unreadable(instant now);
     [[nodiscard]] bool is_former(const stored_object& removal) const;
     void remove(const server_id& id, duration kept);
-    [[nodiscard]] std::set<service_id> lapsed_together() const;
+    [[nodiscard]] std::set<service_id> services_with_mass_expiry() const;
 
     server_table& table;
     const protocol& dialect;
     std::map<server_id, missing_entry> missing;
-    unreadable_entries unreadable_now;
+    unreadable_entries unlogged_unreadable;
     std::uint64_t unreadable_total = 0;
     instant unreadable_logged{};
     bool listed = false;
