--- a/src/registry_feed.cpp
+++ b/src/registry_feed.cpp
@@ -77,13 +77,13 @@
     }
 }
 
-/** Whether the object is in a newer state than the one that is known. A list of several pages can
- * hold an object in a newer state than the revision that the list counts for. */
-bool registry_feed::is_news(const stored_object& item) const
+/** Whether the object is newer than the known one. A list of several pages can hold an object that
+ * is newer than the list's revision. */
+bool registry_feed::is_newer(const stored_object& item) const
 {
     const auto known = this->entries.find(item.name);
-    // The removal of an object that came and went between two updates is news, too: other VMs may
-    // have learnt of the object from somebody else.
+    // The removal of an object that was added and removed between two updates is new as well:
+    // another VM may have told other VMs of the object.
     if (known == this->entries.end()) return true;
     return item.removed ? item.revision >= known->second.revision
                         : item.revision > known->second.revision;
@@ -97,13 +97,13 @@
         this->take_list(update.objects, update.revision);
         return update;
     }
-    registry_update news{update.revision, false, {}, update.kept, update.known_from};
-    std::ranges::copy_if(update.objects, std::back_inserter(news.objects),
-                         [this](const stored_object& item) { return this->is_news(item); });
-    for (const stored_object& item : news.objects)
+    registry_update newer_part{update.revision, false, {}, update.kept, update.known_from};
+    std::ranges::copy_if(update.objects, std::back_inserter(newer_part.objects),
+                         [this](const stored_object& item) { return this->is_newer(item); });
+    for (const stored_object& item : newer_part.objects)
         this->take_change(item, update.revision);
     this->newest = update.revision;
-    return news;
+    return newer_part;
 }
 
 registry_update registry_feed::since(std::uint64_t revision) const
--- a/src/registry_feed.h
+++ b/src/registry_feed.h
@@ -1,10 +1,10 @@
 /** \file
- * The registry of servers as one VM passes it on to others: its newest changes, or the whole of it
- * to one that lacks more than these.
+ * Keeps the registry of servers in the form in which one VM sends it to others: the changes since a
+ * revision, or the complete registry if the changes since then are no longer held.
  *
- * Only a few VMs watch the registry at the store; the others follow these. So the calls to the
- * store do not grow with the fleet, and a VM that the store refuses still learns which servers
- * leave.
+ * Only a few VMs watch the registry at the store; the others get it from these. So the number of
+ * calls to the store does not grow with the fleet, and a VM that the store refuses still learns
+ * which servers leave.
  */
 #pragma once
 
@@ -20,19 +20,21 @@
 
 namespace worksshift {
 
-/** A server whose entry went, and which the teller still uses, as the entry may have lapsed. */
+/** A server whose entry is missing and which the sending VM still uses, as the entry may have
+ * expired. */
 struct kept_server {
     std::string name;
-    std::uint32_t missing_ms = 0; ///< since its entry was missed
+    std::uint32_t missing_ms = 0; ///< time since a VM first noticed that the entry was missing
 };
 
-/** What one VM asks of another: all that has changed since a revision. */
+/** Answer of one VM to another: everything that changed since a revision. */
 struct registry_update {
-    std::uint64_t revision = 0; ///< of the registry with these objects
-    bool whole = false;         ///< the objects are all that there are
+    std::uint64_t revision = 0; ///< revision of the registry after these objects are applied
+    bool whole = false;         ///< the objects are the complete registry, not changes
     std::vector<stored_object> objects;
-    /** Sorted by name. All others that are not among the objects, or are removed ones, have left;
-     * the teller knows of those that were listed at the revision below or later. */
+    /** Sorted by name. Servers that are neither here nor among the present objects have left,
+     * provided that the sending VM knew them: it knows those that were listed at revision
+     * `known_from` or later. */
     std::vector<kept_server> kept{};
     std::uint64_t known_from = 0;
 };
@@ -43,11 +45,12 @@
 
 class registry_feed {
 public:
-    /** Changes that are kept to be passed on one by one, at least; and as many as there are
-     * entries, since a release changes each of a quarter of the servers three times in seconds. */
+    /** Minimum number of changes that are held. As many as there are entries are held if that is
+     * more, since a release changes the entries of a quarter of the servers three times within
+     * seconds. */
     static constexpr std::size_t changes_kept_at_least = 256;
 
-    /** Takes over what is news in an update, and returns just that; nothing when the update is no
+    /** Applies an update and returns the part of it that was new; std::nullopt if the update is no
      * newer than what is known. Updates come from the store and from other VMs, some of them
      * seconds late. */
     std::optional<registry_update> take(const registry_update& update);
@@ -60,15 +63,15 @@
         stored_object object;
     };
 
-    [[nodiscard]] bool is_news(const stored_object& item) const;
+    [[nodiscard]] bool is_newer(const stored_object& item) const;
     void take_list(std::span<const stored_object> all, std::uint64_t revision);
     void take_change(const stored_object& item, std::uint64_t revision);
 
     std::map<std::string, stored_object> entries;
     std::deque<change> changes;
-    std::uint64_t floor = 0; ///< changes behind this revision are all kept
+    std::uint64_t floor = 0; ///< all changes after this revision are held
     std::uint64_t newest = 0;
-    std::uint64_t first = 0; ///< revision of the first update
+    std::uint64_t first = 0; ///< revision of the first update that was applied
 };
 
 } // namespace worksshift
