--- a/src/registry_follower.cpp
+++ b/src/registry_follower.cpp
@@ -25,14 +25,14 @@
     : caller(caller), gossip(gossip), table(table), registry(table, dialect),
       calls(base, caller, store, dialect, follow.watch)
 {
-    store_watch& news = this->follow.watch;
-    news.on_first_part.connect([this](const std::vector<stored_object>& part) {
+    store_watch& watch = this->follow.watch;
+    watch.on_first_part.connect([this](const std::vector<stored_object>& part) {
         this->registry.take_part(part, told_by_store{}, std::chrono::steady_clock::now());
     });
-    news.on_list.connect([this](const std::vector<stored_object>& all) {
+    watch.on_list.connect([this](const std::vector<stored_object>& all) {
         this->apply({this->follow.watch.changed_revision(), true, all}, told_by_store{});
     });
-    news.on_changes.connect([this](const std::vector<stored_object>& changed) {
+    watch.on_changes.connect([this](const std::vector<stored_object>& changed) {
         this->apply({this->follow.watch.changed_revision(), false, changed},
                     told_by_store{.as_it_happens = true});
     });
@@ -43,15 +43,15 @@
 
 void registry_follower::apply(const registry_update& update, const news_origin& origin)
 {
-    const std::optional<registry_update> news = this->feed.take(update);
-    if (!news) return;
+    const std::optional<registry_update> newer_part = this->feed.take(update);
+    if (!newer_part) return;
     this->gossip.hasten();
     const instant time = std::chrono::steady_clock::now();
-    if (news->whole) {
-        this->registry.take_list(news->objects, origin, time);
+    if (newer_part->whole) {
+        this->registry.take_list(newer_part->objects, origin, time);
         return;
     }
-    for (const stored_object& item : news->objects)
+    for (const stored_object& item : newer_part->objects)
         this->registry.take_change(item, origin, time);
 }
 
@@ -68,9 +68,9 @@
 
 store_news registry_follower::store() const
 {
-    store_news news = this->gossip.fleet().store();
-    news.merge({this->outage.back_at(), this->follow.watch.confirmed_at()});
-    return news;
+    store_news status = this->gossip.fleet().store();
+    status.merge({this->outage.back_at(), this->follow.watch.confirmed_at()});
+    return status;
 }
 
 void registry_follower::ask_peer(instant now)
--- a/src/registry_follower.h
+++ b/src/registry_follower.h
@@ -1,5 +1,5 @@
 /** \file
- * Keeps this VM's view of the servers up to date: at the store, or behind the VMs that are.
+ * Keeps this VM's view of the servers up to date, from the store or from the VMs that watch it.
  */
 #pragma once
 
@@ -19,22 +19,23 @@
 
 class registry_follower {
 public:
-    /** Answers that tell of servers which are kept for a while are made anew after this time. */
+    /** Answers to other VMs are cached for at most this time, because they give the ages of missing
+     * servers that are still in use. */
     static constexpr duration kept_told_for = milliseconds(50);
 
     registry_follower(event_base* base, http_caller& caller, const link_address& store,
                       const protocol& dialect, server_table& table, fleet_gossip& gossip);
 
     void start() { this->calls.proceed(); }
-    /** \p watched: how this VM watches the store, if it is for it to do so. */
+    /** \p watched: how this VM reads the store; std::nullopt if it does not watch it. */
     void tick(instant now, std::optional<read_mode> watched);
-    /** Fills in what this VM tells others of the registry. */
+    /** Fills in this VM's revision of the registry and its view of the store. */
     void describe(fleet_digest& digest, instant now) const;
-    /** Answers another VM that asks for changes. */
+    /** Answers another VM's request for changes. */
     void serve(evhttp_request* request) const;
 
     [[nodiscard]] bool known() const { return this->registry.known(); }
-    /** Servers are known, if not all of them yet. Before 3,200 servers the whole list takes 2.4 s
+    /** Whether some servers are known, if not all. With 3,200 servers the complete list takes 2.4 s
      * when 310 VMs start at once. */
     [[nodiscard]] bool usable() const { return this->known() || !this->table.rows().empty(); }
     [[nodiscard]] std::uint64_t revision() const { return this->feed.revision(); }
@@ -44,18 +45,18 @@
     {
         return this->calls.calls(mode);
     }
-    /** What is known of the store, by this VM and by others. */
+    /** What this VM and others know about the store's availability. */
     [[nodiscard]] store_news store() const;
 
-    /** How often an entry was met that no server can have written. */
+    /** Number of entries received so far that no server can have written. */
     [[nodiscard]] std::uint64_t unreadable() const
     {
         return this->registry.unreadable() + this->calls.unreadable();
     }
 
-    /** The server takes no new work any more. */
+    /** The server takes no new work. */
     sigc::signal<void(const server_id&)> on_leaving;
-    /** The server started again under its id. */
+    /** The server restarted under its id. */
     sigc::signal<void(const server_id&)> on_restarted;
 
 private:
@@ -71,14 +72,15 @@
     store_outage outage;
     object_watch calls;
     registry_feed feed;
-    /** Answers to other VMs by what they know; most of them ask from the same revision. */
+    /** Cached answers to other VMs, by the revision from which they ask; most of them ask from the
+     * same one. */
     mutable std::map<std::uint64_t, std::string> answers;
-    mutable std::uint64_t answers_at = 0; ///< revision of the answers
-    mutable instant answers_made{};       ///< the oldest of them
+    mutable std::uint64_t answers_at = 0; ///< revision of the registry in the cached answers
+    mutable instant answers_made{};       ///< when the oldest cached answer was made
     std::minstd_rand random{std::random_device{}()};
 };
 
-/** Where other VMs ask. */
+/** HTTP path at which a VM answers other VMs' requests for the registry. */
 constexpr const char* registry_path = "/registry";
 
 } // namespace worksshift
