--- a/src/store_watch.cpp
+++ b/src/store_watch.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-/** Each object once, in its newest state. */
+/** Returns each changed object once, in its newest state. */
 std::vector<stored_object> newest_of(const std::vector<stored_object>& changes)
 {
     std::map<std::string_view, const stored_object*> newest;
@@ -23,7 +23,7 @@
 
 } // namespace
 
-store_watch::store_watch(object_kind kind, unsigned seed) : followed(kind), random(seed) {}
+store_watch::store_watch(object_kind kind, unsigned seed) : watched_kind(kind), random(seed) {}
 
 const watch_pace& store_watch::pace() const
 {
@@ -34,13 +34,13 @@
 {
     if (this->mode == wanted) return;
     log_event(log_level::info, wanted ? "watch_started" : "watch_stopped",
-              {{"kind", name_of(this->followed)},
+              {{"kind", name_of(this->watched_kind)},
                {"mode", wanted ? name_of(*wanted) : "none"},
                {"revision", this->revision}});
-    const bool milder = this->mode == read_mode::linearizable && wanted == read_mode::stale;
+    const bool relaxed = this->mode == read_mode::linearizable && wanted == read_mode::stale;
     this->mode = wanted;
-    // A call under way serves for a milder mode, and a list for any.
-    if (milder || !this->listed) return;
+    // A pending linearizable call also serves a stale watch, and a pending list serves any mode.
+    if (relaxed || !this->listed) return;
     if (std::exchange(this->awaiting, false)) this->wait_until(now);
 }
 
@@ -51,7 +51,7 @@
     this->changed = known;
     if (this->listed) return;
     this->listed = true;
-    this->gathered.clear();
+    this->listed_objects.clear();
     this->awaiting = false;
 }
 
@@ -69,7 +69,7 @@
     if (this->listed) {
         this->watch();
     } else {
-        this->list(this->gathered.empty() ? std::string() : this->gathered.back().name);
+        this->list(this->listed_objects.empty() ? std::string() : this->listed_objects.back().name);
     }
     this->call.number = ++this->calls;
     this->awaiting = true;
@@ -79,25 +79,25 @@
 
 void store_watch::list(const std::string& after)
 {
-    const bool fresh = this->fresh_list || this->mode == read_mode::linearizable;
-    this->call.mode = fresh ? read_mode::linearizable : read_mode::stale;
+    const bool linearizable = this->list_linearizably || this->mode == read_mode::linearizable;
+    this->call.mode = linearizable ? read_mode::linearizable : read_mode::stale;
     this->call.what = list_read{after};
     this->call.limit = {list_timeout, list_silence};
 }
 
 void store_watch::watch()
 {
-    // Between three quarters and the whole, so that the VMs' calls do not end all at once.
-    const double part = 0.75 + 0.25 * std::uniform_real_distribution<>()(this->random);
+    // Jitter: 75% to 100% of the wait, so that the VMs' calls do not all end at once.
+    const double jitter = 0.75 + 0.25 * std::uniform_real_distribution<>()(this->random);
     const auto wait = this->answering
-                          ? std::chrono::duration_cast<milliseconds>(this->pace().wait * part)
+                          ? std::chrono::duration_cast<milliseconds>(this->pace().wait * jitter)
                           : probe_wait;
     this->call.mode = this->mode.value_or(read_mode::stale);
     this->call.what = watch_read{this->revision, wait};
     this->call.limit = {this->answering ? wait + wait_grace : probe_timeout};
 }
 
-/** Whether the answer is to the newest call. */
+/** Whether the answer belongs to the newest call, which is then no longer pending. */
 bool store_watch::answers(std::uint64_t number)
 {
     return number == this->calls && std::exchange(this->awaiting, false);
@@ -117,25 +117,25 @@
 
 void store_watch::take_list(object_page page, instant now)
 {
-    const bool first = this->gathered.empty();
-    this->list_from = first ? page.revision : std::min(this->list_from, page.revision);
+    const bool first = this->listed_objects.empty();
+    this->list_revision = first ? page.revision : std::min(this->list_revision, page.revision);
     if (page.truncated && this->changed == 0) this->on_first_part.emit(page.objects);
     const bool more = page.truncated && !page.objects.empty();
-    std::ranges::move(page.objects, std::back_inserter(this->gathered));
+    std::ranges::move(page.objects, std::back_inserter(this->listed_objects));
     this->wait_until(now);
     if (more) return;
-    const std::vector<stored_object> all = std::exchange(this->gathered, {});
-    if (this->list_from < this->revision) {
-        // More is known than the list holds.
-        this->fresh_list = true;
+    const std::vector<stored_object> all = std::exchange(this->listed_objects, {});
+    if (this->list_revision < this->revision) {
+        // The list is older than the state that is already known.
+        this->list_linearizably = true;
         this->wait_until(now + this->pace().first_pause);
         return;
     }
-    // What changed while the pages came is behind the oldest of them.
-    this->revision = this->list_from;
-    this->changed = this->list_from;
+    // Changes made while the pages were read are after the oldest page's revision.
+    this->revision = this->list_revision;
+    this->changed = this->list_revision;
     this->listed = true;
-    this->fresh_list = false;
+    this->list_linearizably = false;
     this->listed_at = now;
     this->on_list.emit(all);
 }
@@ -144,7 +144,7 @@
 {
     const bool early = now - this->asked_at < std::get<watch_read>(this->call.what).wait / 2;
     this->wait_until(early ? now + this->pace().gather : now);
-    // A state that is seconds old holds nothing new.
+    // An answer that is no newer than the known revision holds nothing new.
     if (page.revision <= this->revision) return;
     this->revision = page.revision;
     if (page.objects.empty()) return;
@@ -157,23 +157,23 @@
 {
     if (!this->answers(number)) return;
     log_event(log_level::info, "store_history_gone",
-              {{"kind", name_of(this->followed)}, {"revision", this->revision}});
+              {{"kind", name_of(this->watched_kind)}, {"revision", this->revision}});
     this->note_answer(now);
     this->listed = false;
-    this->fresh_list = true;
+    this->list_linearizably = true;
     this->wait_until(now);
 }
 
 void store_watch::note_answer(instant now)
 {
-    this->pause = {};
+    this->retry_pause = {};
     this->answered = now;
     if (std::exchange(this->answering, true)) return;
-    const duration lost = this->failing ? now - this->failing->failed_at : duration::zero();
+    const duration unavailable = this->failing ? now - this->failing->failed_at : duration::zero();
     log_event(log_level::info, "store_regained",
-              {{"kind", name_of(this->followed)},
+              {{"kind", name_of(this->watched_kind)},
                {"first", this->failing ? 0 : 1},
-               {"lost_ms", lost / milliseconds(1)}});
+               {"lost_ms", unavailable / milliseconds(1)}});
     this->failing.reset();
 }
 
@@ -183,17 +183,17 @@
     if (!this->failing) this->failing = failed_call{this->asked_at, now};
     if (std::exchange(this->answering, false)) {
         log_event(log_level::warn, "store_lost",
-                  {{"kind", name_of(this->followed)},
+                  {{"kind", name_of(this->watched_kind)},
                    {"mode", name_of(this->call.mode)},
                    {"reason", reason}});
     }
-    // Pages that came before may be older than those that come after the pause.
-    this->gathered.clear();
-    const watch_pace& allowed = this->pace();
-    this->pause = std::clamp(this->pause * 2, allowed.first_pause, allowed.longest_pause);
-    // Between half of the pause and the whole.
-    const double part = 0.5 + 0.5 * std::uniform_real_distribution<>()(this->random);
-    this->wait_until(now + std::chrono::duration_cast<duration>(this->pause * part));
+    // Pages received before the failure may be older than those after the pause.
+    this->listed_objects.clear();
+    const watch_pace& timing = this->pace();
+    this->retry_pause = std::clamp(this->retry_pause * 2, timing.first_pause, timing.longest_pause);
+    // Jitter: 50% to 100% of the pause.
+    const double jitter = 0.5 + 0.5 * std::uniform_real_distribution<>()(this->random);
+    this->wait_until(now + std::chrono::duration_cast<duration>(this->retry_pause * jitter));
 }
 
 } // namespace worksshift
--- a/src/store_watch.h
+++ b/src/store_watch.h
@@ -1,12 +1,12 @@
 /** \file
- * When one VM reads one kind of object in the platform's store, and what it takes of the answers: a
- * list first, then a watch that goes on from where the last call ended, and a new list when the
- * store's history is gone.
+ * Decides when one VM reads one kind of object from the platform's store, and processes the
+ * answers: a list first, then watches that each continue from the revision of the last answer, and
+ * a new list if the store no longer holds the history since then.
  *
- * The store may be slow, down, refuse just this VM, or answer with a state that is seconds old. A
- * failed call is repeated after a pause that doubles up to a limit, with jitter, so that the VMs do
- * not come back all at once; what is older than what is known changes nothing. Reads no clock and
- * makes no call, so that fleets of any size can be run in one loop.
+ * The store may be slow, be down, refuse only this VM, or answer with a state that is seconds old.
+ * A failed call is repeated after a pause that doubles up to a limit, with jitter, so that the VMs
+ * do not all return at once. Answers that are older than the known state change nothing. The class
+ * reads no clock and makes no calls, so that fleets of any size can be simulated in one loop.
  */
 #pragma once
 
@@ -24,96 +24,105 @@
 
 namespace worksshift {
 
-/** A list of all objects, or of those behind the name where the last page ended. */
+/** Lists all objects, or the next page: those whose names sort after the last one of the previous
+ * page. */
 struct list_read {
     std::string after;
 };
-/** A wait for changes behind a revision. */
+/** Waits for changes after a revision. */
 struct watch_read {
     std::uint64_t revision = 0;
     milliseconds wait{};
 };
 
-/** A call to the store. */
+/** A call to the store that is to be made. */
 struct store_read {
-    std::uint64_t number = 0; ///< its answer is to be given under this number
+    std::uint64_t number = 0; ///< identifies the call when its answer is passed in
     read_mode mode = read_mode::stale;
     std::variant<list_read, watch_read> what;
     call_limit limit;
 };
 
-/** How one VM watches in a mode. */
+/** Timing of the watches in one read mode. */
 struct watch_pace {
-    milliseconds wait;    ///< for a change, at most
-    duration gather;      ///< between an answer with changes and the next watch
-    duration first_pause; ///< after a failure; each further one is twice as long
+    milliseconds wait;    ///< longest wait of a watch for a change
+    duration gather;      ///< pause between an answer with changes and the next watch
+    duration first_pause; ///< pause after the first failure; doubles with each further one
     duration longest_pause;
-    duration after_list; ///< between a list and the first watch
+    duration after_list; ///< pause between a list and the first watch
 };
 
 class store_watch {
 public:
-    /** Linearizable watches bring the news, so they ask again soon after a change: a server that
-     * leaves must get no new work two seconds later, and this is a fifth of that. They end soon
-     * enough that one whose answer was lost is noticed before a new configuration is due. When a
-     * fleet starts, its VMs know after a second which few of them watch in this way. */
+    /** For linearizable watches, from which the fleet learns of changes. They are repeated 400 ms
+     * after a change: a server that leaves must get no new work after two seconds, and this is a
+     * fifth of that. A watch ends after at most 4 s, so that a lost answer is noticed before a new
+     * configuration is due. The first watch waits 1 s after the list: by then the VMs of a fleet
+     * that starts know which few of them are to watch in this mode. */
     static constexpr watch_pace prompt_pace{milliseconds(4000), milliseconds(400),
                                             milliseconds(150), milliseconds(1200),
                                             milliseconds(1000)};
-    /** Stale ones stand by in case that nobody else brings the news. While the store is away many
-     * VMs ask for it, so each of them can do so rarely. After a start it takes three seconds until
-     * all but a few know that they are not needed (295 VMs). */
+    /** For stale watches, which are a fallback for when no VM gets answers to linearizable ones.
+     * While the store is unavailable many VMs call it, so each of them calls rarely. The first
+     * watch waits 3 s after the list: in a fleet of 295 VMs it takes that long until all but a few
+     * know that they need not watch. */
     static constexpr watch_pace standby_pace{milliseconds(12000), milliseconds(1500),
                                              milliseconds(600), milliseconds(5000),
                                              milliseconds(3000)};
-    /** Beyond its wait, an answer to a watch is late by so much at most. */
+    /** Allowance for the answer to a watch, beyond the wait that was asked for. */
     static constexpr duration wait_grace = milliseconds(500);
-    /** After a failure, calls do not wait for a change until one was answered: a store that is
-     * silent must not hold the call that would notice its return. */
+    /** After a failure, watches use this wait until one is answered: with a long wait, a call to a
+     * store that does not respond would delay noticing its return. */
     static constexpr milliseconds probe_wait = milliseconds(1);
     static constexpr duration probe_timeout = milliseconds(700);
-    /** A list without a byte for so long is given up; one that is being sent may take longer. When
-     * 300 VMs start at once, each asks for a megabyte of entries, which takes the store seconds. */
+    /** A list is given up if no byte arrives for this long; one that is being received may take
+     * longer. When 300 VMs start at once, each asks for a megabyte of entries, which takes the
+     * store seconds. */
     static constexpr duration list_silence = milliseconds(1500);
     static constexpr duration list_timeout = seconds(10);
     explicit store_watch(object_kind kind, unsigned seed = std::random_device{}());
 
-    /** Watches in a mode, or not at all. A list that is needed first is made in any case. */
+    /** Sets the read mode of the watches; std::nullopt: does not watch. If no list has been
+     * completed, one is made in any case. */
     void set_mode(std::optional<read_mode> wanted, instant now);
-    /** What happened up to \p revision was learnt from elsewhere; the watch goes on behind it. */
+    /** The changes up to revision \p known were received from another VM; the watch continues after
+     * it. */
     void advance(std::uint64_t known);
 
-    /** The call that is due, if any. Its answer is to be given to one of the functions below. */
+    /** The call to make now, or std::nullopt if none is due. Its answer is to be passed to one of
+     * the functions below. */
     std::optional<store_read> next(instant now);
-    /** When a call is due, or was; nothing while an answer is awaited. */
+    /** When the next call is due, or was; std::nullopt while an answer is awaited or if there is
+     * nothing to read. */
     [[nodiscard]] std::optional<instant> next_at() const;
     void take_page(std::uint64_t number, object_page page, instant now);
-    /** The store has dropped the history behind the watched revision. */
+    /** The store no longer holds the history since the watched revision. */
     void take_history_gone(std::uint64_t number, instant now);
-    /** No answer, or none that is of use. */
+    /** The call failed, or its answer is unusable. */
     void take_failure(std::uint64_t number, std::string_view reason, instant now);
 
-    /** The objects of a page of the first list; more pages follow. */
+    /** Objects of one page of the first list, if more pages follow. */
     sigc::signal<void(const std::vector<stored_object>&)> on_first_part;
-    /** All objects there are. */
+    /** A complete list of the objects. */
     sigc::signal<void(const std::vector<stored_object>&)> on_list;
-    /** Objects that changed, each in its newest state. */
+    /** Objects that changed, each once and in its newest state. */
     sigc::signal<void(const std::vector<stored_object>&)> on_changes;
 
-    [[nodiscard]] object_kind kind() const { return this->followed; }
-    /** Watches, and is answered. */
+    [[nodiscard]] object_kind kind() const { return this->watched_kind; }
+    /** Whether this VM watches the store and the store answers. */
     [[nodiscard]] bool follows() const
     {
         return this->mode.has_value() && this->listed && this->answering;
     }
-    /** Whether the answer to the newest call is awaited. */
+    /** Whether an answer to the newest call is awaited. */
     [[nodiscard]] bool awaits() const { return this->awaiting; }
     [[nodiscard]] bool reachable() const { return this->answering; }
-    /** The first of the calls that fail; nothing: the last was answered, or none has ended. */
+    /** The first failed call since the store last answered; std::nullopt if the last call was
+     * answered or none has ended. */
     [[nodiscard]] const std::optional<failed_call>& failing_call() const { return this->failing; }
-    /** When the store last answered any call; never: the epoch. */
+    /** When the store last answered any call; the epoch: never. */
     [[nodiscard]] instant answered_at() const { return this->answered; }
-    /** When the store last answered a linearizable call; never: the epoch. */
+    /** When the store last answered a linearizable call; the epoch: never. */
     [[nodiscard]] instant confirmed_at() const { return this->confirmed; }
     /** Revision of the newest change that was received. */
     [[nodiscard]] std::uint64_t changed_revision() const { return this->changed; }
@@ -128,26 +137,27 @@
     void note_answer(instant now);
     bool answers(std::uint64_t number);
 
-    object_kind followed;
+    object_kind watched_kind;
     std::optional<read_mode> mode = read_mode::stale;
-    std::uint64_t revision = 0; ///< from which the next watch goes on
+    std::uint64_t revision = 0; ///< the next watch asks for changes after this one
     std::uint64_t changed = 0;
-    std::uint64_t list_from = 0; ///< revision of the oldest page of the list under way
-    std::vector<stored_object> gathered;
+    std::uint64_t list_revision = 0; ///< lowest revision of the pages of the list in progress
+    std::vector<stored_object> listed_objects;
     bool listed = false;
-    /** The list is to be linearizable: an older one would end in the same way. */
-    bool fresh_list = false;
+    /** The next list must be linearizable, as a stale one would again be older than the known
+     * revision. */
+    bool list_linearizably = false;
     bool answering = false;
     std::optional<failed_call> failing;
     instant answered{};
     instant confirmed{};
-    duration pause{};        ///< after the last failure; zero: it was answered since
+    duration retry_pause{};  ///< after the last failure; zero: answered since
     std::uint64_t calls = 0; ///< number of the newest call
     store_read call;         ///< the newest
     bool awaiting = false;
     instant asked_at{};
     instant due_at{};
-    instant listed_at{}; ///< the last list was whole
+    instant listed_at{}; ///< when the last list was completed
     std::minstd_rand random;
 };
 
