--- a/src/store_outage.cpp
+++ b/src/store_outage.cpp
@@ -9,20 +9,21 @@
 void store_outage::update(const std::optional<failed_call>& failing, instant answered_here,
                           const store_news& elsewhere, bool cut_off)
 {
-    // A call that was made before the store's return was lost in the outage that is over.
-    const instant known_back = std::max(this->back, elsewhere.back_at);
-    const bool lost_anew = failing && failing != this->failing && failing->asked_at > known_back;
-    if (lost_anew) {
-        this->noticed = failing->failed_at;
+    // A call made before the store's return failed in the outage that is already over.
+    const instant last_return = std::max(this->back, elsewhere.back_at);
+    const bool new_failure = failing && failing != this->failing && failing->asked_at > last_return;
+    if (new_failure) {
+        this->failure_noticed_at = failing->failed_at;
         this->was_cut_off = false;
     }
     this->failing = failing;
-    if (this->noticed) {
+    if (this->failure_noticed_at) {
         this->was_cut_off = this->was_cut_off || cut_off;
-        const bool answered_others = elsewhere.confirmed_at > *this->noticed + told_late_by;
+        const bool answered_others =
+            elsewhere.confirmed_at > *this->failure_noticed_at + told_late_by;
         if (answered_others) {
             this->end(elsewhere.confirmed_at);
-        } else if (answered_here > *this->noticed) {
+        } else if (answered_here > *this->failure_noticed_at) {
             this->end(answered_here);
         }
     }
@@ -31,14 +32,14 @@
 
 void store_outage::end(instant answered_again)
 {
-    const duration unanswered = answered_again - this->answered;
-    const bool away = unanswered >= shortest_outage && !this->was_cut_off;
-    if (away) this->back = answered_again;
+    const duration unanswered_for = answered_again - this->answered;
+    const bool store_was_down = unanswered_for >= shortest_outage && !this->was_cut_off;
+    if (store_was_down) this->back = answered_again;
     log_event(log_level::info, "store_outage_over",
-              {{"outcome", away ? "store_back" : "own_way"},
+              {{"outcome", store_was_down ? "store_back" : "own_way"},
                {"cut_off", this->was_cut_off ? 1 : 0},
-               {"unanswered_ms", unanswered / milliseconds(1)}});
-    this->noticed.reset();
+               {"unanswered_ms", unanswered_for / milliseconds(1)}});
+    this->failure_noticed_at.reset();
 }
 
 } // namespace worksshift
--- a/src/store_outage.h
+++ b/src/store_outage.h
@@ -1,11 +1,11 @@
 /** \file
- * When the store came back from an outage, as one VM can tell from its own calls and from what
- * other VMs tell of theirs.
+ * Determines when the store returned from an outage, from this VM's calls and from what other VMs
+ * report of theirs.
  *
- * Entries of servers lapse only while the servers cannot write to the store. A VM's first answer
- * says nothing of that, nor does its first one after a fault of its own way to the store: a store
- * that answered others meanwhile was not away, and one that was away is back for all as soon as it
- * answers anybody.
+ * Servers' entries expire only while the servers cannot write to the store. A VM's first answer
+ * does not show that the store was unavailable, nor does the first answer after a fault of that
+ * VM's own path to the store: a store that answered other VMs meanwhile was available, and one that
+ * was unavailable has returned for all VMs as soon as it answers any of them.
  */
 #pragma once
 
@@ -16,20 +16,20 @@
 
 namespace worksshift {
 
-/** No entry lapses in an outage that is shorter: servers write about once a second, and an entry
- * lapses when three of these are missing. */
+/** Entries do not expire in an outage shorter than this: servers write about once a second, and an
+ * entry expires when three writes are missing. */
 constexpr duration shortest_outage = seconds(2);
 
 struct fleet_digest;
 
-/** What is known of the store by what all VMs tell each other; the epoch: nothing. */
+/** What the VMs tell each other about the store's availability; the epoch: unknown. */
 struct store_news {
-    instant back_at{};      ///< it came back from an outage
-    instant confirmed_at{}; ///< it answered a linearizable call of some VM
+    instant back_at{};      ///< when it returned from an outage
+    instant confirmed_at{}; ///< when it last answered a linearizable call of any VM
 
-    /** Takes over what is newer. The ends of two outages are further apart than the shortest one
-     * lasts: what is told to be newer by less is the same end, and each VM that passed it on has
-     * made it newer by the time its datagram took. */
+    /** Takes over the newer values. The ends of two outages are at least `shortest_outage` apart,
+     * so a time that is newer by less is the same end: each VM that passes it on makes it newer by
+     * the delay of its datagram. */
     void merge(const store_news& other)
     {
         if (other.back_at >= this->back_at + shortest_outage) this->back_at = other.back_at;
@@ -38,7 +38,7 @@
     void describe(fleet_digest& digest, instant now) const;
 };
 
-/** A VM's call to the store that failed after one that was answered, or as its first. */
+/** A VM's first failed call to the store since the last answered one, or since its start. */
 struct failed_call {
     instant asked_at{};
     instant failed_at{};
@@ -48,26 +48,27 @@
 
 class store_outage {
 public:
-    /** What is told of another VM's answer makes it newer than it is by this at most, as ages are
-     * rounded and take time to arrive. */
+    /** The reported time of another VM's answer is too late by at most this, as ages are rounded
+     * and take time to arrive. */
     static constexpr duration told_late_by = milliseconds(500);
 
-    /** \p failing: the first of the calls that fail; nothing: they do not, or none was made yet.
-     * \p answered_here: when the store last answered this VM; never: the epoch. \p elsewhere: what
-     * the other VMs tell. \p cut_off: they are not heard, so that the fault may be this VM's. */
+    /** \p failing: the first failed call since the last answer; std::nullopt if the calls are
+     * answered or none was made. \p answered_here: when the store last answered this VM; the
+     * epoch: never. \p elsewhere: what the other VMs report. \p cut_off: no other VM is heard, so
+     * the fault may be this VM's. */
     void update(const std::optional<failed_call>& failing, instant answered_here,
                 const store_news& elsewhere, bool cut_off);
 
-    /** When the store last came back; never: the epoch. */
+    /** When the store last returned from an outage; the epoch: never. */
     [[nodiscard]] instant back_at() const { return this->back; }
 
 private:
     void end(instant answered_again);
 
-    std::optional<instant> noticed;     ///< the newest loss, as long as nobody was answered since
-    std::optional<failed_call> failing; ///< as last told
-    bool was_cut_off = false;           ///< since the newest loss
-    instant answered{};                 ///< the newest answer to anybody
+    std::optional<instant> failure_noticed_at; ///< newest failure, until a VM is answered
+    std::optional<failed_call> failing;        ///< value passed to the last update()
+    bool was_cut_off = false;                  ///< at any time since the newest failure
+    instant answered{};                        ///< newest answer to any VM
     instant back{};
 };
 
