--- a/src/watch_duty.cpp
+++ b/src/watch_duty.cpp
@@ -6,8 +6,9 @@
 
 namespace {
 
-/** The delegates change when VMs come or go, which is noticed after a second or so. */
-constexpr duration chosen_every = milliseconds(250);
+/** Interval between two checks of the delegates, which change when VMs start or stop; that takes
+ * about a second to be noticed. */
+constexpr duration delegate_check_interval = milliseconds(250);
 
 } // namespace
 
@@ -21,8 +22,8 @@
 {
     if (this->started == instant{}) this->started = now;
     this->unconfirmed = answered && now - std::max(confirmed_at, this->started) > confirmed_within;
-    if (now - this->chosen_at >= chosen_every) {
-        this->chosen_at = now;
+    if (now - this->delegates_checked_at >= delegate_check_interval) {
+        this->delegates_checked_at = now;
         const std::vector<std::uint32_t> delegates = fleet.delegates(now);
         this->delegate = std::ranges::find(delegates, fleet.self().address) != delegates.end();
     }
@@ -31,19 +32,19 @@
 
 void watch_duty::update_standby(const fleet_table& fleet, instant now)
 {
-    const auto heard_in_time = [now](const fleet_vm& item) {
+    const auto recently_heard = [now](const fleet_vm& item) {
         const duration span = milliseconds(item.last.period_ms) * watcher_periods;
         return now - item.heard_at < std::max<duration>(watcher_heard_within, span);
     };
-    std::vector<const fleet_vm*> before = fleet.near(now);
-    const bool one_group = before.size() + 1 >= fleet.alive(now);
+    std::vector<const fleet_vm*> preceding = fleet.near(now);
+    const bool one_group = preceding.size() + 1 >= fleet.alive(now);
     const std::size_t wanted = one_group ? watchers_of_fleet : watchers_of_data_centre;
-    std::erase_if(before, [&](const fleet_vm* item) {
-        return item->last.leaving || !heard_in_time(*item) ||
+    std::erase_if(preceding, [&](const fleet_vm* item) {
+        return item->last.leaving || !recently_heard(*item) ||
                item->last.incarnation >= fleet.self().incarnation;
     });
     const auto watching = static_cast<std::size_t>(std::ranges::count_if(
-        before, [](const fleet_vm* item) { return item->last.watches_store; }));
+        preceding, [](const fleet_vm* item) { return item->last.watches_store; }));
     if (watching >= wanted) {
         this->missing_since = instant{};
         if (this->watched_since == instant{}) this->watched_since = now;
@@ -52,8 +53,8 @@
     }
     this->watched_since = instant{};
     if (this->missing_since == instant{}) this->missing_since = now;
-    const auto in_front = static_cast<int>(before.size() - watching);
-    const duration wait = std::min<duration>(turn * in_front, longest_turn);
+    const auto not_watching = static_cast<int>(preceding.size() - watching);
+    const duration wait = std::min<duration>(turn * not_watching, longest_turn);
     if (now - this->missing_since >= wait) this->standby = true;
 }
 
--- a/src/watch_duty.h
+++ b/src/watch_duty.h
@@ -1,13 +1,14 @@
 /** \file
- * Which VMs watch the platform's store for the others, and how they read it.
+ * Decides which VMs watch the platform's store on behalf of the others, and in which read mode.
  *
- * The calls to the store would grow with the fleet if every VM watched it. Two VMs of the whole
- * fleet, the first in a rank that all VMs know alike, read it linearizably: what they learn is the
- * newest there is, and digests tell all others of it at once. Beside them the VMs of the lowest
- * incarnations of each data centre that the store answers stand by with reads that may be seconds
- * old and cost a tenth; when nobody's linearizable call has been answered for long although theirs
- * are, they make their own so. A VM stands by unless enough near ones do, so one that hears nobody,
- * or only VMs that the store refuses, is never without a source.
+ * The number of calls to the store would grow with the fleet if every VM watched it. Two VMs of the
+ * whole fleet, the delegates, which all VMs choose by the same ranking, read it linearizably;
+ * digests pass what they learn on to all others at once. In addition, the VMs with the lowest
+ * incarnations among those of each data centre that the store answers are standby watchers: they
+ * use stale reads, which may be seconds old and cost a tenth. If no linearizable call of any VM has
+ * been answered for `confirmed_within` although the standby watchers' calls are answered, these
+ * switch to linearizable reads. A VM is a standby watcher unless enough nearby VMs are, so a VM
+ * that hears no other VM, or only VMs that the store refuses, still has a source.
  */
 #pragma once
 
@@ -20,47 +21,48 @@
 
 class watch_duty {
 public:
-    /** Watches of delegates end after four seconds at most, and digests need about one to reach
-     * all.
-     */
+    /** Watches of delegates end after at most four seconds, and digests need about one more to
+     * reach all VMs. */
     static constexpr duration confirmed_within = seconds(6);
-    /** Standing by: in a fleet that is one group, so that the loss of two changes nothing; and in
-     * each data centre of a larger one, where another data centre's can be asked as well. */
+    /** Number of standby watchers in a fleet that forms one group, so that the loss of two of them
+     * changes nothing; and in each data centre of a larger fleet, where the VMs of another data
+     * centre can be asked as well. */
     static constexpr std::size_t watchers_of_fleet = 3;
     static constexpr std::size_t watchers_of_data_centre = 2;
-    /** A watcher that was not heard for this many of its periods, and at least for the time below,
-     * does not count. */
+    /** A watcher that was not heard for this many of its gossip periods, and for at least the time
+     * below, does not count. */
     static constexpr int watcher_periods = 4;
     static constexpr duration watcher_heard_within = milliseconds(700);
-    /** When watchers are missing, each VM waits for so long for each that comes before it and does
-     * not watch yet, so that a few take over and not all: in a fleet of 80 VMs whose watchers
-     * stopped in turn 66 began at once. While the store is away for all, so more and more of them
-     * ask for it. */
+    /** When watchers are missing, a VM waits this long per VM that precedes it and does not watch
+     * yet, so that a few take over and not all: in a fleet of 80 VMs whose watchers stopped one
+     * after the other, 66 began at once. While the store is unavailable to all, more and more VMs
+     * thus call it. */
     static constexpr duration turn = milliseconds(100);
     static constexpr duration longest_turn = seconds(4);
-    /** Others must watch for so long before this VM stops to: they may be as new as it is. */
+    /** Enough other VMs must have watched for this long before this VM stops, since they may have
+     * started as recently as it did. */
     static constexpr duration watched_enough_for = milliseconds(700);
 
-    /** \p confirmed_at: when the store last answered a linearizable call of any VM. \p answered: it
-     * answers this one. */
+    /** \p confirmed_at: when the store last answered a linearizable call of any VM. \p answered:
+     * whether the store answers this VM. */
     void update(const fleet_table& fleet, instant confirmed_at, bool answered, instant now);
     /** Whether this VM watches the store. */
     [[nodiscard]] bool watching() const { return this->mode().has_value(); }
-    /** How it reads; nothing: it does not watch. */
+    /** Read mode of this VM's watches; std::nullopt if it does not watch. */
     [[nodiscard]] std::optional<read_mode> mode() const;
-    /** Whether it is one of those that stand by. */
+    /** Whether this VM is a standby watcher. */
     [[nodiscard]] bool stands_by() const { return this->standby; }
 
 private:
     void update_standby(const fleet_table& fleet, instant now);
 
-    bool delegate = false; ///< of the fleet
+    bool delegate = false; ///< one of the fleet's linearizable watchers
     bool standby = true;
     bool unconfirmed = false;
     instant started{};
-    instant chosen_at{};
-    instant watched_since{}; ///< enough others watch; the epoch: they do not
-    instant missing_since{}; ///< too few others watch; the epoch: enough do
+    instant delegates_checked_at{};
+    instant watched_since{}; ///< since when enough others watch; the epoch: they do not
+    instant missing_since{}; ///< since when too few others watch; the epoch: enough do
 };
 
 } // namespace worksshift
