--- a/src/catch_up.h
+++ b/src/catch_up.h
@@ -1,5 +1,5 @@
 /** \file
- * When to ask another VM for something newer that digests tell of.
+ * Decides when to ask another VM for a newer state that digests have announced.
  */
 #pragma once
 
@@ -9,30 +9,30 @@
 
 class catch_up {
 public:
-    /** Between two questions, so that a VM which cannot answer is not asked all the time. */
+    /** Pause between two requests, so that a VM which cannot answer is not asked all the time. */
     static constexpr duration between = milliseconds(100);
     static constexpr duration call_timeout = milliseconds(800);
 
-    /** \p behind: something newer is known elsewhere. \p patience: within which it should come by
-     * itself. */
-    void update(bool behind, duration patience, instant now)
+    /** \p behind: another VM has a newer state. \p grace: time within which that state should
+     * arrive without asking. */
+    void update(bool behind, duration grace, instant now)
     {
         if (!behind) {
             this->since = instant{};
         } else if (this->since == instant{}) {
             this->since = now;
         }
-        this->waits = patience;
+        this->grace_period = grace;
     }
 
-    /** Whether to ask now. */
+    /** Whether a request is to be made now. */
     [[nodiscard]] bool due(instant now) const
     {
-        return this->since != instant{} && !this->asking && now - this->since >= this->waits &&
-               now - this->answered >= between;
+        return this->since != instant{} && !this->asking &&
+               now - this->since >= this->grace_period && now - this->answered >= between;
     }
 
-    /** Whether something newer has been known elsewhere for \p span. */
+    /** Whether another VM has had a newer state for longer than \p span. */
     [[nodiscard]] bool behind_for(duration span, instant now) const
     {
         return this->since != instant{} && now - this->since > span;
@@ -46,8 +46,8 @@
     }
 
 private:
-    instant since{}; ///< something newer is known elsewhere; the epoch: nothing is
-    duration waits{};
+    instant since{}; ///< since when another VM has a newer state; the epoch: none has
+    duration grace_period{};
     bool asking = false;
     instant answered{};
 };
--- a/src/store_follow.h
+++ b/src/store_follow.h
@@ -1,8 +1,8 @@
 /** \file
- * How one VM keeps one kind of object of the store up to date: by watching the store, as far as
- * that is for it to do, and by asking other VMs that know something newer.
+ * Keeps one VM's copy of one kind of the store's objects up to date: by watching the store if this
+ * VM is to do so, and by asking other VMs that have a newer revision.
  *
- * Reads no clock and makes no call.
+ * Reads no clock and makes no calls.
  */
 #pragma once
 
@@ -13,15 +13,17 @@
 
 class store_follow {
 public:
-    /** A VM with a linearizable watch is told by the store; it asks another VM only when it was not
-     * by then. Likewise one that has just started and waits for its first list. */
+    /** Time within which the store should deliver a change to a VM with a linearizable watch; only
+     * then does it ask another VM. The same holds for a VM that has just started and waits for its
+     * first list. */
     static constexpr duration store_tells_within = milliseconds(500);
-    /** When no VM gave a newer configuration by then, this one asks the store by itself. */
+    /** If no other VM has delivered a newer configuration within this time, this VM asks the store
+     * itself. */
     static constexpr duration peers_tell_within = milliseconds(700);
 
-    /** A VM that begins to watch learns from the registry's watch first whether the store answers
-     * it. When the store is away for all, each of them begins, and each would ask in vain once
-     * more. */
+    /** A VM that starts to watch delays the watch of evacuations by this time, to learn first from
+     * the watch of the registry whether the store answers it. When the store is unavailable to
+     * all, every VM starts to watch, and each would make another call in vain. */
     static constexpr duration evacuations_asked_after = milliseconds(500);
 
     explicit store_follow(object_kind kind, unsigned seed = std::random_device{}())
@@ -29,23 +31,23 @@
     {
     }
 
-    /** \p watched: how this VM watches the store, if it is for it to do so. \p known: it has
-     * something of this kind. \p behind: other VMs know something newer. */
+    /** \p watched: how this VM reads the store; std::nullopt if it does not watch it. \p known: it
+     * has some state of this kind. \p behind: other VMs have a newer revision. */
     void update(std::optional<read_mode> watched, bool known, bool behind, instant now)
     {
-        const bool told_by_store = watched == read_mode::linearizable && this->watch.follows();
-        this->fetching.update(behind,
-                              told_by_store || !known ? store_tells_within : duration::zero(), now);
-        const bool alone = this->kind == object_kind::configuration &&
-                           this->fetching.behind_for(peers_tell_within, now);
-        if (alone) watched = read_mode::linearizable;
+        const bool watch_answered = watched == read_mode::linearizable && this->watch.follows();
+        this->fetching.update(
+            behind, watch_answered || !known ? store_tells_within : duration::zero(), now);
+        const bool peers_failed = this->kind == object_kind::configuration &&
+                                  this->fetching.behind_for(peers_tell_within, now);
+        if (peers_failed) watched = read_mode::linearizable;
         if (!watched) {
             this->wanted_since = instant{};
         } else if (this->wanted_since == instant{}) {
             this->wanted_since = now;
         }
-        const bool early = now - this->wanted_since < evacuations_asked_after;
-        if (this->kind == object_kind::evacuations && early) watched.reset();
+        const bool too_early = now - this->wanted_since < evacuations_asked_after;
+        if (this->kind == object_kind::evacuations && too_early) watched.reset();
         if (!known && !watched) watched = read_mode::stale;
         this->watch.set_mode(watched, now);
     }
@@ -55,7 +57,7 @@
 
 private:
     object_kind kind;
-    instant wanted_since{}; ///< it is for this VM to watch; the epoch: it is not
+    instant wanted_since{}; ///< since when this VM is to watch; the epoch: it is not to
 };
 
 } // namespace worksshift
