--- a/src/object_watch.cpp
+++ b/src/object_watch.cpp
@@ -33,7 +33,7 @@
 void object_watch::proceed()
 {
     const instant time = now();
-    if (!this->watch.awaits()) this->caller.cancel(this->under_way);
+    if (!this->watch.awaits()) this->caller.cancel(this->newest_call);
     if (const std::optional<store_read> call = this->watch.next(time)) {
         this->make(*call);
     } else if (const std::optional<instant> at = this->watch.next_at()) {
@@ -53,7 +53,7 @@
                                                     changes.wait, call.mode);
                 }},
         call.what);
-    this->under_way =
+    this->newest_call =
         this->caller.call(this->store, EVHTTP_REQ_GET, path, {}, {}, call.limit,
                           [this, number = call.number](const http_response& response) {
                               this->take(number, response);
@@ -76,7 +76,7 @@
     this->proceed();
 }
 
-/** \throws peer_error when the body is not a page. */
+/** \throws peer_error if the body is not a page. */
 object_page object_watch::decode(const std::string& body)
 {
     object_page page = this->dialect.decode_page(body);
--- a/src/object_watch.h
+++ b/src/object_watch.h
@@ -14,13 +14,13 @@
     object_watch(event_base* base, http_caller& caller, const link_address& store,
                  const protocol& dialect, store_watch& watch);
 
-    /** Makes the call that is due, or waits until one is. To be called when the watch was told
-     * something. */
+    /** Makes the call that is due, or sets a timer for the next one. To be called after the state
+     * of the `store_watch` was changed. */
     void proceed();
 
-    /** How often an object was met whose name cannot be read. */
+    /** Number of objects received so far whose name cannot be read. */
     [[nodiscard]] std::uint64_t unreadable() const { return this->unreadable_total; }
-    /** Calls that were made, by how they read. */
+    /** Number of calls made in a read mode. */
     [[nodiscard]] std::uint64_t calls(read_mode mode) const;
 
 private:
@@ -33,7 +33,7 @@
     const protocol& dialect;
     store_watch& watch;
     timer next;
-    std::uint64_t under_way = 0; ///< number of the newest call
+    std::uint64_t newest_call = 0; ///< identifies the newest call at the HTTP caller
     std::uint64_t unreadable_total = 0;
     std::uint64_t stale_calls = 0;
     std::uint64_t linearizable_calls = 0;
