--- a/src/config_follower.cpp
+++ b/src/config_follower.cpp
@@ -53,23 +53,23 @@
 void config_follower::take(const std::string& document, std::string_view source)
 {
     try {
-        const std::shared_ptr<router_config> made = this->dialect.decode_config(document);
+        const std::shared_ptr<router_config> received = this->dialect.decode_config(document);
         const std::uint64_t before = this->version();
-        const bool newer = made->version > before;
+        const bool newer = received->version > before;
         log_event(log_level::info, "config_received",
                   {{"source", source},
-                   {"version", made->version},
+                   {"version", received->version},
                    {"in_force", before},
                    {"bytes", document.size()},
                    {"outcome", newer ? "in_force" : "ignored"}});
         if (!newer) return;
-        if (made->unreadable_regions > 0) {
+        if (received->unreadable_regions > 0) {
             log_event(log_level::warn, "config_regions_unreadable",
-                      {{"version", made->version},
-                       {"routes_and_accounts", made->unreadable_regions},
+                      {{"version", received->version},
+                       {"routes_and_accounts", received->unreadable_regions},
                        {"outcome", "their requests are refused"}});
         }
-        this->current = made;
+        this->current = received;
         this->packed = pack(document);
         this->gossip.hasten();
         this->on_config.emit();
@@ -81,12 +81,12 @@
 
 void config_follower::take_digest(const fleet_vm& from)
 {
-    this->newest_heard = std::max(this->newest_heard, from.last.config_version);
+    this->newest_version_heard = std::max(this->newest_version_heard, from.last.config_version);
 }
 
 void config_follower::tick(instant now, std::optional<read_mode> watched)
 {
-    const bool behind = this->newest_heard > this->version();
+    const bool behind = this->newest_version_heard > this->version();
     this->follow.update(watched, this->current != nullptr, behind, now);
     this->calls.proceed();
     if (this->follow.fetching.due(now)) this->ask_peer(now);
@@ -94,12 +94,12 @@
 
 void config_follower::ask_peer(instant now)
 {
-    const fleet_vm* holder =
+    const fleet_vm* peer =
         choose_newest(this->gossip.fleet(), now, this->random, this->version(),
                       [](const fleet_vm& item) { return item.last.config_version; });
-    if (holder == nullptr) return;
+    if (peer == nullptr) return;
     this->follow.fetching.begin();
-    const link_address from = this->gossip.address_of(*holder);
+    const link_address from = this->gossip.address_of(*peer);
     this->caller.call(from, EVHTTP_REQ_GET, config_path, {}, {}, {catch_up::call_timeout},
                       [this, from](const http_response& response) {
                           this->follow.fetching.end(std::chrono::steady_clock::now());
--- a/src/config_follower.h
+++ b/src/config_follower.h
@@ -1,8 +1,8 @@
 /** \file
- * Keeps the newest configuration that this VM has heard of in force: from the store, when it
- * watches, or else from another VM that has it.
+ * Puts the newest configuration that this VM can get in force: from the store if this VM watches
+ * it, otherwise from another VM that has it.
  *
- * A configuration is never replaced by an older one in one life of the process.
+ * While the process runs, a configuration is never replaced by an older one.
  */
 #pragma once
 
@@ -17,8 +17,10 @@
 
 namespace worksshift {
 
-/** A VM whose revision is the highest above \p own, or nullptr: a near one if any, since bytes
- * between data centres cost; any of several, since one that all asked would be swamped. */
+/** The VM with the highest revision above \p own, or nullptr if there is none. If a nearby VM is
+ * ahead of \p own, only nearby ones are considered, since traffic between data centres is costly.
+ * Among equal ones the choice is random, since a single VM that all others ask would be
+ * overloaded. */
 const fleet_vm* choose_newest(const fleet_table& fleet, instant now, std::minstd_rand& random,
                               std::uint64_t own,
                               const std::function<std::uint64_t(const fleet_vm&)>& revision_of);
@@ -29,11 +31,11 @@
                     const protocol& dialect, fleet_gossip& gossip);
 
     void start() { this->calls.proceed(); }
-    /** \p watched: how this VM watches the store, if it is for it to do so. */
+    /** \p watched: how this VM reads the store; std::nullopt if it does not watch it. */
     void tick(instant now, std::optional<read_mode> watched);
-    /** Another VM told of its configuration. */
+    /** Takes the version of another VM's configuration from its digest. */
     void take_digest(const fleet_vm& from);
-    /** Answers another VM that asks for the configuration. */
+    /** Answers another VM's request for the configuration. */
     void serve(evhttp_request* request) const;
 
     [[nodiscard]] const router_config_ptr& config() const { return this->current; }
@@ -44,7 +46,7 @@
         return this->calls.calls(mode);
     }
 
-    /** A newer configuration is to be put in force. */
+    /** A newer configuration was received and is to be applied. */
     sigc::signal<void()> on_config;
 
 private:
@@ -57,12 +59,12 @@
     store_follow follow{object_kind::configuration};
     object_watch calls;
     router_config_ptr current;
-    std::string packed; ///< the document as other VMs get it
-    std::uint64_t newest_heard = 0;
+    std::string packed; ///< the document, compressed for other VMs
+    std::uint64_t newest_version_heard = 0;
     std::minstd_rand random{std::random_device{}()};
 };
 
-/** Where other VMs ask. */
+/** HTTP path at which a VM answers other VMs' requests for the configuration. */
 constexpr const char* config_path = "/configuration";
 
 } // namespace worksshift
