--- a/src/evacuation_follower.cpp
+++ b/src/evacuation_follower.cpp
@@ -9,51 +9,51 @@
 evacuation_follower::evacuation_follower(event_base* base, http_caller& caller,
                                          const link_address& store, const protocol& dialect,
                                          server_table& servers, fleet_gossip& gossip)
-    : gossip(gossip), servers(servers), places(dialect),
+    : gossip(gossip), servers(servers), state(dialect),
       calls(base, caller, store, dialect, follow.watch)
 {
     store_watch& news = this->follow.watch;
     news.on_list.connect([this](const std::vector<stored_object>& all) {
-        this->places.take_list(all, this->follow.watch.changed_revision());
+        this->state.take_list(all, this->follow.watch.changed_revision());
     });
     news.on_changes.connect([this](const std::vector<stored_object>& changed) {
-        this->places.take_changes(changed, this->follow.watch.changed_revision());
+        this->state.take_changes(changed, this->follow.watch.changed_revision());
     });
-    this->places.on_change.connect([this] { this->put_in_force(); });
+    this->state.on_change.connect([this] { this->apply(); });
 }
 
 void evacuation_follower::tick(instant now, std::optional<read_mode> watched)
 {
-    this->follow.update(watched, this->places.known(), false, now);
+    this->follow.update(watched, this->state.known(), false, now);
     this->calls.proceed();
 }
 
 void evacuation_follower::take_digest(const fleet_digest& told)
 {
-    if (told.evacuations_revision <= this->places.revision()) return;
-    this->places.take_digest(told);
+    if (told.evacuations_revision <= this->state.revision()) return;
+    this->state.take_digest(told);
     this->follow.watch.advance(told.evacuations_revision);
 }
 
-void evacuation_follower::put_in_force()
+void evacuation_follower::apply()
 {
     this->gossip.hasten();
-    this->servers.set_evacuated(this->places.places(), std::chrono::steady_clock::now());
+    this->servers.set_evacuated(this->state.places(), std::chrono::steady_clock::now());
     std::string names;
-    for (const data_centre_id& place : this->evacuated())
-        names.append(names.empty() ? "" : ",").append(place.text);
+    for (const data_centre_id& centre : this->evacuated())
+        names.append(names.empty() ? "" : ",").append(centre.text);
     log_event(log_level::info, "evacuations_in_force",
               {{"data_centres", names},
-               {"entries", this->places.places().size()},
-               {"revision", this->places.revision()}});
+               {"entries", this->state.places().size()},
+               {"revision", this->state.revision()}});
 }
 
-std::map<std::uint32_t, data_centre_id> evacuation_follower::names() const
+std::map<std::uint32_t, data_centre_id> evacuation_follower::data_centres_by_hash() const
 {
     std::map<std::uint32_t, data_centre_id> found;
     for (const auto& [id, row] : this->servers.rows()) {
-        const data_centre_id& place = row.record.data_centre;
-        found.try_emplace(static_cast<std::uint32_t>(place.hash()), place);
+        const data_centre_id& centre = row.record.data_centre;
+        found.try_emplace(static_cast<std::uint32_t>(centre.hash()), centre);
     }
     return found;
 }
@@ -61,18 +61,18 @@
 void evacuation_follower::describe(fleet_digest& digest, bool all_servers_known) const
 {
     std::set<std::uint32_t> known;
-    if (all_servers_known && this->places.places().size() > evacuated_at_most) {
-        for (const auto& [hash, name] : this->names())
+    if (all_servers_known && this->state.places().size() > evacuated_at_most) {
+        for (const auto& [hash, name] : this->data_centres_by_hash())
             known.insert(hash);
     }
-    this->places.describe(digest, known);
+    this->state.describe(digest, known);
 }
 
 std::vector<data_centre_id> evacuation_follower::evacuated() const
 {
     std::vector<data_centre_id> found;
-    for (const auto& [hash, name] : this->names()) {
-        if (this->places.places().contains(hash)) found.push_back(name);
+    for (const auto& [hash, name] : this->data_centres_by_hash()) {
+        if (this->state.places().contains(hash)) found.push_back(name);
     }
     return found;
 }
--- a/src/evacuation_follower.h
+++ b/src/evacuation_follower.h
@@ -1,6 +1,6 @@
 /** \file
- * Keeps this VM's view of the evacuated data centres up to date: from the store, when it watches,
- * or else from the digests of other VMs.
+ * Keeps this VM's view of the evacuated data centres up to date: from the store if this VM watches
+ * it, otherwise from the digests of other VMs.
  */
 #pragma once
 
@@ -21,17 +21,17 @@
                         const protocol& dialect, server_table& servers, fleet_gossip& gossip);
 
     void start() { this->calls.proceed(); }
-    /** \p watched: how this VM watches the store, if it is for it to do so. */
+    /** \p watched: how this VM reads the store; std::nullopt if it does not watch it. */
     void tick(instant now, std::optional<read_mode> watched);
-    /** Another VM told what it knows. */
+    /** Applies the evacuations in another VM's digest, if they are newer. */
     void take_digest(const fleet_digest& told);
-    /** Fills in what this VM tells others. \p all_servers_known: the registry is, so that the data
-     * centres are, too. */
+    /** Fills in the evacuations that this VM knows. \p all_servers_known: the registry is complete,
+     * so all data centres of servers are known. */
     void describe(fleet_digest& digest, bool all_servers_known) const;
 
-    [[nodiscard]] bool known() const { return this->places.known(); }
-    [[nodiscard]] std::uint64_t revision() const { return this->places.revision(); }
-    /** Data centres of servers that are evacuated, by name. */
+    [[nodiscard]] bool known() const { return this->state.known(); }
+    [[nodiscard]] std::uint64_t revision() const { return this->state.revision(); }
+    /** Names of the evacuated data centres that have servers. */
     [[nodiscard]] std::vector<data_centre_id> evacuated() const;
     [[nodiscard]] std::uint64_t store_calls(read_mode mode) const
     {
@@ -39,12 +39,12 @@
     }
 
 private:
-    void put_in_force();
-    [[nodiscard]] std::map<std::uint32_t, data_centre_id> names() const;
+    void apply();
+    [[nodiscard]] std::map<std::uint32_t, data_centre_id> data_centres_by_hash() const;
 
     fleet_gossip& gossip;
     server_table& servers;
-    evacuation_state places;
+    evacuation_state state;
     store_follow follow{object_kind::evacuations};
     object_watch calls;
 };
