--- a/src/call_limit.h
+++ b/src/call_limit.h
@@ -1,5 +1,5 @@
 /** \file
- * How long a call to an outside system may take.
+ * Time limits of a call to another process.
  */
 #pragma once
 
@@ -9,7 +9,8 @@
 
 struct call_limit {
     duration whole{};
-    /** Without a byte; zero: as long as the whole. Tells a long answer from a silent peer. */
+    /** Longest time without a received byte; zero: as long as the whole. Distinguishes a long
+     * answer from a peer that does not respond. */
     duration silence{};
 };
 
