--- a/src/json_slices.cpp
+++ b/src/json_slices.cpp
@@ -15,13 +15,13 @@
     throw peer_error("json", "", reason);
 }
 
-/** Takes raw values and single characters off the front of a text. */
-class slicer {
+/** Consumes raw values and single characters from the front of a text. */
+class slice_reader {
 public:
-    explicit slicer(std::string_view text) : rest(text) {}
+    explicit slice_reader(std::string_view text) : rest(text) {}
 
-    /** Whether the next character that is not blank is \p wanted; it is taken off then. */
-    bool take(char wanted)
+    /** Consumes the next non-blank character if it is \p wanted, and returns whether it was. */
+    bool consume(char wanted)
     {
         this->skip_blanks();
         if (this->rest.empty() || this->rest.front() != wanted) return false;
@@ -31,10 +31,10 @@
 
     void expect(char wanted)
     {
-        if (!this->take(wanted)) fail("a bracket, colon or comma is missing");
+        if (!this->consume(wanted)) fail("expected a bracket, colon, comma or quote");
     }
 
-    std::string_view take_string()
+    std::string_view consume_string()
     {
         this->expect('"');
         const std::size_t size = string_size(this->rest);
@@ -43,8 +43,8 @@
         return text;
     }
 
-    /** Up to the comma or bracket that ends it. */
-    std::string_view take_value()
+    /** Consumes a raw value, up to the comma or bracket that ends it. */
+    std::string_view consume_value()
     {
         this->skip_blanks();
         std::size_t depth = 0;
@@ -65,14 +65,14 @@
         std::string_view value = this->rest.substr(0, at);
         this->rest.remove_prefix(at);
         value = value.substr(0, value.find_last_not_of(blanks) + 1);
-        if (value.empty()) fail("a value is missing");
+        if (value.empty()) fail("expected a value");
         return value;
     }
 
     void expect_end()
     {
         this->skip_blanks();
-        if (!this->rest.empty()) fail("text behind the end");
+        if (!this->rest.empty()) fail("unexpected text after the end");
     }
 
 private:
@@ -81,7 +81,7 @@
         this->rest.remove_prefix(std::min(this->rest.find_first_not_of(blanks), this->rest.size()));
     }
 
-    /** Of the string whose opening quote was taken off, without the closing one. */
+    /** Length of the string whose opening quote was consumed, without the closing quote. */
     static std::size_t string_size(std::string_view text)
     {
         for (std::size_t at = 0; at < text.size(); ++at) {
@@ -91,7 +91,7 @@
                 return at;
             }
         }
-        fail("a string has no end");
+        fail("unterminated string");
     }
 
     std::string_view rest;
@@ -101,33 +101,33 @@
 
 std::vector<json_member> json_members(std::string_view text)
 {
-    slicer from(text);
+    slice_reader reader(text);
     std::vector<json_member> members;
-    from.expect('{');
-    if (!from.take('}')) {
+    reader.expect('{');
+    if (!reader.consume('}')) {
         do {
-            const std::string_view name = from.take_string();
-            from.expect(':');
-            members.push_back({name, from.take_value()});
-        } while (from.take(','));
-        from.expect('}');
+            const std::string_view name = reader.consume_string();
+            reader.expect(':');
+            members.push_back({name, reader.consume_value()});
+        } while (reader.consume(','));
+        reader.expect('}');
     }
-    from.expect_end();
+    reader.expect_end();
     return members;
 }
 
 std::vector<std::string_view> json_elements(std::string_view text)
 {
-    slicer from(text);
+    slice_reader reader(text);
     std::vector<std::string_view> elements;
-    from.expect('[');
-    if (!from.take(']')) {
+    reader.expect('[');
+    if (!reader.consume(']')) {
         do {
-            elements.push_back(from.take_value());
-        } while (from.take(','));
-        from.expect(']');
+            elements.push_back(reader.consume_value());
+        } while (reader.consume(','));
+        reader.expect(']');
     }
-    from.expect_end();
+    reader.expect_end();
     return elements;
 }
 
--- a/src/json_slices.h
+++ b/src/json_slices.h
@@ -1,8 +1,8 @@
 /** \file
- * Cuts JSON text into the raw texts of its members or elements, without reading what they hold.
+ * Splits JSON text into the raw texts of its members or elements, without parsing them.
  *
- * A page of many entries can so be read entry by entry: a value that no parser takes (bytes that
- * are not UTF-8, a number out of range) costs its own entry and not the page.
+ * A page of many entries can thus be decoded entry by entry: a value that no parser accepts (bytes
+ * that are not UTF-8, a number out of range) costs only its own entry and not the page.
  */
 #pragma once
 
@@ -13,15 +13,15 @@
 
 /** One member of an object. */
 struct json_member {
-    std::string_view name;  ///< as it is written, without the quotes
-    std::string_view value; ///< its raw text
+    std::string_view name;  ///< raw text without the quotes; escapes are not decoded
+    std::string_view value; ///< raw text
 };
 
-/** The members of an object. \throws peer_error when the text is not one object. */
+/** The members of an object. \throws peer_error if the text is not exactly one object. */
 std::vector<json_member> json_members(std::string_view text);
-/** The elements of an array. \throws peer_error when the text is not one array. */
+/** The elements of an array. \throws peer_error if the text is not exactly one array. */
 std::vector<std::string_view> json_elements(std::string_view text);
-/** The raw value of the first member called \p name; empty when there is none. */
+/** The raw value of the first member named \p name; empty if there is none. */
 std::string_view json_value(const std::vector<json_member>& members, std::string_view name);
 
 } // namespace worksshift
