--- a/test/error/servers_that_leave_or_lapse.cpp
+++ b/test/error/servers_that_leave_or_lapse.cpp
@@ -1,7 +1,7 @@
 /** \file
- * A server that leaves gets no new work soon after, also right after the store was away; entries
- * that lapsed together meanwhile are kept until they are back. Other VMs learn the same from a
- * feed.
+ * A server that leaves gets no new work soon after, also right after the store returned from an
+ * outage. Servers whose entries expired together in the outage stay in use until the entries are
+ * written again. Other VMs receive the same state through a `registry_feed`.
  */
 #include <cppunit/extensions/HelperMacros.h>
 
@@ -36,7 +36,7 @@
     CPPUNIT_TEST(feed_refuses_other_bytes);
     CPPUNIT_TEST_SUITE_END();
 
-    /** The bound that the users set from the store's answer to the last new work. */
+    /** The users' bound: time from the store's answer to the removal until the last new work. */
     static constexpr duration leaving_bound = milliseconds(2000);
 
     protocol dialect = platform_protocol();
@@ -79,6 +79,7 @@
         this->registry->take_list(all, told_by_store{}, this->start);
     }
 
+    /** Guards against keeping a single removed server when the store was available. */
     void leaves_in_calm()
     {
         this->registry->take_change(removal("a"), as_it_happens, this->start + seconds(60));
@@ -86,6 +87,7 @@
         CPPUNIT_ASSERT_EQUAL(std::size_t{3}, this->usable());
     }
 
+    /** Guards against keeping a leaving server for as long as expired ones after an outage. */
     void leaves_after_the_store_was_away()
     {
         const instant back = this->start + seconds(60);
@@ -96,6 +98,7 @@
         CPPUNIT_ASSERT_EQUAL(std::size_t{3}, this->usable());
     }
 
+    /** Guards against dropping a service whose servers could not write during an outage. */
     void lapsed_together_are_kept()
     {
         const instant back = this->start + seconds(60);
@@ -108,6 +111,7 @@
         CPPUNIT_ASSERT_EQUAL(std::size_t{4}, this->usable());
     }
 
+    /** Guards against keeping servers whose entries are not written again after an outage. */
     void lapsed_and_not_back_are_gone()
     {
         const instant back = this->start + seconds(60);
@@ -117,7 +121,8 @@
         CPPUNIT_ASSERT_EQUAL(std::size_t{1}, this->usable());
     }
 
-    /** An outage that is shorter than a watch waits may show by its lapsed entries only. */
+    /** Guards against dropping a service after an outage that is shorter than a watch's wait, which
+     * shows only by its expired entries. */
     void lapsed_while_nobody_noticed_are_kept_for_a_while()
     {
         const instant now = this->start + seconds(60);
@@ -130,6 +135,7 @@
         CPPUNIT_ASSERT_EQUAL(std::size_t{1}, this->usable());
     }
 
+    /** Guards against giving new work to a server that announced that it drains. */
     void drains()
     {
         std::vector<server_id> told;
@@ -140,8 +146,8 @@
         CPPUNIT_ASSERT_EQUAL(std::size_t{1}, told.size());
     }
 
-    /** Guards against servers that drained, and then go, making another one look as if it had
-     * lapsed with them. */
+    /** Guards against servers that drained and then left counting as expired entries, which would
+     * keep another server of their service in use. */
     void those_that_said_so_have_not_lapsed()
     {
         const instant now = this->start + seconds(60);
@@ -153,20 +159,22 @@
         CPPUNIT_ASSERT_EQUAL(std::size_t{1}, this->usable());
     }
 
-    /** Guards against the time being counted anew by each VM that learns of it. */
+    /** Guards against each VM starting the retention anew when it learns of a missing entry. */
     void kept_for_as_long_as_by_the_teller()
     {
         const instant asked = this->start + seconds(60);
         const std::vector<kept_server> kept{{"a", 1000}, {"b", 1000}, {"c", 1000}};
         for (const std::string name : {"a", "b", "c"})
             this->registry->take_change(removal(name), told_by_vm{kept, asked}, asked);
-        const instant until = asked - milliseconds(1000) + server_registry::leaving_kept_for;
-        this->registry->sweep(until - milliseconds(1), this->start);
+        const instant retention_end =
+            asked - milliseconds(1000) + server_registry::leaving_kept_for;
+        this->registry->sweep(retention_end - milliseconds(1), this->start);
         CPPUNIT_ASSERT_EQUAL(std::size_t{4}, this->usable());
-        this->registry->sweep(until, this->start);
+        this->registry->sweep(retention_end, this->start);
         CPPUNIT_ASSERT_EQUAL(std::size_t{1}, this->usable());
     }
 
+    /** Guards against keeping servers that the VM which sent the update no longer uses. */
     void what_the_teller_does_not_use_has_left()
     {
         const instant now = this->start + seconds(60);
@@ -178,7 +186,8 @@
         CPPUNIT_ASSERT_EQUAL(std::size_t{1}, this->usable());
     }
 
-    /** Guards against a VM that started while the store was away ending a whole service. */
+    /** Guards against the answer of a VM that started during an outage, and so knows no servers,
+     * removing a whole service. */
     void a_teller_that_never_knew_a_server_says_nothing_of_it()
     {
         const instant now = this->start + seconds(60);
@@ -189,8 +198,8 @@
         CPPUNIT_ASSERT_EQUAL(std::size_t{4}, this->usable());
     }
 
-    /** A server that was added and taken away at once: one VM was told of both together, another
-     * one saw it added and then asks the first. */
+    /** Guards against losing a removal: one VM receives the addition and the removal of a server in
+     * one update, another VM receives only the addition and then asks the first VM for changes. */
     static void feed_passes_on_removals_of_what_it_never_saw()
     {
         registry_feed source;
@@ -205,6 +214,7 @@
         CPPUNIT_ASSERT_EQUAL(std::size_t{1}, copy.since(0).objects.size());
     }
 
+    /** Guards against sending the complete registry, or too little, where changes suffice. */
     static void feed_passes_on_changes()
     {
         registry_feed source;
@@ -225,6 +235,8 @@
         CPPUNIT_ASSERT_EQUAL(std::size_t{2}, copy.since(0).objects.size());
     }
 
+    /** Guards against losing the missing servers that are still in use when an update is encoded.
+     */
     static void feed_passes_on_what_is_kept()
     {
         registry_update update{10, true, {}};
@@ -235,6 +247,7 @@
         CPPUNIT_ASSERT_EQUAL(std::uint32_t{700}, told.kept.front().missing_ms);
     }
 
+    /** Guards against a partial answer to a VM that lacks more changes than the feed holds. */
     static void feed_passes_on_the_whole()
     {
         registry_feed source;
@@ -247,7 +260,8 @@
         CPPUNIT_ASSERT(!source.since(source.revision() - 1).whole);
     }
 
-    /** Answers that are seconds old come beside those of other VMs that know more. */
+    /** Guards against stale answers of the store, which arrive between newer updates from other
+     * VMs, overwriting newer entries. */
     static void feed_passes_over_what_is_older()
     {
         registry_feed feed;
@@ -258,11 +272,11 @@
         feed.take({20, false, {entry("a", "draining", 15), entry("b", "ready", 18)}});
         CPPUNIT_ASSERT(!feed.take({12, false, {entry("a", "ready", 12)}}));
         CPPUNIT_ASSERT(!feed.take({10, true, {entry("a", "ready", 5)}}));
-        // Newer as a whole, but not in this entry.
+        // The update is newer than the feed, but its entry for `a` is not.
         const auto news = news_of({21, false, {entry("a", "ready", 12), entry("c", "ready", 21)}});
         CPPUNIT_ASSERT_EQUAL(std::size_t{1}, news.size());
         CPPUNIT_ASSERT_EQUAL(std::string("c"), news.front().name);
-        // It was removed before it was written anew.
+        // The removal precedes the newest write of the entry.
         CPPUNIT_ASSERT(news_of({22, false, {removal("b", 17)}}).empty());
         CPPUNIT_ASSERT_EQUAL(std::size_t{1}, news_of({23, false, {removal("b", 23)}}).size());
         CPPUNIT_ASSERT_EQUAL(std::size_t{2}, feed.since(0).objects.size());
