--- a/test/error/store_that_fails.cpp
+++ b/test/error/store_that_fails.cpp
@@ -1,6 +1,6 @@
 /** \file
- * A watch of the store goes on through every way in which the store fails, and notices its return
- * at once.
+ * A watch of the store continues after every kind of failure of the store, and notices its return
+ * soon.
  */
 #include <cppunit/extensions/HelperMacros.h>
 
@@ -102,7 +102,8 @@
         this->start();
         CPPUNIT_ASSERT(this->run_until([this] { return this->lists == 1; }));
         CPPUNIT_ASSERT_EQUAL(std::size_t{5}, this->listed.size());
-        // What came before the last page could be used at once; a later list tells nothing early.
+        // Pages before the last one are passed on early only for the first list, not for a later
+        // one.
         CPPUNIT_ASSERT_EQUAL(std::size_t{4}, this->early.size());
         this->store->put("servers", "f", "{}");
         this->store->forget_history();
@@ -156,14 +157,15 @@
         this->store->fault = store_fault::silent;
         this->store->lose_waiting();
         CPPUNIT_ASSERT(this->run_until([this] { return !this->state->reachable(); }));
-        // Let it ask the silent store again, so that the call that would notice hangs.
+        // Waits until the watch calls the silent store again, so that the call that could notice
+        // the store's return is pending.
         const std::size_t before = this->store->watches;
         CPPUNIT_ASSERT(this->run_until([&] { return this->store->watches > before; }));
         this->store->fault = store_fault::none;
         const duration longest =
             store_watch::probe_timeout + store_watch::prompt_pace.longest_pause;
         CPPUNIT_ASSERT(longest < store_watch::prompt_pace.wait);
-        // Without any change that would answer a waiting call.
+        // The return is noticed although no change completes a pending watch.
         CPPUNIT_ASSERT(
             this->run_until([this] { return this->state->reachable(); }, longest + seconds(1)));
         this->store->put("servers", "a", "{}");
