--- a/test/error/configurations_that_come_late.cpp
+++ b/test/error/configurations_that_come_late.cpp
@@ -1,6 +1,6 @@
 /** \file
- * A configuration comes from the store or from another VM, whichever has it, and is never replaced
- * by an older one.
+ * A VM gets its configuration from the store or from another VM, whichever has it, and never
+ * replaces it by an older one.
  */
 #include <cppunit/extensions/HelperMacros.h>
 
@@ -15,7 +15,7 @@
 using namespace worksshift;
 using fakes::store_fault;
 
-/** The part of a router that follows the configuration. */
+/** The part of a router that receives the configuration. */
 class vm {
 public:
     vm(event_base* base, const std::string& address, std::uint16_t port, const link_address& store,
@@ -41,8 +41,8 @@
     fleet_gossip gossip;
     config_follower follower;
     bool watching = true;
-    bool serves_rubbish = false;
-    bool serves_nothing = false;
+    bool serves_garbage = false;
+    bool never_answers = false;
 
 private:
     static std::vector<link_address> seeds(std::uint16_t port)
@@ -52,8 +52,8 @@
 
     void serve(evhttp_request* request)
     {
-        if (this->serves_nothing) return;
-        if (this->serves_rubbish) {
+        if (this->never_answers) return;
+        if (this->serves_garbage) {
             evbuffer_add(evhttp_request_get_output_buffer(request), "rubbish", 7);
             evhttp_send_reply(request, 200, nullptr, nullptr);
             return;
@@ -157,9 +157,9 @@
         this->second = this->make("127.0.0.42", this->store_address);
         CPPUNIT_ASSERT(this->version_of(*this->second, 5));
         this->second->watching = false;
-        this->first->serves_rubbish = true;
+        this->first->serves_garbage = true;
         this->store->put("config", "main", support::example_config(9));
-        // The other VM's bytes are refused, and the store is asked after all.
+        // The other VM's answer is rejected, so the store is asked instead.
         CPPUNIT_ASSERT(this->version_of(*this->second, 9));
     }
 
@@ -169,7 +169,7 @@
         this->second = this->make("127.0.0.42", this->store_address);
         CPPUNIT_ASSERT(this->version_of(*this->second, 5));
         this->second->watching = false;
-        this->first->serves_nothing = true;
+        this->first->never_answers = true;
         this->store->put("config", "main", support::example_config(9));
         CPPUNIT_ASSERT(
             this->run_until([&] { return this->second->follower.version() == 9; }, seconds(2)));
