--- a/test/error/registry_entries_by_others.cpp
+++ b/test/error/registry_entries_by_others.cpp
@@ -1,6 +1,6 @@
 /** \file
- * Entries of the registry that no server wrote name no server to use, whatever they hold; the
- * others hold, and the log stays short.
+ * Registry entries that no server wrote never become servers, whatever they contain; the valid
+ * entries beside them are used, and the log stays short.
  */
 #include <cstdlib>
 #include <filesystem>
@@ -20,17 +20,18 @@
 
 constexpr told_by_store as_it_happens{true};
 
-const std::string sound = R"({"service":"desk","address":"127.0.0.1:1","zone":"dc","version":"v1",)"
-                          R"("slots":4,"state":"ready","coldRemainingMs":0,"sequence":1})";
+const std::string valid_document =
+    R"({"service":"desk","address":"127.0.0.1:1","zone":"dc","version":"v1",)"
+    R"("slots":4,"state":"ready","coldRemainingMs":0,"sequence":1})";
 
-std::string replaced(const std::string& from, const std::string& to)
+std::string with_replacement(const std::string& from, const std::string& to)
 {
-    std::string text = sound;
+    std::string text = valid_document;
     return text.replace(text.find(from), from.size(), to);
 }
 
-/** Each as another writer may have left it. */
-std::vector<std::string> unsound_documents()
+/** Documents that another writer may have left in the registry. */
+std::vector<std::string> invalid_documents()
 {
     const std::string deep(100'000, '[');
     return {
@@ -40,43 +41,43 @@
         "[]",
         R"("text")",
         "{}",
-        replaced(R"("service":"desk",)", ""),
-        replaced(R"("service":"desk")", R"("service":7)"),
-        replaced(R"("service":"desk")", R"("service":"")"),
-        replaced(R"("address":"127.0.0.1:1",)", ""),
-        replaced(R"("address":"127.0.0.1:1")", R"("address":null)"),
-        replaced(R"("127.0.0.1:1")", R"("127.0.0.1")"),
-        replaced(R"("127.0.0.1:1")", R"("127.0.0.1:0")"),
-        replaced(R"("127.0.0.1:1")", R"("127.0.0.1:70000")"),
-        replaced(R"("127.0.0.1:1")", R"("a.example:80")"),
-        replaced(R"("zone":"dc",)", ""),
-        replaced(R"("zone":"dc")", R"("zone":["dc"])"),
-        replaced(R"("version":"v1",)", ""),
-        replaced(R"("version":"v1")", R"("version":{})"),
-        replaced(R"("slots":4,)", ""),
-        replaced(R"("slots":4)", R"("slots":"4")"),
-        replaced(R"("slots":4)", R"("slots":-4)"),
-        replaced(R"("slots":4)", R"("slots":0)"),
-        replaced(R"("slots":4)", R"("slots":1e30)"),
-        replaced(R"("slots":4)", R"("slots":99999999999999999999)"),
-        replaced(R"("slots":4)", R"("slots":1e999)"),
-        replaced(R"("slots":4)", R"("slots":NaN)"),
-        replaced(R"("slots":4)", R"("slots":null)"),
-        replaced(R"(,"state":"ready")", ""),
-        replaced(R"("state":"ready")", R"("state":"resting")"),
-        replaced(R"("state":"ready")", R"("state":true)"),
-        replaced(R"("coldRemainingMs":0,)", ""),
-        replaced(R"("coldRemainingMs":0)", R"("coldRemainingMs":"soon")"),
-        replaced(R"(,"sequence":1)", ""),
-        replaced(R"("sequence":1)", R"("sequence":1.5)"),
-        replaced(R"("sequence":1)", R"("sequence":-1)"),
-        replaced(R"("sequence":1)", R"("sequence":1,"born":"today")"),
-        replaced(R"("sequence":1)", R"("sequence":1,"born":1.5)"),
-        replaced(R"("sequence":1)", R"("sequence":1,"born":-5)"),
-        replaced(R"("v1")", "\"\xc3\x28\""),
-        replaced(R"("v1")", "\"\x01\""),
-        sound.substr(0, sound.size() - 1),
-        sound + "}",
+        with_replacement(R"("service":"desk",)", ""),
+        with_replacement(R"("service":"desk")", R"("service":7)"),
+        with_replacement(R"("service":"desk")", R"("service":"")"),
+        with_replacement(R"("address":"127.0.0.1:1",)", ""),
+        with_replacement(R"("address":"127.0.0.1:1")", R"("address":null)"),
+        with_replacement(R"("127.0.0.1:1")", R"("127.0.0.1")"),
+        with_replacement(R"("127.0.0.1:1")", R"("127.0.0.1:0")"),
+        with_replacement(R"("127.0.0.1:1")", R"("127.0.0.1:70000")"),
+        with_replacement(R"("127.0.0.1:1")", R"("a.example:80")"),
+        with_replacement(R"("zone":"dc",)", ""),
+        with_replacement(R"("zone":"dc")", R"("zone":["dc"])"),
+        with_replacement(R"("version":"v1",)", ""),
+        with_replacement(R"("version":"v1")", R"("version":{})"),
+        with_replacement(R"("slots":4,)", ""),
+        with_replacement(R"("slots":4)", R"("slots":"4")"),
+        with_replacement(R"("slots":4)", R"("slots":-4)"),
+        with_replacement(R"("slots":4)", R"("slots":0)"),
+        with_replacement(R"("slots":4)", R"("slots":1e30)"),
+        with_replacement(R"("slots":4)", R"("slots":99999999999999999999)"),
+        with_replacement(R"("slots":4)", R"("slots":1e999)"),
+        with_replacement(R"("slots":4)", R"("slots":NaN)"),
+        with_replacement(R"("slots":4)", R"("slots":null)"),
+        with_replacement(R"(,"state":"ready")", ""),
+        with_replacement(R"("state":"ready")", R"("state":"resting")"),
+        with_replacement(R"("state":"ready")", R"("state":true)"),
+        with_replacement(R"("coldRemainingMs":0,)", ""),
+        with_replacement(R"("coldRemainingMs":0)", R"("coldRemainingMs":"soon")"),
+        with_replacement(R"(,"sequence":1)", ""),
+        with_replacement(R"("sequence":1)", R"("sequence":1.5)"),
+        with_replacement(R"("sequence":1)", R"("sequence":-1)"),
+        with_replacement(R"("sequence":1)", R"("sequence":1,"born":"today")"),
+        with_replacement(R"("sequence":1)", R"("sequence":1,"born":1.5)"),
+        with_replacement(R"("sequence":1)", R"("sequence":1,"born":-5)"),
+        with_replacement(R"("v1")", "\"\xc3\x28\""),
+        with_replacement(R"("v1")", "\"\x01\""),
+        valid_document.substr(0, valid_document.size() - 1),
+        valid_document + "}",
         deep,
     };
 }
@@ -122,10 +123,10 @@
 public:
     void unsound_entries_name_no_server()
     {
-        for (const std::string& document : unsound_documents()) {
+        for (const std::string& document : invalid_documents()) {
             server_table table(data_centre_id{"dc"});
             server_registry registry(table, this->dialect);
-            const std::vector<stored_object> all{entry("a", sound), entry("b", document)};
+            const std::vector<stored_object> all{entry("a", valid_document), entry("b", document)};
             registry.take_list(all, told_by_store{}, instant(seconds(1000)));
             const std::string start = document.substr(0, 200);
             CPPUNIT_ASSERT_MESSAGE(start, table.find(server_id{"a"}) != nullptr);
@@ -135,16 +136,18 @@
 
     void further_fields_do_no_harm()
     {
-        const std::string more =
-            replaced(R"("sequence":1)", R"("sequence":1,"born":1790000000000,"x":[{}],"y":null)");
+        const std::string more = with_replacement(
+            R"("sequence":1)", R"("sequence":1,"born":1790000000000,"x":[{}],"y":null)");
         CPPUNIT_ASSERT_EQUAL(std::uint32_t{4}, this->dialect.decode_server(entry("a", more)).slots);
     }
 
-    /** The id of a server is sent in a header line. */
+    /** The id of a server is sent in a header line, so it must not be empty or contain blanks,
+     * control characters or bytes outside ASCII. */
     void names_that_cannot_be_sent_are_refused()
     {
         for (const std::string name : {"", "a b", "a\r\nX-Other: 1", "a\x7f", "\xc3\xa4"})
-            CPPUNIT_ASSERT_THROW(this->dialect.decode_server(entry(name, sound)), peer_error);
+            CPPUNIT_ASSERT_THROW(this->dialect.decode_server(entry(name, valid_document)),
+                                 peer_error);
     }
 
     void entry_that_turns_unsound_is_a_server_gone()
@@ -154,26 +157,28 @@
         const instant now = instant(seconds(1000));
         std::vector<stored_object> all;
         for (const std::string name : {"a", "b", "c", "d"})
-            all.push_back(entry(name, sound));
+            all.push_back(entry(name, valid_document));
         registry.take_list(all, told_by_store{}, now);
         registry.take_change(entry("a", "{}"), as_it_happens, now + seconds(10));
         registry.sweep(now + seconds(12), now);
         CPPUNIT_ASSERT(table.find(server_id{"a"})->gone);
-        registry.take_change(entry("a", sound), as_it_happens, now + seconds(13));
+        registry.take_change(entry("a", valid_document), as_it_happens, now + seconds(13));
         CPPUNIT_ASSERT(table.find(server_id{"a"})->takes_work());
     }
 
     void page_with_one_unsound_entry_keeps_the_others()
     {
-        std::vector<std::string> unsound;
-        for (const std::string& document : unsound_documents()) {
-            // What breaks the brackets of the page cannot come out of a store.
-            if (document.ends_with('}') && document != sound + "}") unsound.push_back(document);
+        std::vector<std::string> invalid;
+        for (const std::string& document : invalid_documents()) {
+            // A store cannot return a document that breaks the brackets of the page.
+            if (document.ends_with('}') && document != valid_document + "}")
+                invalid.push_back(document);
         }
-        unsound.insert(unsound.end(), {"null", "7", "[]", R"("\ud800")", "NaN", "1e999"});
-        for (const std::string& document : unsound) {
+        invalid.insert(invalid.end(), {"null", "7", "[]", R"("\ud800")", "NaN", "1e999"});
+        for (const std::string& document : invalid) {
             const object_page page = this->dialect.decode_page(
-                page_of(item("a", sound) + "," + item("b", document) + "," + item("c", sound)));
+                page_of(item("a", valid_document) + "," + item("b", document) + "," +
+                        item("c", valid_document)));
             CPPUNIT_ASSERT_EQUAL_MESSAGE(document, std::size_t{3}, page.objects.size());
             CPPUNIT_ASSERT_EQUAL_MESSAGE(document, std::string("c"), page.objects[2].name);
             CPPUNIT_ASSERT_EQUAL(std::uint64_t{9}, page.revision);
@@ -182,11 +187,12 @@
              {"null", "7", "{}", R"({"metadata":null,"spec":{}})", R"({"metadata":{"name":7}})",
               R"({"metadata":{"name":"b","revision":"x"},"spec":{}})"}) {
             const object_page page = this->dialect.decode_page(
-                page_of(item("a", sound) + "," + other + "," + item("c", sound)));
+                page_of(item("a", valid_document) + "," + other + "," + item("c", valid_document)));
             CPPUNIT_ASSERT_EQUAL_MESSAGE(other, std::size_t{2}, page.objects.size());
-            const std::string events = R"({"removed":false,"object":)" + item("a", sound) + "}," +
-                                       R"({"removed":false,"object":)" + other + "}," +
-                                       R"({"removed":true,"object":)" + item("c", sound) + "}";
+            const std::string events = R"({"removed":false,"object":)" + item("a", valid_document) +
+                                       "}," + R"({"removed":false,"object":)" + other + "}," +
+                                       R"({"removed":true,"object":)" + item("c", valid_document) +
+                                       "}";
             const object_page batch =
                 this->dialect.decode_page(R"({"events":[)" + events + R"(],"asOf":9})");
             CPPUNIT_ASSERT_EQUAL_MESSAGE(other, std::size_t{2}, batch.objects.size());
@@ -213,10 +219,10 @@
             return scripted_answer{answer_text(200, request, "x"), scripted_answer::then::keep};
         });
         constexpr int entries = 3000;
-        const std::vector<std::string> documents = unsound_documents();
+        const std::vector<std::string> documents = invalid_documents();
         std::vector<std::string> storable;
         std::ranges::copy_if(documents, std::back_inserter(storable), [](const auto& document) {
-            return document.ends_with('}') && document != sound + "}";
+            return document.ends_with('}') && document != valid_document + "}";
         });
         for (int i = 0; i < entries; ++i) {
             const auto& document = storable[static_cast<std::size_t>(i) % storable.size()];
@@ -225,7 +231,7 @@
         fleet.start_all();
         CPPUNIT_ASSERT(fleet.all_ready());
         CPPUNIT_ASSERT_EQUAL(200, status_in(fleet.ask(0, request_text("GET", "/safe/x", "r1"))));
-        // The last page must have come before the watch can go on behind it.
+        // Waits until the list is complete and the watch has started.
         CPPUNIT_ASSERT(
             fleet.run_until([&] { return fleet.store->waiting_for("servers") == 1; }, seconds(5)));
         const std::size_t before = unreadable(fleet);
