--- a/test/correctness/store_outages_are_told_apart.cpp
+++ b/test/correctness/store_outages_are_told_apart.cpp
@@ -1,6 +1,6 @@
 /** \file
- * The end of an outage of the store is told from a VM's first answer, and from the end of a fault
- * of that VM's own way to the store.
+ * The end of an outage of the store is distinguished from a VM's first answer, and from the end of
+ * a fault of that VM's own path to the store.
  */
 #include <cppunit/extensions/HelperMacros.h>
 
@@ -28,13 +28,13 @@
 
     static instant at(milliseconds since_start) { return start + since_start; }
 
-    /** Failed at once. */
+    /** A call that failed at once. */
     static failed_call lost(instant when) { return {when, when}; }
 
     static store_news confirmed(instant when) { return {none, when}; }
 
 public:
-    /** Guards against a restart being taken for the store's return. */
+    /** Guards against a VM's restart being taken for the store's return. */
     static void first_answer()
     {
         store_outage outage;
@@ -55,7 +55,8 @@
         CPPUNIT_ASSERT(outage.back_at() == at(milliseconds(4000)));
     }
 
-    /** Guards against the last VM that gets through setting the time for all. */
+    /** Guards against each VM using its own first answer as the time of the store's return: another
+     * VM was answered earlier. */
     static void back_for_another_vm_first()
     {
         store_outage outage;
@@ -68,7 +69,8 @@
         CPPUNIT_ASSERT(outage.back_at() == at(milliseconds(4000)));
     }
 
-    /** Guards against a VM that was cut off, or refused, being taken for the store. */
+    /** Guards against a fault of one VM's path to the store, or the store's refusal of that VM,
+     * being taken for an outage of the store. */
     static void others_were_answered()
     {
         store_outage outage;
@@ -80,7 +82,8 @@
         CPPUNIT_ASSERT(outage.back_at() == none);
     }
 
-    /** Guards against a VM that nobody could tell that the store answers others. */
+    /** Guards against the same for a VM that was cut off from the others, and so could not learn
+     * that the store answers them. */
     static void this_vm_was_cut_off()
     {
         store_outage outage;
@@ -99,7 +102,8 @@
         CPPUNIT_ASSERT(outage.back_at() == none);
     }
 
-    /** Guards against the outage being missed, as digests arrive late. */
+    /** Guards against missing an outage because an answer from before the failure is reported late.
+     */
     static void an_answer_before_the_loss_that_is_told_late()
     {
         store_outage outage;
@@ -111,7 +115,8 @@
         CPPUNIT_ASSERT(outage.back_at() == at(milliseconds(5000)));
     }
 
-    /** Guards against a long wait that was lost in an outage being taken for a second one. */
+    /** Guards against a second outage being recorded when a watch that was pending in the first one
+     * times out after the store's return. */
     static void a_call_of_the_last_outage_that_fails_late()
     {
         store_outage outage;
