--- a/test/correctness/leaving_servers_are_known_to_all.cpp
+++ b/test/correctness/leaving_servers_are_known_to_all.cpp
@@ -1,6 +1,7 @@
 /** \file
- * Routers as processes: what a server's answer to one of them says of its leaving, all of them heed
- * within a second or two, also one that starts later, while the store says nothing of it.
+ * Runs routers as processes: when a server announces in an answer to one router that it leaves, all
+ * routers stop sending it requests within a second or two, also one that starts later, while the
+ * store does not respond.
  */
 #include <cppunit/extensions/HelperMacros.h>
 
@@ -17,8 +18,8 @@
     CPPUNIT_TEST(by_one_answer);
     CPPUNIT_TEST_SUITE_END();
 
-    /** Requests that the first server gets while all routers ask. */
-    static std::size_t first_gets(router_fleet& fleet)
+    /** Number of requests that the first server gets while all routers send requests. */
+    static std::size_t requests_to_first(router_fleet& fleet)
     {
         const std::size_t before = fleet.servers.front()->requests.size();
         for (std::size_t i = 0; i < 60; ++i) {
@@ -34,8 +35,8 @@
         router_fleet fleet(4);
         bool leaves = false;
         const auto serve = [&leaves](const std::string& request) -> scripted_answer {
-            const std::string said = leaves ? "Server-Leaving: 1\r\n" : "";
-            return {answer_text(200, request, "x", said), then::keep};
+            const std::string header = leaves ? "Server-Leaving: 1\r\n" : "";
+            return {answer_text(200, request, "x", header), then::keep};
         };
         fleet.set_config(example_config(1));
         fleet.add_server("first", "desk", serve);
@@ -44,7 +45,7 @@
         });
         fleet.start_all();
         CPPUNIT_ASSERT(fleet.all_ready());
-        CPPUNIT_ASSERT(first_gets(fleet) > 0);
+        CPPUNIT_ASSERT(requests_to_first(fleet) > 0);
         fleet.store->fault = fakes::store_fault::silent;
         leaves = true;
         const std::size_t before = fleet.servers.front()->requests.size();
@@ -52,13 +53,13 @@
             fleet.ask(0, request_text("GET", "/safe/x", "once"));
         CPPUNIT_ASSERT(fleet.servers.front()->requests.size() > before);
         fleet.run_until([] { return false; }, milliseconds(1500));
-        CPPUNIT_ASSERT_EQUAL(std::size_t{0}, first_gets(fleet));
+        CPPUNIT_ASSERT_EQUAL(std::size_t{0}, requests_to_first(fleet));
         fleet.routers[2].signal(SIGKILL);
         fleet.routers[2].wait();
         fleet.start(2);
         CPPUNIT_ASSERT(fleet.all_ready());
         fleet.run_until([] { return false; }, seconds(1));
-        CPPUNIT_ASSERT_EQUAL(std::size_t{0}, first_gets(fleet));
+        CPPUNIT_ASSERT_EQUAL(std::size_t{0}, requests_to_first(fleet));
     }
 };
 
