--- a/test/correctness/first_configuration_of_many_accounts.cpp
+++ b/test/correctness/first_configuration_of_many_accounts.cpp
@@ -1,6 +1,6 @@
 /** \file
- * A first configuration of more shards than a VM may call the platform for at once is accepted, and
- * comes to every VM, also to one that starts later and while the platform is down.
+ * A first configuration with more shards than a VM may fetch from the platform in one burst is
+ * accepted and reaches every VM, also one that starts later while the platform is down.
  */
 #include <cppunit/extensions/HelperMacros.h>
 
