--- a/test/fuzz/versions_reach_every_vm.cpp
+++ b/test/fuzz/versions_reach_every_vm.cpp
@@ -1,8 +1,8 @@
 /** \file
- * Every VM has every version of the configuration and every change of the registry within the time
- * that was promised, and never goes back to an older one, although most of them do not ask the
- * store, those that do are answered seconds late, and the store fails in all its ways. What that
- * costs grows with the changes and not with the VMs.
+ * Every VM gets every version of the configuration and every change of the registry within the
+ * promised time, and never returns to an older one, although most VMs do not call the store, those
+ * that do get answers that are seconds old, and the store fails in all its ways. The number of
+ * calls grows with the number of changes and not with the number of VMs.
  */
 #include <cppunit/extensions/HelperMacros.h>
 #include <rapidcheck.h>
@@ -14,11 +14,11 @@
 using namespace worksshift;
 using support::store_fleet;
 
-/** Of the users' bounds the shortest: from the store's answer to a change until it is in force, and
- * until a server that leaves gets no new work. */
+/** The shortest of the users' bounds: from the store's answer to a change until the change is in
+ * force, or until a leaving server gets no new work. */
 constexpr duration promised_within = seconds(2);
-/** After the end of a disturbance of the store or of a VM, the bounds count again: the shortest
- * such time. */
+/** Shortest time after the end of a disturbance of the store or of a VM from which on the bounds
+ * hold again. */
 constexpr duration calm_after = seconds(3);
 
 std::string name_of_server(std::size_t server)
@@ -32,7 +32,7 @@
         fleet.store.put(object_kind::servers, name_of_server(i), "x", fleet.fleet.now);
 }
 
-/** A few changes of either kind. */
+/** Makes a few random changes of the configuration and the registry. */
 void draw_changes(store_fleet& fleet, std::uint64_t& version)
 {
     for (auto left = *rc::gen::inRange(1, 4); left > 0; --left) {
@@ -50,7 +50,7 @@
     }
 }
 
-/** One way in which the store or the VMs fail for a while. */
+/** Makes the store or some VMs fail for a while, in a random way. */
 void draw_fault(store_fleet& fleet, std::uint64_t& version)
 {
     const auto span = milliseconds(*rc::gen::inRange(200, 9000));
@@ -69,7 +69,7 @@
         fleet.store.refused.clear();
         break;
     case 2:
-        // Changes are made while watches hear nothing, then the history is dropped.
+        // Changes are made while watches are lost, then the history is dropped.
         fleet.lose_waiting();
         draw_changes(fleet, version);
         fleet.store.forget_history();
@@ -125,7 +125,8 @@
         CPPUNIT_ASSERT(held);
     }
 
-    /** The others find out by the age of what they tell each other. */
+    /** Guards against changes being delayed when the store refuses both linearizable watchers: the
+     * others notice by the age of the last confirmed answer. */
     static void with_both_linearizable_watchers_refused()
     {
         store_fleet fleet(48, 6, 5);
@@ -142,7 +143,7 @@
         CPPUNIT_ASSERT(fleet.run_until_known(promised_within) < promised_within);
     }
 
-    /** Each has a time-out of its own. */
+    /** Guards against watches that are lost without a sign: each has a timeout of its own. */
     static void when_waiting_calls_are_lost_without_a_sign()
     {
         store_fleet fleet(8, 1, 5);
@@ -155,8 +156,9 @@
         CPPUNIT_ASSERT(fleet.run_until_known(promised_within) < promised_within);
     }
 
-    /** A day of 40 changes before 295 and 480 VMs, in calls at the full price. With linearizable
-     * watches in each data centre that ended after three seconds it was 2,529 for 295 VMs. */
+    /** Counts the calls for a start and 40 changes, with a stale call as a tenth of a call. With
+     * linearizable watches in each data centre that ended after three seconds, a day of 40 changes
+     * took 2,529 calls with 295 VMs. */
     static void calls_grow_with_changes()
     {
         const auto calls_of_day = [](std::size_t vms) {
@@ -175,7 +177,7 @@
         };
         const auto [start, changes] = calls_of_day(120);
         const auto [larger_start, larger_changes] = calls_of_day(240);
-        // A VM lists both kinds once, at a tenth of the price each.
+        // Each VM makes one stale list of each kind.
         CPPUNIT_ASSERT(larger_start - start < 120 * 0.5);
         CPPUNIT_ASSERT(larger_changes < changes * 1.2);
         CPPUNIT_ASSERT(changes < 40 * 6);
@@ -195,7 +197,7 @@
         fleet.store.refused.clear();
         fleet.set_config(2);
         CPPUNIT_ASSERT(fleet.run_until_known(promised_within) < promised_within);
-        // Less than one call a VM.
+        // Fewer calls than VMs.
         CPPUNIT_ASSERT(away < 240);
     }
 };
