--- a/test/fuzz/leaving_servers_get_nothing_new.cpp
+++ b/test/fuzz/leaving_servers_get_nothing_new.cpp
@@ -1,7 +1,7 @@
 /** \file
- * A server whose entry is taken away gets no new work of any VM in time, in fleets of all sizes,
- * also while VMs restart or one of them loses its way to the store; entries that lapse while the
- * store is away are kept by all VMs until they are back.
+ * A server whose entry is removed gets no new work from any VM within the promised time, in fleets
+ * of all sizes, also while VMs restart or one VM cannot reach the store. Servers whose entries
+ * expire while the store is unavailable stay in use by all VMs until the entries are written again.
  */
 #include <algorithm>
 #include <array>
@@ -16,18 +16,19 @@
 using namespace worksshift;
 using support::store_fleet;
 
-/** Of the users' bounds the shortest: from the store's answer until a server that leaves gets
- * nothing new. */
+/** The shortest of the users' bounds: from the store's answer until a leaving server gets no new
+ * work. */
 constexpr duration promised_within = seconds(2);
-/** Of that, for a request that was sent before the server was dropped to arrive there. */
+/** Part of that bound: time in which a request that was sent before the server was dropped arrives
+ * there. */
 constexpr duration on_the_way = milliseconds(150);
-/** Until all VMs have learnt of a change: half of that, so that a VM which has just started can be
- * as late again. */
+/** Time until all VMs know of a change: half of the bound, so that a VM which has just started may
+ * be as late again. */
 constexpr duration learnt_within = seconds(1);
-/** The bound counts for a VM that has run for so long, and from so long after the store's return:
- * the shortest such time. */
+/** The bound holds for a VM that has run for this long, and from this long after the store's
+ * return; the shortest such time. */
 constexpr duration calm_after = seconds(3);
-/** After the store's return, within which entries that lapsed are back. */
+/** Time after the store's return within which expired entries are written again. */
 constexpr duration back_within = milliseconds(1900);
 
 struct fleet_size {
@@ -37,7 +38,8 @@
 constexpr std::array fleet_sizes{fleet_size{7, 4}, fleet_size{65, 4}};
 constexpr fleet_size largest_fleet{480, 13};
 
-/** Small services, of which few servers are most. */
+/** Number of servers of the small service, where few missing servers are already most of the
+ * service. */
 constexpr std::size_t servers_of_small_service = 4;
 
 std::string name_of(std::size_t server)
@@ -57,7 +59,7 @@
     return fleet;
 }
 
-/** Restarts an eighth of the VMs each second, with the others in turn. */
+/** Restarts an eighth of the VMs each second, all VMs in turn. */
 class rolling_restart {
 public:
     explicit rolling_restart(store_fleet& fleet) : fleet(fleet) {}
@@ -141,8 +143,8 @@
         }
     }
 
-    /** Guards against the pause between two calls to the store, and the time for which an outage
-     * that nobody noticed is borne, adding up to more than was promised. */
+    /** Guards against the pause between two calls to the store and the retention for unnoticed
+     * outages adding up to more than the bound. */
     static void when_most_of_a_service_leaves_right_after_another_change()
     {
         for (const fleet_size& size : fleet_sizes) {
@@ -173,15 +175,16 @@
         }
     }
 
-    /** Guards against servers that leave one after the other being taken for entries that lapsed
-     * together, for as long as VMs restart. */
+    /** Guards against servers that leave one after the other being taken for entries that expired
+     * together while VMs keep restarting. */
     static void when_most_of_a_service_leaves_while_vms_restart()
     {
         for (const fleet_size& size : fleet_sizes)
             most_leave_while_vms_restart(*make_fleet(size));
     }
 
-    /** Guards against one VM's way to the store being taken for the store. */
+    /** Guards against a fault of one VM's path to the store being taken for an outage of the store.
+     */
     static void when_one_vm_comes_back_to_the_store()
     {
         for (const fleet_size& size : fleet_sizes) {
@@ -200,7 +203,7 @@
         }
     }
 
-    /** Guards against the same of a VM that could not hear that the store answers others. */
+    /** Guards against the same for a VM that could not learn that the store answers others. */
     static void when_one_vm_was_cut_off_from_all()
     {
         for (const fleet_size& size : fleet_sizes) {
@@ -220,8 +223,8 @@
             for (std::size_t server = 0; server + 1 < servers_of_small_service; ++server)
                 fleet->remove_server(name_of(server));
             fleet->run(promised_within);
-            const std::size_t users = fleet->vms_using(name_of(0));
-            CPPUNIT_ASSERT_EQUAL_MESSAGE(at(size), std::size_t{0}, users);
+            const std::size_t vms_still_using = fleet->vms_using(name_of(0));
+            CPPUNIT_ASSERT_EQUAL_MESSAGE(at(size), std::size_t{0}, vms_still_using);
         }
     }
 
@@ -232,16 +235,16 @@
             lapse_and_come_back(*make_fleet(size));
     }
 
-    /** Guards against servers that left one after the other, and are missed all at once by a VM
-     * that learns late, being taken for entries that lapsed together. */
+    /** Guards against servers that left one after the other being taken for entries that expired
+     * together, by a VM that learns of all of them late and at once. */
     static void learnt_late_from_another_vm()
     {
         for (const fleet_size& size : fleet_sizes) {
             const auto fleet = make_fleet(size);
-            const std::size_t late = size.vms - 1;
-            fleet->store.refused.insert(late);
-            for (std::size_t vm = 0; vm < late; ++vm)
-                fleet->fleet.cut.insert({vm, late});
+            const std::size_t late_vm = size.vms - 1;
+            fleet->store.refused.insert(late_vm);
+            for (std::size_t vm = 0; vm < late_vm; ++vm)
+                fleet->fleet.cut.insert({vm, late_vm});
             for (std::size_t server = 0; server + 1 < servers_of_small_service; ++server) {
                 fleet->remove_server(name_of(server));
                 fleet->run(seconds(2));
@@ -252,7 +255,8 @@
         }
     }
 
-    /** Guards against a VM that never knew a server being taken for one that knows that it left. */
+    /** Guards against servers being dropped because a VM that started during the outage, and so
+     * never knew them, does not report them. */
     static void lapsed_entries_are_kept_beside_a_vm_that_starts()
     {
         for (const fleet_size& size : fleet_sizes) {
@@ -270,7 +274,8 @@
         }
     }
 
-    /** Guards against the same where few VMs watch the store and the others learn from them. */
+    /** Guards against losing an expired service, or using leaving servers too long, where few VMs
+     * watch the store and the others learn from them. */
     static void in_the_largest_fleet()
     {
         const auto fleet = make_fleet(largest_fleet);
