--- a/test/support/store_fleet.cpp
+++ b/test/support/store_fleet.cpp
@@ -11,9 +11,9 @@
 
 namespace {
 
-/** From a call to its answer. */
+/** Time from a call to the store's answer. */
 constexpr duration store_delay = milliseconds(4);
-/** From a question to another VM to its answer. */
+/** Time from a request to another VM to its answer. */
 constexpr duration peer_delay = milliseconds(50);
 
 } // namespace
@@ -37,7 +37,7 @@
     this->log.push_back({kind, object, now});
 }
 
-/** Up to which revision a read of a mode sees. */
+/** Highest revision that a read in a mode returns. */
 std::uint64_t model_store::visible(read_mode mode, instant now) const
 {
     if (mode == read_mode::linearizable) return this->revision;
@@ -218,7 +218,7 @@
 
 void store_fleet::take_version(following_vm& item, std::uint64_t version)
 {
-    // As the followers of the product: an older one is never put in force.
+    // Like the product's followers, never applies an older version.
     item.version = std::max(item.version, version);
 }
 
--- a/test/support/store_fleet.h
+++ b/test/support/store_fleet.h
@@ -1,7 +1,7 @@
 /** \file
- * Many VMs that follow the platform's store, in one loop without sockets or clocks: the product's
- * own decisions on what to ask when, before a model of the store that may answer seconds behind,
- * drop its history, fall silent, or refuse some of the VMs.
+ * Simulates many VMs that follow the platform's store, in one loop without sockets or clocks: the
+ * product's own decisions on what to read when run against a model of the store that may answer
+ * with states that are seconds old, drop its history, stop answering, or refuse some of the VMs.
  */
 #pragma once
 
@@ -17,17 +17,17 @@
 
 namespace support {
 
-/** The store as the VMs' calls see it. */
+/** Model of the store that answers the VMs' calls. */
 class model_store {
 public:
-    /** Call of one VM that waits for its answer. */
+    /** A pending call of one VM. */
     struct waiting_call {
         std::size_t vm = 0;
         worksshift::object_kind kind{};
         worksshift::store_read read;
         worksshift::instant asked_at{};
     };
-    /** What became of it. */
+    /** Outcome of a call; `none`: still pending. */
     enum class verdict : std::uint8_t { none, page, gone, refused };
     struct answer {
         verdict result = verdict::none;
@@ -37,17 +37,17 @@
     void put(worksshift::object_kind kind, const std::string& name, const std::string& document,
              worksshift::instant now);
     void remove(worksshift::object_kind kind, const std::string& name, worksshift::instant now);
-    /** Forgets the history: watches from before are told that it is gone. */
+    /** Drops the history: watches from earlier revisions are told that it is gone. */
     void forget_history() { this->history_from = this->revision; }
     [[nodiscard]] answer look_at(const waiting_call& call, worksshift::instant now) const;
-    /** Objects of a kind as they are, by name. */
+    /** Objects of a kind as of revision \p until, by name. */
     [[nodiscard]] std::map<std::string, worksshift::stored_object>
     objects(worksshift::object_kind kind, std::uint64_t until) const;
     [[nodiscard]] std::uint64_t newest() const { return this->revision; }
 
-    worksshift::duration lag{};    ///< by which stale reads are behind
+    worksshift::duration lag{};    ///< age of the state that stale reads return
     bool silent = false;           ///< answers nothing
-    std::set<std::size_t> refused; ///< VMs that are refused
+    std::set<std::size_t> refused; ///< VMs whose calls are refused
 
 private:
     struct change {
@@ -63,7 +63,7 @@
     std::uint64_t history_from = 0;
 };
 
-/** What one VM knows of the store's objects. */
+/** State of one VM that follows the store. */
 struct following_vm {
     worksshift::store_follow config{worksshift::object_kind::configuration, 1};
     worksshift::store_follow servers{worksshift::object_kind::servers, 2};
@@ -77,10 +77,10 @@
     worksshift::server_registry servers_in_use{table, dialect};
     worksshift::instant started{};
     bool listed = false;
-    std::uint64_t version = 0; ///< of the configuration in force
+    std::uint64_t version = 0; ///< version of the configuration in force
     std::uint64_t newest_heard = 0;
     bool went_back = false;  ///< a version was replaced by an older one
-    double calls_priced = 0; ///< linearizable ones; a stale one counts a tenth
+    double calls_priced = 0; ///< number of calls, with a stale one counted as a tenth
     std::size_t calls = 0;
 };
 
@@ -89,35 +89,36 @@
     store_fleet(std::size_t vms, std::size_t data_centres, std::uint64_t seed);
 
     void run(worksshift::duration span) { this->fleet.run(span); }
-    /** Runs until all live VMs know what the store holds. Returns how long that took. */
+    /** Runs until all live VMs have the store's state. Returns how long that took. */
     worksshift::duration run_until_known(worksshift::duration limit);
     void set_config(std::uint64_t version);
-    /** Asks for a data centre of servers to be evacuated, or takes that back. */
+    /** Requests or withdraws the evacuation of a data centre of servers. */
     void evacuate(const std::string& place);
     void take_back(const std::string& place);
-    /** Whether all live VMs but those of \p without know what is evacuated. */
+    /** Whether all live VMs except \p without know exactly the evacuated data centres. */
     [[nodiscard]] bool all_evacuate(const std::set<std::string>& places,
                                     const std::set<std::size_t>& without = {}) const;
     /** Writes the entry of a server of a service. */
     void add_server(const std::string& name, const std::string& service);
-    /** Takes the entry of a server away. */
+    /** Removes the entry of a server. */
     void remove_server(const std::string& name);
-    /** Live VMs that would send a request to the server, of those that have run for so long. */
+    /** Number of live VMs that have run for at least \p running_for and would send requests to the
+     * server. */
     [[nodiscard]] std::size_t vms_using(const std::string& server,
                                         worksshift::duration running_for = {}) const;
-    /** Loses the calls that wait, without a sign to the callers. */
+    /** Drops the pending calls without an answer or an error. */
     void lose_waiting() { this->waiting.clear(); }
-    /** Starts a VM anew: it knows nothing. */
+    /** Restarts a VM, which then knows nothing. */
     void restart(std::size_t vm);
     [[nodiscard]] bool all_know() const;
     [[nodiscard]] bool any_went_back() const;
-    /** In calls to the store of the whole fleet at the full price. */
+    /** Sum of `calls_priced` over the fleet. */
     [[nodiscard]] double calls_priced() const;
 
     digest_fleet fleet;
     model_store store;
     std::map<std::size_t, following_vm> vms;
-    /** Where servers are, by the low half of the names' hashes. */
+    /** Low halves of the hashes of the names of the servers' data centres. */
     std::set<std::uint32_t> server_places;
 
 private:
