--- a/test/fakes/fake_store.cpp
+++ b/test/fakes/fake_store.cpp
@@ -121,7 +121,7 @@
                       query_of(request, "serializable") == "1"};
     if (this->answer(item, std::chrono::steady_clock::now())) return;
     this->waiting.push_back(item);
-    // The request is freed with its connection when the caller gives up.
+    // The request is freed with its connection when the caller closes it.
     evhttp_connection_set_closecb(
         evhttp_request_get_connection(request),
         [](evhttp_connection* closed, void* self) {
@@ -150,7 +150,7 @@
 {
     if (this->fault == store_fault::silent) return;
     const instant now = std::chrono::steady_clock::now();
-    // An answer may end its connection, which takes out what else waits there.
+    // Sending an answer may close its connection, which removes the other calls pending on it.
     const std::list<waiter> current = this->waiting;
     for (const waiter& item : current) {
         const auto same = [&item](const waiter& each) { return each.request == item.request; };
--- a/test/fakes/fake_store.h
+++ b/test/fakes/fake_store.h
@@ -1,6 +1,6 @@
 /** \file
- * A small stand-in of the platform's store, by its published protocol: lists in pages, watches with
- * a wait, one revision counter, a history that may be gone, and the ways in which it fails.
+ * Fake of the platform's store that implements its published protocol: lists in pages, watches with
+ * a wait, a single revision counter, a history that may be dropped, and the store's faults.
  */
 #pragma once
 
@@ -18,7 +18,7 @@
     none,
     busy,   ///< 503
     many,   ///< 429
-    silent, ///< takes calls and does not answer
+    silent, ///< accepts calls and does not answer
 };
 
 class fake_store {
@@ -28,14 +28,14 @@
     /** Creates or replaces an object whose `spec` is the JSON text \p spec. */
     void put(const std::string& kind, const std::string& name, const std::string& spec);
     void remove(const std::string& kind, const std::string& name);
-    /** Forgets the history: watches from before are answered 410. */
+    /** Drops the history: watches from earlier revisions are answered with 410. */
     void forget_history() { this->history_from = this->revision; }
-    /** Loses the calls that wait now, without a sign, as when a connection goes silent. */
+    /** Drops the pending calls without an answer, as when a connection fails silently. */
     void lose_waiting() { this->waiting.clear(); }
 
-    /** Watches of a kind that wait for a change: the calls that one would answer. */
+    /** Number of pending watches of a kind, each of which a change would complete. */
     [[nodiscard]] std::size_t waiting_for(const std::string& kind) const;
-    /** Those of them that may be answered with a state that is seconds old. */
+    /** Number of these that allow an answer that is seconds old. */
     [[nodiscard]] std::size_t stale_waiting_for(const std::string& kind) const;
 
     store_fault fault = store_fault::none;
@@ -47,7 +47,7 @@
     struct change {
         std::uint64_t revision = 0;
         std::string kind;
-        std::string event; ///< as sent
+        std::string event; ///< as it is sent
     };
     struct waiter {
         evhttp_request* request = nullptr;
