--- a/src/call_limit.h
+++ b/src/call_limit.h
@@ -10,7 +10,7 @@
 struct call_limit {
     duration whole{};
     /** Longest time without a received byte; zero: as long as the whole. Distinguishes a long
-     * answer from a peer that does not respond. */
+     * response from a peer that does not respond. */
     duration silence{};
 };
 
--- a/src/config_follower.h
+++ b/src/config_follower.h
@@ -17,10 +17,10 @@
 
 namespace worksshift {
 
-/** The VM with the highest revision above \p own, or nullptr if there is none. If a nearby VM is
- * ahead of \p own, only nearby ones are considered, since traffic between data centres is costly.
- * Among equal ones the choice is random, since a single VM that all others ask would be
- * overloaded. */
+/** The VM with the highest revision above \p own, or nullptr if there is none. If a VM of the same
+ * data centre is ahead of \p own, only such VMs are considered, since traffic between data centres
+ * is costly; a small fleet counts as one data centre. Among equal ones the choice is random, since
+ * a single VM that all others ask would be overloaded. */
 const fleet_vm* choose_newest(const fleet_table& fleet, instant now, std::minstd_rand& random,
                               std::uint64_t own,
                               const std::function<std::uint64_t(const fleet_vm&)>& revision_of);
--- a/src/object_watch.h
+++ b/src/object_watch.h
@@ -1,6 +1,6 @@
 /** \file
  * Makes the calls to the platform's store that a `store_watch` decides on, and decodes their
- * answers.
+ * responses.
  */
 #pragma once
 
--- a/src/registry_feed.cpp
+++ b/src/registry_feed.cpp
@@ -83,7 +83,7 @@
 {
     const auto known = this->entries.find(item.name);
     // The removal of an object that was added and removed between two updates is new as well:
-    // another VM may have told other VMs of the object.
+    // another VM may have sent the object to other VMs.
     if (known == this->entries.end()) return true;
     return item.removed ? item.revision >= known->second.revision
                         : item.revision > known->second.revision;
--- a/src/registry_feed.h
+++ b/src/registry_feed.h
@@ -27,7 +27,7 @@
     std::uint32_t missing_ms = 0; ///< time since a VM first noticed that the entry was missing
 };
 
-/** Answer of one VM to another: everything that changed since a revision. */
+/** Response of one VM to another: everything that changed since a revision. */
 struct registry_update {
     std::uint64_t revision = 0; ///< revision of the registry after these objects are applied
     bool whole = false;         ///< the objects are the complete registry, not changes
--- a/src/registry_follower.h
+++ b/src/registry_follower.h
@@ -19,8 +19,8 @@
 
 class registry_follower {
 public:
-    /** Answers to other VMs are cached for at most this time, because they give the ages of missing
-     * servers that are still in use. */
+    /** Responses to other VMs are cached for at most this time, because they give the ages of
+     * missing servers that are still in use. */
     static constexpr duration kept_told_for = milliseconds(50);
 
     registry_follower(event_base* base, http_caller& caller, const link_address& store,
@@ -72,11 +72,11 @@
     store_outage outage;
     object_watch calls;
     registry_feed feed;
-    /** Cached answers to other VMs, by the revision from which they ask; most of them ask from the
-     * same one. */
+    /** Cached responses to other VMs, by the revision from which they ask; most of them ask from
+     * the same one. */
     mutable std::map<std::uint64_t, std::string> answers;
-    mutable std::uint64_t answers_at = 0; ///< revision of the registry in the cached answers
-    mutable instant answers_made{};       ///< when the oldest cached answer was made
+    mutable std::uint64_t answers_at = 0; ///< revision of the registry in the cached responses
+    mutable instant answers_made{};       ///< when the oldest cached response was made
     std::minstd_rand random{std::random_device{}()};
 };
 
--- a/src/server_registry.cpp
+++ b/src/server_registry.cpp
@@ -86,7 +86,7 @@
     return servers;
 }
 
-/** Whether the removed entry was written by an earlier instance of the server. */
+/** Whether the removed entry was written by an earlier incarnation of the server. */
 bool server_registry::is_former(const stored_object& removal) const
 {
     try {
--- a/src/server_registry.h
+++ b/src/server_registry.h
@@ -27,7 +27,7 @@
 
 /** The update came from the store. */
 struct told_by_store {
-    /** True for the answer of a watch; a list does not say when an entry was removed. */
+    /** True for the response of a watch; a list does not say when an entry was removed. */
     bool as_it_happens = false;
 };
 /** The update came from another VM. */
--- a/src/store_outage.h
+++ b/src/store_outage.h
@@ -2,8 +2,8 @@
  * Determines when the store returned from an outage, from this VM's calls and from what other VMs
  * report of theirs.
  *
- * Servers' entries expire only while the servers cannot write to the store. A VM's first answer
- * does not show that the store was unavailable, nor does the first answer after a fault of that
+ * Servers' entries expire only while the servers cannot write to the store. A VM's first response
+ * does not show that the store was unavailable, nor does the first response after a fault of that
  * VM's own path to the store: a store that answered other VMs meanwhile was available, and one that
  * was unavailable has returned for all VMs as soon as it answers any of them.
  */
@@ -22,7 +22,7 @@
 
 struct fleet_digest;
 
-/** What the VMs tell each other about the store's availability; the epoch: unknown. */
+/** What the VMs report to each other about the store's availability; the epoch: unknown. */
 struct store_news {
     instant back_at{};      ///< when it returned from an outage
     instant confirmed_at{}; ///< when it last answered a linearizable call of any VM
@@ -48,14 +48,14 @@
 
 class store_outage {
 public:
-    /** The reported time of another VM's answer is too late by at most this, as ages are rounded
+    /** The reported time of another VM's response is too late by at most this, as ages are rounded
      * and take time to arrive. */
     static constexpr duration told_late_by = milliseconds(500);
 
-    /** \p failing: the first failed call since the last answer; std::nullopt if the calls are
+    /** \p failing: the first failed call since the last response; std::nullopt if the calls are
      * answered or none was made. \p answered_here: when the store last answered this VM; the
-     * epoch: never. \p elsewhere: what the other VMs report. \p cut_off: no other VM is heard, so
-     * the fault may be this VM's. */
+     * epoch: never. \p elsewhere: what the other VMs report. \p cut_off: no digest of another VM
+     * is received, so the fault may be this VM's. */
     void update(const std::optional<failed_call>& failing, instant answered_here,
                 const store_news& elsewhere, bool cut_off);
 
@@ -68,7 +68,7 @@
     std::optional<instant> failure_noticed_at; ///< newest failure, until a VM is answered
     std::optional<failed_call> failing;        ///< value passed to the last update()
     bool was_cut_off = false;                  ///< at any time since the newest failure
-    instant answered{};                        ///< newest answer to any VM
+    instant answered{};                        ///< newest response to any VM
     instant back{};
 };
 
--- a/src/store_watch.cpp
+++ b/src/store_watch.cpp
@@ -97,7 +97,7 @@
     this->call.limit = {this->answering ? wait + wait_grace : probe_timeout};
 }
 
-/** Whether the answer belongs to the newest call, which is then no longer pending. */
+/** Whether the response belongs to the newest call, which is then no longer pending. */
 bool store_watch::answers(std::uint64_t number)
 {
     return number == this->calls && std::exchange(this->awaiting, false);
@@ -144,7 +144,7 @@
 {
     const bool early = now - this->asked_at < std::get<watch_read>(this->call.what).wait / 2;
     this->wait_until(early ? now + this->pace().gather : now);
-    // An answer that is no newer than the known revision holds nothing new.
+    // A response that is no newer than the known revision holds nothing new.
     if (page.revision <= this->revision) return;
     this->revision = page.revision;
     if (page.objects.empty()) return;
--- a/src/store_watch.h
+++ b/src/store_watch.h
@@ -1,12 +1,12 @@
 /** \file
  * Decides when one VM reads one kind of object from the platform's store, and processes the
- * answers: a list first, then watches that each continue from the revision of the last answer, and
- * a new list if the store no longer holds the history since then.
+ * responses: a list first, then watches that each continue from the revision of the last response,
+ * and a new list if the store no longer holds the history since then.
  *
  * The store may be slow, be down, refuse only this VM, or answer with a state that is seconds old.
  * A failed call is repeated after a pause that doubles up to a limit, with jitter, so that the VMs
- * do not all return at once. Answers that are older than the known state change nothing. The class
- * reads no clock and makes no calls, so that fleets of any size can be simulated in one loop.
+ * do not all return at once. Responses that are older than the known state change nothing. The
+ * class reads no clock and makes no calls, so that fleets of any size can be simulated in one loop.
  */
 #pragma once
 
@@ -37,7 +37,7 @@
 
 /** A call to the store that is to be made. */
 struct store_read {
-    std::uint64_t number = 0; ///< identifies the call when its answer is passed in
+    std::uint64_t number = 0; ///< identifies the call when its response is passed in
     read_mode mode = read_mode::stale;
     std::variant<list_read, watch_read> what;
     call_limit limit;
@@ -46,7 +46,7 @@
 /** Timing of the watches in one read mode. */
 struct watch_pace {
     milliseconds wait;    ///< longest wait of a watch for a change
-    duration gather;      ///< pause between an answer with changes and the next watch
+    duration gather;      ///< pause between a response with changes and the next watch
     duration first_pause; ///< pause after the first failure; doubles with each further one
     duration longest_pause;
     duration after_list; ///< pause between a list and the first watch
@@ -56,20 +56,20 @@
 public:
     /** For linearizable watches, from which the fleet learns of changes. They are repeated 400 ms
      * after a change: a server that leaves must get no new work after two seconds, and this is a
-     * fifth of that. A watch ends after at most 4 s, so that a lost answer is noticed before a new
-     * configuration is due. The first watch waits 1 s after the list: by then the VMs of a fleet
-     * that starts know which few of them are to watch in this mode. */
+     * fifth of that. A watch ends after at most 4 s, so that a lost response is noticed before a
+     * new configuration is due. The first watch waits 1 s after the list: by then the VMs of a
+     * fleet that starts know which few of them are to watch in this mode. */
     static constexpr watch_pace prompt_pace{milliseconds(4000), milliseconds(400),
                                             milliseconds(150), milliseconds(1200),
                                             milliseconds(1000)};
-    /** For stale watches, which are a fallback for when no VM gets answers to linearizable ones.
+    /** For stale watches, which are a fallback for when no VM gets responses to linearizable ones.
      * While the store is unavailable many VMs call it, so each of them calls rarely. The first
      * watch waits 3 s after the list: in a fleet of 295 VMs it takes that long until all but a few
      * know that they need not watch. */
     static constexpr watch_pace standby_pace{milliseconds(12000), milliseconds(1500),
                                              milliseconds(600), milliseconds(5000),
                                              milliseconds(3000)};
-    /** Allowance for the answer to a watch, beyond the wait that was asked for. */
+    /** Allowance for the response to a watch, beyond the wait that was asked for. */
     static constexpr duration wait_grace = milliseconds(500);
     /** After a failure, watches use this wait until one is answered: with a long wait, a call to a
      * store that does not respond would delay noticing its return. */
@@ -89,16 +89,16 @@
      * it. */
     void advance(std::uint64_t known);
 
-    /** The call to make now, or std::nullopt if none is due. Its answer is to be passed to one of
+    /** The call to make now, or std::nullopt if none is due. Its response is to be passed to one of
      * the functions below. */
     std::optional<store_read> next(instant now);
-    /** When the next call is due, or was; std::nullopt while an answer is awaited or if there is
+    /** When the next call is due, or was; std::nullopt while a response is awaited or if there is
      * nothing to read. */
     [[nodiscard]] std::optional<instant> next_at() const;
     void take_page(std::uint64_t number, object_page page, instant now);
     /** The store no longer holds the history since the watched revision. */
     void take_history_gone(std::uint64_t number, instant now);
-    /** The call failed, or its answer is unusable. */
+    /** The call failed, or its response is unusable. */
     void take_failure(std::uint64_t number, std::string_view reason, instant now);
 
     /** Objects of one page of the first list, if more pages follow. */
@@ -114,7 +114,7 @@
     {
         return this->mode.has_value() && this->listed && this->answering;
     }
-    /** Whether an answer to the newest call is awaited. */
+    /** Whether a response to the newest call is awaited. */
     [[nodiscard]] bool awaits() const { return this->awaiting; }
     [[nodiscard]] bool reachable() const { return this->answering; }
     /** The first failed call since the store last answered; std::nullopt if the last call was
--- a/src/watch_duty.h
+++ b/src/watch_duty.h
@@ -7,8 +7,9 @@
  * incarnations among those of each data centre that the store answers are standby watchers: they
  * use stale reads, which may be seconds old and cost a tenth. If no linearizable call of any VM has
  * been answered for `confirmed_within` although the standby watchers' calls are answered, these
- * switch to linearizable reads. A VM is a standby watcher unless enough nearby VMs are, so a VM
- * that hears no other VM, or only VMs that the store refuses, still has a source.
+ * switch to linearizable reads. A VM is a standby watcher unless enough VMs of the same data centre
+ * are, so a VM that receives no digests, or only those of VMs that the store refuses, still has a
+ * source.
  */
 #pragma once
 
@@ -29,8 +30,8 @@
      * centre can be asked as well. */
     static constexpr std::size_t watchers_of_fleet = 3;
     static constexpr std::size_t watchers_of_data_centre = 2;
-    /** A watcher that was not heard for this many of its gossip periods, and for at least the time
-     * below, does not count. */
+    /** A watcher whose digests were not received for this many of its gossip periods, and for at
+     * least the time below, does not count. */
     static constexpr int watcher_periods = 4;
     static constexpr duration watcher_heard_within = milliseconds(700);
     /** When watchers are missing, a VM waits this long per VM that precedes it and does not watch
--- a/test/correctness/leaving_servers_are_known_to_all.cpp
+++ b/test/correctness/leaving_servers_are_known_to_all.cpp
@@ -1,7 +1,7 @@
 /** \file
- * Runs routers as processes: when a server announces in an answer to one router that it leaves, all
- * routers stop sending it requests within a second or two, also one that starts later, while the
- * store does not respond.
+ * Runs routers as processes: when a server announces in a response to one router that it leaves,
+ * all routers stop sending it requests within a second or two, also one that starts later, while
+ * the store does not respond.
  */
 #include <cppunit/extensions/HelperMacros.h>
 
--- a/test/correctness/store_outages_are_told_apart.cpp
+++ b/test/correctness/store_outages_are_told_apart.cpp
@@ -1,6 +1,6 @@
 /** \file
- * The end of an outage of the store is distinguished from a VM's first answer, and from the end of
- * a fault of that VM's own path to the store.
+ * The end of an outage of the store is distinguished from a VM's first response, and from the end
+ * of a fault of that VM's own path to the store.
  */
 #include <cppunit/extensions/HelperMacros.h>
 
@@ -55,8 +55,8 @@
         CPPUNIT_ASSERT(outage.back_at() == at(milliseconds(4000)));
     }
 
-    /** Guards against each VM using its own first answer as the time of the store's return: another
-     * VM was answered earlier. */
+    /** Guards against each VM using its own first response as the time of the store's return:
+     * another VM was answered earlier. */
     static void back_for_another_vm_first()
     {
         store_outage outage;
@@ -102,8 +102,8 @@
         CPPUNIT_ASSERT(outage.back_at() == none);
     }
 
-    /** Guards against missing an outage because an answer from before the failure is reported late.
-     */
+    /** Guards against missing an outage because a response from before the failure is reported
+     * late. */
     static void an_answer_before_the_loss_that_is_told_late()
     {
         store_outage outage;
--- a/test/error/configurations_that_come_late.cpp
+++ b/test/error/configurations_that_come_late.cpp
@@ -159,7 +159,7 @@
         this->second->watching = false;
         this->first->serves_garbage = true;
         this->store->put("config", "main", support::example_config(9));
-        // The other VM's answer is rejected, so the store is asked instead.
+        // The other VM's response is rejected, so the store is asked instead.
         CPPUNIT_ASSERT(this->version_of(*this->second, 9));
     }
 
--- a/test/error/servers_that_leave_or_lapse.cpp
+++ b/test/error/servers_that_leave_or_lapse.cpp
@@ -36,7 +36,7 @@
     CPPUNIT_TEST(feed_refuses_other_bytes);
     CPPUNIT_TEST_SUITE_END();
 
-    /** The users' bound: time from the store's answer to the removal until the last new work. */
+    /** The users' bound: time from the store's response to the removal until the last new work. */
     static constexpr duration leaving_bound = milliseconds(2000);
 
     protocol dialect = platform_protocol();
@@ -186,7 +186,7 @@
         CPPUNIT_ASSERT_EQUAL(std::size_t{1}, this->usable());
     }
 
-    /** Guards against the answer of a VM that started during an outage, and so knows no servers,
+    /** Guards against the response of a VM that started during an outage, and so knows no servers,
      * removing a whole service. */
     void a_teller_that_never_knew_a_server_says_nothing_of_it()
     {
@@ -247,7 +247,7 @@
         CPPUNIT_ASSERT_EQUAL(std::uint32_t{700}, told.kept.front().missing_ms);
     }
 
-    /** Guards against a partial answer to a VM that lacks more changes than the feed holds. */
+    /** Guards against a partial response to a VM that lacks more changes than the feed holds. */
     static void feed_passes_on_the_whole()
     {
         registry_feed source;
@@ -260,7 +260,7 @@
         CPPUNIT_ASSERT(!source.since(source.revision() - 1).whole);
     }
 
-    /** Guards against stale answers of the store, which arrive between newer updates from other
+    /** Guards against stale responses of the store, which arrive between newer updates from other
      * VMs, overwriting newer entries. */
     static void feed_passes_over_what_is_older()
     {
--- a/test/error/store_that_fails.cpp
+++ b/test/error/store_that_fails.cpp
@@ -157,8 +157,8 @@
         this->store->fault = store_fault::silent;
         this->store->lose_waiting();
         CPPUNIT_ASSERT(this->run_until([this] { return !this->state->reachable(); }));
-        // Waits until the watch calls the silent store again, so that the call that could notice
-        // the store's return is pending.
+        // Waits until the watch calls the unresponsive store again, so that the call that could
+        // notice the store's return is pending.
         const std::size_t before = this->store->watches;
         CPPUNIT_ASSERT(this->run_until([&] { return this->store->watches > before; }));
         this->store->fault = store_fault::none;
--- a/test/fakes/fake_store.cpp
+++ b/test/fakes/fake_store.cpp
@@ -150,7 +150,7 @@
 {
     if (this->fault == store_fault::silent) return;
     const instant now = std::chrono::steady_clock::now();
-    // Sending an answer may close its connection, which removes the other calls pending on it.
+    // Sending a response may close its connection, which removes the other calls pending on it.
     const std::list<waiter> current = this->waiting;
     for (const waiter& item : current) {
         const auto same = [&item](const waiter& each) { return each.request == item.request; };
--- a/test/fakes/fake_store.h
+++ b/test/fakes/fake_store.h
@@ -30,12 +30,12 @@
     void remove(const std::string& kind, const std::string& name);
     /** Drops the history: watches from earlier revisions are answered with 410. */
     void forget_history() { this->history_from = this->revision; }
-    /** Drops the pending calls without an answer, as when a connection fails silently. */
+    /** Drops the pending calls without a response, as when a connection fails silently. */
     void lose_waiting() { this->waiting.clear(); }
 
     /** Number of pending watches of a kind, each of which a change would complete. */
     [[nodiscard]] std::size_t waiting_for(const std::string& kind) const;
-    /** Number of these that allow an answer that is seconds old. */
+    /** Number of these that allow a response that is seconds old. */
     [[nodiscard]] std::size_t stale_waiting_for(const std::string& kind) const;
 
     store_fault fault = store_fault::none;
--- a/test/fuzz/leaving_servers_get_nothing_new.cpp
+++ b/test/fuzz/leaving_servers_get_nothing_new.cpp
@@ -16,7 +16,7 @@
 using namespace worksshift;
 using support::store_fleet;
 
-/** The shortest of the users' bounds: from the store's answer until a leaving server gets no new
+/** The shortest of the users' bounds: from the store's response until a leaving server gets no new
  * work. */
 constexpr duration promised_within = seconds(2);
 /** Part of that bound: time in which a request that was sent before the server was dropped arrives
--- a/test/fuzz/versions_reach_every_vm.cpp
+++ b/test/fuzz/versions_reach_every_vm.cpp
@@ -1,7 +1,7 @@
 /** \file
  * Every VM gets every version of the configuration and every change of the registry within the
  * promised time, and never returns to an older one, although most VMs do not call the store, those
- * that do get answers that are seconds old, and the store fails in all its ways. The number of
+ * that do get responses that are seconds old, and the store fails in all its ways. The number of
  * calls grows with the number of changes and not with the number of VMs.
  */
 #include <cppunit/extensions/HelperMacros.h>
@@ -14,7 +14,7 @@
 using namespace worksshift;
 using support::store_fleet;
 
-/** The shortest of the users' bounds: from the store's answer to a change until the change is in
+/** The shortest of the users' bounds: from the store's response to a change until the change is in
  * force, or until a leaving server gets no new work. */
 constexpr duration promised_within = seconds(2);
 /** Shortest time after the end of a disturbance of the store or of a VM from which on the bounds
@@ -126,7 +126,7 @@
     }
 
     /** Guards against changes being delayed when the store refuses both linearizable watchers: the
-     * others notice by the age of the last confirmed answer. */
+     * others notice by the age of the last confirmed response. */
     static void with_both_linearizable_watchers_refused()
     {
         store_fleet fleet(48, 6, 5);
--- a/test/support/store_fleet.cpp
+++ b/test/support/store_fleet.cpp
@@ -11,9 +11,9 @@
 
 namespace {
 
-/** Time from a call to the store's answer. */
+/** Time from a call to the store's response. */
 constexpr duration store_delay = milliseconds(4);
-/** Time from a request to another VM to its answer. */
+/** Time from a request to another VM to its response. */
 constexpr duration peer_delay = milliseconds(50);
 
 } // namespace
--- a/test/support/store_fleet.h
+++ b/test/support/store_fleet.h
@@ -106,7 +106,7 @@
      * server. */
     [[nodiscard]] std::size_t vms_using(const std::string& server,
                                         worksshift::duration running_for = {}) const;
-    /** Drops the pending calls without an answer or an error. */
+    /** Drops the pending calls without a response or an error. */
     void lose_waiting() { this->waiting.clear(); }
     /** Restarts a VM, which then knows nothing. */
     void restart(std::size_t vm);
