--- a/src/fleet_digest.cpp
+++ b/src/fleet_digest.cpp
@@ -13,12 +13,12 @@
 
 constexpr std::uint8_t known_format = fleet_digest{}.format;
 
-/** A vector with a count of one byte; what is beyond that is left out. */
+/** Writes a vector with a one-byte count; items beyond 255 are dropped. */
 template <class Item>
 void save_items(cereal::PortableBinaryOutputArchive& archive, const std::vector<Item>& items)
 {
-    constexpr std::size_t most = std::numeric_limits<std::uint8_t>::max();
-    const std::size_t count = std::min(items.size(), most);
+    constexpr std::size_t max_count = std::numeric_limits<std::uint8_t>::max();
+    const std::size_t count = std::min(items.size(), max_count);
     archive(static_cast<std::uint8_t>(count));
     for (std::size_t i = 0; i < count; ++i)
         archive(items[i]);
@@ -106,7 +106,7 @@
 void load(Archive& archive, fleet_digest& item)
 {
     archive(item.format);
-    if (item.format != known_format) throw peer_error("digest", "", "another format");
+    if (item.format != known_format) throw peer_error("digest", "", "unsupported digest format");
     archive(item.incarnation, item.sequence, item.data_centre, item.period_ms, item.config_version,
             item.servers_revision, item.store_back, item.store_confirmed, item.watches_store,
             item.leaving, item.joining, item.own_loads, item.centre_loads, item.distant_loads,
--- a/src/fleet_digest.h
+++ b/src/fleet_digest.h
@@ -1,8 +1,10 @@
 /** \file
- * What one VM tells another of itself, in one datagram: which versions it has in force, whether it
- * follows the store, which VMs it knows to live, and a part of a table of loads.
+ * Wire format of the digest, the gossip datagram by which a VM reports its state to other VMs: the
+ * versions that it has in force, whether it watches the store, liveness of other VMs, and one part
+ * of its load tables.
  *
- * Counts are one byte each and ids four, since a fleet sends thousands of these a second.
+ * A fleet sends thousands of digests per second, so the encoding is compact: counts take one byte,
+ * and names are sent as four-byte hashes.
  */
 #pragma once
 
@@ -16,7 +18,7 @@
 
 namespace worksshift {
 
-/** Requests under way at one server. */
+/** Number of requests in flight at one server. */
 struct load_entry {
     std::uint32_t server = 0; ///< low half of the hash of its id
     std::uint16_t requests = 0;
@@ -24,14 +26,14 @@
     bool operator==(const load_entry&) const = default;
 };
 
-/** Entries at most in one datagram, so that it fits into one packet. */
+/** Maximum number of load entries in one datagram, so that it fits into one packet. */
 constexpr std::size_t load_entries_at_most = 96;
 
-/** A part of a table of loads: all servers whose id leaves the remainder `part` when divided by
- * `parts`, and any others that are busy. A server of that remainder that is not named is idle. */
+/** One part of a load table: all servers with `server % parts == part`, and busy servers of any
+ * other part. A server of this part that has no entry is idle. */
 struct load_part {
     std::uint8_t part = 0;
-    std::uint8_t parts = 0; ///< 0: nothing is said of any server but those named
+    std::uint8_t parts = 0; ///< 0: only the listed servers are covered
     std::vector<load_entry> entries;
 
     [[nodiscard]] bool covers(std::uint32_t server) const
@@ -40,100 +42,103 @@
     }
 };
 
-/** Load that a server stated with an answer to the sender. */
+/** Load that a server reported in a response to the sender. */
 struct stated_load {
     std::uint32_t server = 0; ///< low half of the hash of its id
     std::uint16_t requests = 0;
     std::uint8_t age = 0; ///< in units of `stated_age_unit`
 };
 constexpr duration stated_age_unit = milliseconds(10);
-/** Statements in one digest at most: the newest. */
+/** Maximum number of reported loads in one digest; the newest are kept. */
 constexpr std::size_t stated_loads_at_most = 24;
 
-/** How attempts of the sender at a plain server ended. */
+/** Results of the sender's attempts at one server. Model engines are included only after failures.
+ */
 struct told_outcomes {
     std::uint32_t server = 0; ///< low half of the hash of its id
     std::uint8_t answered = 0;
-    std::uint8_t failed = 0; ///< without an answer of use
-    std::uint8_t mean = 0;   ///< time of an answered one, in units of `told_time_unit`
+    std::uint8_t failed = 0; ///< without a usable response
+    std::uint8_t mean = 0;   ///< response time of answered attempts, in units of `told_time_unit`
 };
 constexpr duration told_time_unit = milliseconds(4);
-/** Servers in one digest at most. A VM of a large fleet has one or two between its digests. */
+/** Maximum number of servers with outcomes in one digest. In a large fleet, a VM has one or two of
+ * them between two of its digests. */
 constexpr std::size_t told_outcomes_at_most = 12;
 
-/** A server ended while a request was under way there. */
+/** A server process ended while a request was in flight there. */
 struct crash_report {
-    std::uint64_t content = 0; ///< of the request
-    std::uint32_t server = 0;  ///< low half of the hash of one life of the server
+    std::uint64_t content = 0; ///< hash of the request's content
+    std::uint32_t server = 0;  ///< low half of the hash of the server's incarnation
 
     auto operator<=>(const crash_report&) const = default;
 };
-/** Reports in one digest at most. */
+/** Maximum number of crash reports in one digest. */
 constexpr std::size_t crash_reports_at_most = 8;
 
-/** A content of requests that is not sent to servers, or is again. */
+/** Request content that is blocked from all servers, or that was unblocked. */
 struct blocked_content {
-    std::uint64_t content = 0;
-    std::uint8_t trials = 0; ///< in which another server ended
-    bool cleared = false;    ///< it may be sent again
-    std::uint16_t age = 0;   ///< of this state, in units of `blocked_age_unit`
+    std::uint64_t content = 0; ///< hash of the request's content
+    std::uint8_t trials = 0;   ///< trial requests that ended another server
+    bool cleared = false;      ///< requests with this content may be sent again
+    std::uint16_t age = 0;     ///< time in this state, in units of `blocked_age_unit`
 };
 constexpr duration blocked_age_unit = milliseconds(100);
-/** Blocked contents in one digest at most: the newest. */
+/** Maximum number of blocked contents in one digest; the newest are kept. */
 constexpr std::size_t blocked_contents_at_most = 16;
 
-/** Servers in one digest at most that leave by their own word. */
+/** Maximum number of servers in one digest that announced that they leave. */
 constexpr std::size_t leaving_servers_at_most = 16;
 
-/** Evacuated data centres in one digest at most. */
+/** Maximum number of evacuated data centres in one digest. */
 constexpr std::size_t evacuated_at_most = 32;
 
 constexpr duration store_back_unit = milliseconds(10);
 constexpr duration store_confirmed_unit = milliseconds(100);
 
-/** A VM that somebody heard. */
+/** Last sign of life of a VM, received by the sender itself or passed on by others. */
 struct vm_rumour {
     std::uint32_t address = 0;     ///< IPv4, host order
     std::uint32_t data_centre = 0; ///< low half of the hash of its name
-    std::uint8_t age = 0;          ///< since it was heard, in tenths of a second
+    std::uint8_t age = 0;          ///< time since a digest of it arrived, in units of 100 ms
 };
 
-/** State of one VM, as it tells it itself. */
+/** State of one VM, as reported by that VM. */
 struct fleet_digest {
     std::uint8_t format = 8;
     std::uint32_t incarnation = 0; ///< random for each start of the process
-    std::uint32_t sequence = 0;
-    std::uint32_t data_centre = 0;
-    std::uint16_t period_ms = 0; ///< until the sender's next digest
+    std::uint32_t sequence = 0;    ///< increases with each digest of one incarnation
+    std::uint32_t data_centre = 0; ///< low half of the hash of its name
+    std::uint16_t period_ms = 0;   ///< until the sender's next digest
     std::uint64_t config_version = 0;
-    std::uint64_t servers_revision = 0; ///< of the newest change of the registry that it knows
-    /** Of the store, of which the sender knows the evacuated data centres; 0: it does not. */
+    std::uint64_t servers_revision = 0; ///< newest change of the registry known to the sender
+    /** Revision of the store to which `evacuated` applies; 0: the sender does not know it. */
     std::uint64_t evacuations_revision = 0;
     std::vector<std::uint32_t> evacuated; ///< low halves of the hashes of their names
-    /** Time since the store last came back to some VM that was without it, as far as the sender
-     * knows; in units of `store_back_unit`, the highest for longer ago or never. */
+    /** Time since the store last recovered from an outage, as far as the sender knows, in units of
+     * `store_back_unit`. The maximum stands for longer ago or never. */
     std::uint16_t store_back = 65535;
-    /** Time since the store last answered a linearizable call of some VM, in units of
-     * `store_confirmed_unit`, the highest likewise. */
+    /** Time since the store last answered a linearizable call of any VM, in units of
+     * `store_confirmed_unit`. The maximum stands for longer ago or never. */
     std::uint8_t store_confirmed = 255;
-    bool watches_store = false; ///< asks the store for changes, which answers it
+    bool watches_store = false; ///< it watches the store for changes, and the store answers
     bool leaving = false;
-    bool joining = false;    ///< knows few VMs yet: whoever hears it should answer
-    load_part own_loads;     ///< requests of the sender
-    load_part centre_loads;  ///< requests of all VMs of the sender's data centre
-    load_part distant_loads; ///< requests of the other data centres, as the sender was told
-    std::vector<stated_load> stated_loads;   ///< new since the sender's last digest
-    std::vector<told_outcomes> outcomes;     ///< likewise
-    std::uint16_t requests_per_s = 0;        ///< that ask the sender for a model engine, in tenths
-    std::vector<crash_report> crash_reports; ///< new to the sender
+    bool joining = false;    ///< it knows few VMs yet: recipients should answer it
+    load_part own_loads;     ///< requests from the sender
+    load_part centre_loads;  ///< requests from all VMs of the sender's data centre
+    load_part distant_loads; ///< requests from other data centres, as reported to the sender
+    std::vector<stated_load> stated_loads; ///< reported since the sender's last digest
+    std::vector<told_outcomes> outcomes;   ///< since the sender's last digest
+    std::uint16_t requests_per_s = 0;      ///< that the sender receives for model engines, in 0.1/s
+    std::vector<crash_report> crash_reports; ///< recent; each is repeated in a few digests
     std::vector<blocked_content> blocked;
-    /** Servers that leave by their own word, which the registry lists as ready: lives of them. */
+    /** Servers that announced that they leave but that the registry lists as ready: low halves of
+     * the hashes of their incarnations. */
     std::vector<std::uint32_t> leaving_servers;
     std::vector<vm_rumour> vms;
 };
 
 std::string encode(const fleet_digest& digest);
-/** \throws peer_error when the bytes are not a digest of this format. */
+/** \throws peer_error if the bytes are not a digest of the supported format. */
 fleet_digest decode_digest(std::string_view bytes, const std::string& peer);
 
 } // namespace worksshift
