--- a/src/fleet_gossip.cpp
+++ b/src/fleet_gossip.cpp
@@ -22,21 +22,21 @@
     return std::chrono::steady_clock::now();
 }
 
-std::uint32_t to_number(const link_address& from)
+std::uint32_t to_host_order(const link_address& from)
 {
     return ntohl(to_socket_address(from).sin_addr.s_addr);
 }
 
-std::vector<std::uint32_t> to_numbers(std::span<const link_address> from)
+std::vector<std::uint32_t> all_to_host_order(std::span<const link_address> from)
 {
     std::vector<std::uint32_t> numbers(from.size());
-    std::ranges::transform(from, numbers.begin(), to_number);
+    std::ranges::transform(from, numbers.begin(), to_host_order);
     return numbers;
 }
 
 fleet_table::identity identify(const link_address& listen, const data_centre_id& data_centre)
 {
-    return {to_number(listen), static_cast<std::uint32_t>(data_centre.hash()),
+    return {to_host_order(listen), static_cast<std::uint32_t>(data_centre.hash()),
             static_cast<std::uint32_t>(random_number())};
 }
 
@@ -44,7 +44,7 @@
 
 fleet_gossip::fleet_gossip(event_base* base, const link_address& listen,
                            const data_centre_id& data_centre, std::span<const link_address> seeds)
-    : own(listen), rounds(identify(listen, data_centre), to_numbers(seeds), now()),
+    : own(listen), rounds(identify(listen, data_centre), all_to_host_order(seeds), now()),
       socket(::socket(AF_INET, SOCK_DGRAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0))
 {
     const sockaddr_in at = to_socket_address(listen);
@@ -52,16 +52,16 @@
         ::bind(this->socket, reinterpret_cast<const sockaddr*>(&at), sizeof at) != 0) {
         throw user_error("listen", to_string(listen), "the address for other VMs cannot be bound");
     }
-    const auto readable = [](evutil_socket_t, short, void* self) {
+    const auto on_readable = [](evutil_socket_t, short, void* self) {
         static_cast<fleet_gossip*>(self)->receive();
     };
-    this->reading.reset(event_new(base, this->socket, EV_READ | EV_PERSIST, readable, this));
-    event_add(this->reading.get(), nullptr);
+    this->read_event.reset(event_new(base, this->socket, EV_READ | EV_PERSIST, on_readable, this));
+    event_add(this->read_event.get(), nullptr);
 }
 
 fleet_gossip::~fleet_gossip()
 {
-    this->reading.reset();
+    this->read_event.reset();
     if (this->socket >= 0) ::close(this->socket);
 }
 
@@ -72,7 +72,7 @@
 
 void fleet_gossip::add_seeds(std::span<const link_address> seeds)
 {
-    this->rounds.add_seeds(to_numbers(seeds), now());
+    this->rounds.add_seeds(all_to_host_order(seeds), now());
 }
 
 void fleet_gossip::tick(instant time, const std::function<own_state()>& describe)
@@ -90,27 +90,28 @@
     to.sin_family = AF_INET;
     to.sin_port = htons(this->own.port);
     to.sin_addr.s_addr = htonl(address);
-    // A datagram that cannot be sent is as good as a lost one: the next replaces it.
+    // A failed send is treated like a lost datagram: the next digest replaces it.
     ::sendto(this->socket, bytes.data(), bytes.size(), MSG_DONTWAIT,
              reinterpret_cast<const sockaddr*>(&to), sizeof to);
-    this->sent += bytes.size();
+    this->sent_bytes += bytes.size();
 }
 
 void fleet_gossip::receive()
 {
     std::array<char, datagram_at_most> bytes{};
-    constexpr int datagrams_per_turn = 32;
-    for (int i = 0; i < datagrams_per_turn; ++i) {
+    constexpr int max_datagrams_per_call = 32;
+    for (int i = 0; i < max_datagrams_per_call; ++i) {
         sockaddr_in from{};
         socklen_t size = sizeof from;
         const ssize_t count = ::recvfrom(this->socket, bytes.data(), bytes.size(), MSG_DONTWAIT,
                                          reinterpret_cast<sockaddr*>(&from), &size);
         if (count <= 0) return;
-        this->take(ntohl(from.sin_addr.s_addr), {bytes.data(), static_cast<std::size_t>(count)});
+        this->apply_digest(ntohl(from.sin_addr.s_addr),
+                           {bytes.data(), static_cast<std::size_t>(count)});
     }
 }
 
-void fleet_gossip::take(std::uint32_t from, std::string_view bytes)
+void fleet_gossip::apply_digest(std::uint32_t from, std::string_view bytes)
 {
     try {
         fleet_table& fleet = this->rounds.fleet();
--- a/src/fleet_gossip.h
+++ b/src/fleet_gossip.h
@@ -1,8 +1,8 @@
 /** \file
- * What the VMs of a fleet tell each other, by UDP: digests of themselves, in rounds.
+ * Gossip between the VMs of a fleet: sends and receives digests over UDP.
  *
- * A digest replaces the one before, so a lost datagram costs freshness only. VMs are found through
- * the seeds and through the rumours that digests carry.
+ * Each digest replaces the previous one of its sender, so a lost datagram only makes the state of
+ * that VM older. VMs discover each other through the seeds and the liveness reports in digests.
  */
 #pragma once
 
@@ -22,7 +22,8 @@
 
 class fleet_gossip {
 public:
-    /** All VMs of the fleet use the same port. */
+    /** Binds the UDP socket. All VMs of the fleet use the port of \p listen. \throws user_error if
+     * the address cannot be bound. */
     fleet_gossip(event_base* base, const link_address& listen, const data_centre_id& data_centre,
                  std::span<const link_address> seeds);
     ~fleet_gossip();
@@ -31,11 +32,11 @@
     fleet_gossip(fleet_gossip&&) = delete;
     fleet_gossip& operator=(fleet_gossip&&) = delete;
 
-    /** Sends the round that is due. */
+    /** Sends a round of digests if one is due. */
     void tick(instant now, const std::function<own_state()>& describe);
-    /** Further VMs to begin with. */
+    /** Adds VMs to contact. */
     void add_seeds(std::span<const link_address> seeds);
-    /** There is news: sends the next round early. */
+    /** Sends the next round early, as after a change that others should learn soon. */
     void hasten() { this->rounds.hasten(); }
 
     [[nodiscard]] const fleet_table& fleet() const { return this->rounds.fleet(); }
@@ -43,22 +44,22 @@
     {
         return this->rounds.loads_of_others(now);
     }
-    [[nodiscard]] std::uint64_t bytes_sent() const { return this->sent; }
+    [[nodiscard]] std::uint64_t bytes_sent() const { return this->sent_bytes; }
     [[nodiscard]] link_address address_of(const fleet_vm& item) const;
 
-    /** A newer digest of a VM has come. */
+    /** A digest arrived that is newer than the last one of its sender. */
     sigc::signal<void(const fleet_vm&)> on_digest;
 
 private:
     void receive();
-    void take(std::uint32_t from, std::string_view bytes);
+    void apply_digest(std::uint32_t from, std::string_view bytes);
     void send(std::uint32_t address, const std::string& bytes);
 
     link_address own;
     fleet_rounds rounds;
-    event_ptr<event> reading;
+    event_ptr<event> read_event;
     evutil_socket_t socket = -1;
-    std::uint64_t sent = 0;
+    std::uint64_t sent_bytes = 0;
 };
 
 } // namespace worksshift
