--- a/src/fleet_rounds.cpp
+++ b/src/fleet_rounds.cpp
@@ -6,18 +6,18 @@
 
 namespace worksshift {
 
-fleet_rounds::fleet_rounds(const fleet_table::identity& self, std::span<const std::uint32_t> given,
-                           instant now)
-    : seeds(given.begin(), given.end()), table(self, given, now), loads(this->table)
+fleet_rounds::fleet_rounds(const fleet_table::identity& self,
+                           std::span<const std::uint32_t> new_seeds, instant now)
+    : seeds(new_seeds.begin(), new_seeds.end()), table(self, new_seeds, now), loads(this->table)
 {
 }
 
-void fleet_rounds::add_seeds(std::span<const std::uint32_t> given, instant now)
+void fleet_rounds::add_seeds(std::span<const std::uint32_t> new_seeds, instant now)
 {
-    for (const std::uint32_t seed : given) {
+    for (const std::uint32_t seed : new_seeds) {
         if (std::ranges::find(this->seeds, seed) == this->seeds.end()) this->seeds.push_back(seed);
     }
-    this->table.add_seeds(given, now);
+    this->table.add_seeds(new_seeds, now);
 }
 
 void fleet_rounds::hasten()
@@ -34,49 +34,50 @@
     fleet_digest& digest = state.digest;
     digest.incarnation = this->table.self().incarnation;
     digest.data_centre = this->table.self().data_centre;
-    digest.period_ms = static_cast<std::uint16_t>(this->between / milliseconds(1));
+    digest.period_ms = static_cast<std::uint16_t>(this->round_period / milliseconds(1));
     digest.joining = this->table.is_joining(now);
     std::vector<outgoing_digest> all;
-    all.push_back(this->to_near(digest, now));
+    all.push_back(this->make_near_digest(digest, now));
     digest.crash_reports = std::move(state.distant_crash_reports);
-    this->add_distant(all, digest, now);
-    all.push_back(this->to_joining(digest, now));
+    this->add_distant_digests(all, digest, now);
+    all.push_back(this->make_joining_digest(digest, now));
     ++this->rounds;
-    this->space_rounds(all);
+    this->update_period(all);
     this->last_round = now;
-    this->next_round = now + this->between;
+    this->next_round = now + this->round_period;
     return all;
 }
 
-/** The next rounds are as far apart as their bytes ask for. */
-void fleet_rounds::space_rounds(std::span<const outgoing_digest> sent)
+/** Sets the interval so that rounds of this size stay within the byte budget. */
+void fleet_rounds::update_period(std::span<const outgoing_digest> sent)
 {
     const auto bytes = std::accumulate(sent.begin(), sent.end(), std::size_t{0},
                                        [](std::size_t sum, const outgoing_digest& item) {
                                            return sum + item.bytes.size() * item.to.size();
                                        });
     const std::chrono::duration<double> wanted(static_cast<double>(bytes) / digest_bytes_per_s);
-    this->between = std::clamp(std::chrono::duration_cast<duration>(wanted),
-                               duration(shortest_period), duration(longest_period));
-    this->loads.set_period(this->between);
+    this->round_period = std::clamp(std::chrono::duration_cast<duration>(wanted),
+                                    duration(shortest_period), duration(longest_period));
+    this->loads.set_period(this->round_period);
 }
 
-outgoing_digest fleet_rounds::to_near(fleet_digest digest, instant now)
+outgoing_digest fleet_rounds::make_near_digest(fleet_digest digest, instant now)
 {
     digest.sequence = ++this->sequence;
     digest.vms = this->table.rumours(rumours_told, this->delegates, now);
     this->loads.describe(digest);
     outgoing_digest made{encode(digest), {}};
-    const bool trial = this->rounds % rounds_between_trials == 0;
+    const bool retry_silent = this->rounds % rounds_between_trials == 0;
     for (const auto& [address, item] : this->table.vms()) {
         if (!this->table.is_near(item)) continue;
-        const bool new_here = now - item.known_since < new_vm_period;
-        if (trial || new_here || fleet_table::is_heard(item, now)) made.to.push_back(address);
+        const bool is_new = now - item.known_since < new_vm_period;
+        if (retry_silent || is_new || fleet_table::is_heard(item, now)) made.to.push_back(address);
     }
     return made;
 }
 
-void fleet_rounds::add_distant(std::vector<outgoing_digest>& all, fleet_digest digest, instant now)
+void fleet_rounds::add_distant_digests(std::vector<outgoing_digest>& all, fleet_digest digest,
+                                       instant now)
 {
     digest.sequence = ++this->sequence;
     for (distant_message& message : this->loads.to_distant()) {
@@ -86,14 +87,15 @@
     }
 }
 
-/** Answers VMs that know few others yet, and makes this one known while it is one of them. */
-outgoing_digest fleet_rounds::to_joining(fleet_digest digest, instant now)
+/** Digest with more liveness reports: answers VMs that are joining, and goes to the seeds while
+ * this VM is joining. */
+outgoing_digest fleet_rounds::make_joining_digest(fleet_digest digest, instant now)
 {
     outgoing_digest made;
     for (auto& [address, item] : this->table.vms()) {
-        const bool seed =
+        const bool contact_seed =
             digest.joining && std::ranges::find(this->seeds, address) != this->seeds.end();
-        if (std::exchange(item.to_answer, false) || seed) made.to.push_back(address);
+        if (std::exchange(item.to_answer, false) || contact_seed) made.to.push_back(address);
     }
     if (made.to.empty()) return made;
     digest.sequence = ++this->sequence;
--- a/src/fleet_rounds.h
+++ b/src/fleet_rounds.h
@@ -1,7 +1,8 @@
 /** \file
- * The rounds in which a VM tells others of itself: what goes to whom, and how far rounds are apart.
+ * Gossip rounds of one VM: decides which digest is sent to which VMs, and the interval between
+ * rounds.
  *
- * Reads no clock and opens no socket, so that fleets of any size can be run in one loop.
+ * Reads no clock and opens no socket, so that tests can simulate fleets of any size in one loop.
  */
 #pragma once
 
@@ -14,27 +15,28 @@
 
 namespace worksshift {
 
-/** Bytes of digests that a VM sends in a second, of the 12,000 that control may take; the rest is
- * for what VMs fetch of each other. */
+/** Digest bytes that a VM sends per second. Control traffic may take 12,000 bytes per second; the
+ * rest of that is for documents that VMs fetch from each other. */
 constexpr double digest_bytes_per_s = 9000;
-/** Between rounds: small fleets stay at the first, fleets over the budget go up to the second. */
+/** Bounds of the interval between rounds. Small fleets use the shortest; fleets whose digests
+ * exceed the byte budget use up to the longest. */
 constexpr duration shortest_period = milliseconds(150);
 constexpr duration longest_period = seconds(2);
-/** A round that is sent early for news comes so long after the one before at least. */
+/** Minimum interval between a round that is sent early and the previous round. */
 constexpr duration hastened_period = milliseconds(50);
-/** Near VMs that are silent are sent to in every so many rounds. */
+/** Near VMs that are silent are sent a digest in one of this many rounds. */
 constexpr unsigned rounds_between_trials = 8;
-/** Rumours in a digest: to all, and to a VM that is joining. */
+/** Liveness reports in a digest: to any VM, and to a VM that is joining. */
 constexpr std::size_t rumours_told = 3;
 constexpr std::size_t rumours_to_joining = 16;
 
-/** What a VM says of itself in a round. */
+/** State that a VM reports in a round. */
 struct own_state {
-    fleet_digest digest; ///< but for loads and rumours
+    fleet_digest digest; ///< without loads and liveness reports
     load_table loads;
     std::vector<crash_report> distant_crash_reports; ///< for VMs of other data centres
     std::size_t servers = 0;                         ///< in the registry
-    std::vector<std::uint32_t> busy;                 ///< servers near their bound
+    std::vector<std::uint32_t> busy;                 ///< servers near their load bound
 };
 
 /** One datagram and the VMs that it goes to. */
@@ -56,29 +58,29 @@
     [[nodiscard]] bool due(instant now) const { return now >= this->next_round; }
     /** The datagrams of the round that is due. */
     std::vector<outgoing_digest> next(own_state state, instant now);
-    /** Further VMs to begin with, as when the settings name others than before. */
+    /** Adds VMs to contact, such as those that reloaded settings name. */
     void add_seeds(std::span<const std::uint32_t> seeds, instant now);
-    /** There is news: the next round comes early. */
+    /** Sends the next round early, as after a change that others should learn soon. */
     void hasten();
 
     [[nodiscard]] fleet_table& fleet() { return this->table; }
     [[nodiscard]] const fleet_table& fleet() const { return this->table; }
-    /** Requests of all other VMs at each server. */
+    /** Requests from all other VMs at each server. */
     [[nodiscard]] load_table loads_of_others(instant now) const { return this->loads.others(now); }
-    [[nodiscard]] duration period() const { return this->between; }
+    [[nodiscard]] duration period() const { return this->round_period; }
 
 private:
-    outgoing_digest to_near(fleet_digest digest, instant now);
-    void add_distant(std::vector<outgoing_digest>& all, fleet_digest digest, instant now);
-    outgoing_digest to_joining(fleet_digest digest, instant now);
-    void space_rounds(std::span<const outgoing_digest> sent);
+    outgoing_digest make_near_digest(fleet_digest digest, instant now);
+    void add_distant_digests(std::vector<outgoing_digest>& all, fleet_digest digest, instant now);
+    outgoing_digest make_joining_digest(fleet_digest digest, instant now);
+    void update_period(std::span<const outgoing_digest> sent);
 
     std::vector<std::uint32_t> seeds;
     fleet_table table;
     load_exchange loads;
-    std::vector<std::uint32_t> delegates; ///< of the round
+    std::vector<std::uint32_t> delegates; ///< of the current round
     std::uint32_t sequence = 0;
-    duration between = shortest_period;
+    duration round_period = shortest_period;
     instant last_round{};
     instant next_round{};
     unsigned rounds = 0;
