--- a/src/fleet_table.cpp
+++ b/src/fleet_table.cpp
@@ -12,23 +12,25 @@
 
 constexpr duration age_unit = milliseconds(100);
 
-/** Rounded up: rounded down, a rumour that is passed on again and again would never age. */
+/** Age in units of 100 ms, rounded up: if it were rounded down, a liveness report that is forwarded
+ * repeatedly would never age. */
 std::uint8_t to_age(duration span)
 {
-    constexpr std::int64_t most = std::numeric_limits<std::uint8_t>::max();
-    return static_cast<std::uint8_t>(std::clamp<std::int64_t>(span / age_unit + 1, 0, most));
+    constexpr std::int64_t max_age = std::numeric_limits<std::uint8_t>::max();
+    return static_cast<std::uint8_t>(std::clamp<std::int64_t>(span / age_unit + 1, 0, max_age));
 }
 
-/** Rounded up likewise; the highest number when \p at is long ago or never was. */
+/** Age of \p at in units of \p unit, rounded up. The maximum stands for longer ago, and for the
+ * epoch (never). */
 template <class Number>
 Number to_age(instant at, duration unit, instant now)
 {
-    constexpr std::int64_t most = std::numeric_limits<Number>::max();
-    if (at == instant{}) return most;
-    return static_cast<Number>(std::clamp<std::int64_t>((now - at) / unit + 1, 0, most));
+    constexpr std::int64_t max_age = std::numeric_limits<Number>::max();
+    if (at == instant{}) return max_age;
+    return static_cast<Number>(std::clamp<std::int64_t>((now - at) / unit + 1, 0, max_age));
 }
 
-/** The time that an age tells; the epoch for the highest number. */
+/** Time of an event of the given age; the epoch if the age is the maximum. */
 template <class Number>
 instant from_age(Number age, duration unit, instant now)
 {
@@ -43,22 +45,23 @@
     digest.store_confirmed = to_age<std::uint8_t>(this->confirmed_at, store_confirmed_unit, now);
 }
 
-fleet_table::fleet_table(const identity& self, std::span<const std::uint32_t> given, instant now)
-    : own(self), started(now), heard_any_at(now)
+fleet_table::fleet_table(const identity& self, std::span<const std::uint32_t> new_seeds,
+                         instant now)
+    : own(self), started_at(now), last_digest_at(now)
 {
-    this->add_seeds(given, now);
+    this->add_seeds(new_seeds, now);
 }
 
-void fleet_table::add_seeds(std::span<const std::uint32_t> given, instant now)
+void fleet_table::add_seeds(std::span<const std::uint32_t> new_seeds, instant now)
 {
-    for (const std::uint32_t seed : given) {
+    for (const std::uint32_t seed : new_seeds) {
         if (std::ranges::find(this->seeds, seed) == this->seeds.end()) this->seeds.push_back(seed);
-        this->learn(seed, 0, instant{}, now);
+        this->record_vm(seed, 0, instant{}, now);
     }
 }
 
-void fleet_table::learn(std::uint32_t address, std::uint32_t data_centre, instant alive,
-                        instant now)
+void fleet_table::record_vm(std::uint32_t address, std::uint32_t data_centre, instant alive,
+                            instant now)
 {
     if (address == 0 || address == this->own.address) return;
     const auto [found, added] = this->table.try_emplace(address);
@@ -69,32 +72,32 @@
     }
     const bool was_near = item.data_centre == this->own.data_centre;
     if (data_centre != 0) item.data_centre = data_centre;
-    if (!was_near && item.data_centre == this->own.data_centre) this->near_learnt_at = now;
+    if (!was_near && item.data_centre == this->own.data_centre) this->near_discovered_at = now;
     item.alive_at = std::max(item.alive_at, alive);
 }
 
 const fleet_vm* fleet_table::take(std::uint32_t from, fleet_digest digest, instant now)
 {
-    this->learn(from, digest.data_centre, now, now);
+    this->record_vm(from, digest.data_centre, now, now);
     const auto found = this->table.find(from);
     if (found == this->table.end()) return nullptr;
     fleet_vm& item = found->second;
-    const bool same_life = item.last.incarnation == digest.incarnation;
-    if (same_life && digest.sequence <= item.last.sequence) return nullptr;
-    if (!same_life) {
+    const bool same_incarnation = item.last.incarnation == digest.incarnation;
+    if (same_incarnation && digest.sequence <= item.last.sequence) return nullptr;
+    if (!same_incarnation) {
         item.own_loads = {};
         item.centre_loads = {};
         item.distant_loads = {};
     }
     item.heard_at = now;
-    if (this->hears_nobody(now)) this->hearing_since = now;
-    this->heard_any_at = now;
-    this->store_heard.merge({from_age(digest.store_back, store_back_unit, now),
-                             from_age(digest.store_confirmed, store_confirmed_unit, now)});
-    this->newest_servers = std::max(this->newest_servers, digest.servers_revision);
+    if (this->receives_nothing(now)) this->receiving_since = now;
+    this->last_digest_at = now;
+    this->reported_store.merge({from_age(digest.store_back, store_back_unit, now),
+                                from_age(digest.store_confirmed, store_confirmed_unit, now)});
+    this->max_servers_revision = std::max(this->max_servers_revision, digest.servers_revision);
     item.to_answer = digest.joining;
-    for (const vm_rumour& rumour : digest.vms)
-        this->learn(rumour.address, rumour.data_centre, now - rumour.age * age_unit, now);
+    for (const vm_rumour& report : digest.vms)
+        this->record_vm(report.address, report.data_centre, now - report.age * age_unit, now);
     item.own_loads.take(std::exchange(digest.own_loads, {}));
     item.centre_loads.take(std::exchange(digest.centre_loads, {}));
     item.distant_loads.take(std::exchange(digest.distant_loads, {}));
@@ -156,17 +159,17 @@
 
 bool fleet_table::is_joining(instant now) const
 {
-    return now - this->started < joining_for || this->hears_nobody(now);
+    return now - this->started_at < joining_for || this->receives_nothing(now);
 }
 
-bool fleet_table::hears_nobody(instant now) const
+bool fleet_table::receives_nothing(instant now) const
 {
-    return this->hearing_since == instant{} || now - this->heard_any_at >= joining_for;
+    return this->receiving_since == instant{} || now - this->last_digest_at >= joining_for;
 }
 
 bool fleet_table::is_cut_off(instant now) const
 {
-    return this->hearing_since != instant{} && now - this->heard_any_at > silent_after_at_least;
+    return this->receiving_since != instant{} && now - this->last_digest_at > silent_after_at_least;
 }
 
 fleet_members fleet_table::members(instant now) const
@@ -174,12 +177,12 @@
     fleet_members found;
     found.self = this->own.address;
     found.data_centre = this->own.data_centre;
-    found.complete = !this->hears_nobody(now) && now - this->hearing_since >= joining_for &&
-                     now - this->near_learnt_at >= members_settle_for;
+    found.complete = !this->receives_nothing(now) && now - this->receiving_since >= joining_for &&
+                     now - this->near_discovered_at >= members_settle_for;
     found.near.push_back(this->own.address);
     found.data_centres.push_back(this->own.data_centre);
     for (const auto& [address, item] : this->table) {
-        // A seed that was never heard of may not exist.
+        // A seed without any sign of life may not exist.
         if (item.alive_at == instant{}) continue;
         if (item.data_centre == this->own.data_centre) found.near.push_back(address);
         found.add(item.data_centre);
@@ -189,12 +192,12 @@
 
 std::vector<std::uint32_t> fleet_table::delegates(instant now) const
 {
-    constexpr std::uint64_t key = 0x64656c;
+    constexpr std::uint64_t delegate_rank_key = 0x64656c;
     std::vector<std::pair<std::uint64_t, std::uint32_t>> first{
-        {rendezvous_weight(key, this->own.address), this->own.address}};
+        {rendezvous_weight(delegate_rank_key, this->own.address), this->own.address}};
     for (const auto& [address, item] : this->table) {
         if (item.last.leaving || !this->is_alive(item, now)) continue;
-        first.emplace_back(rendezvous_weight(key, address), address);
+        first.emplace_back(rendezvous_weight(delegate_rank_key, address), address);
         std::ranges::sort(first, std::greater{});
         first.resize(std::min(first.size(), delegates_of_fleet));
     }
@@ -203,7 +206,7 @@
     return chosen;
 }
 
-std::optional<vm_rumour> fleet_table::rumour_of(const fleet_vm& item, instant now) const
+std::optional<vm_rumour> fleet_table::make_liveness_report(const fleet_vm& item, instant now) const
 {
     if (!this->is_alive(item, now) || item.data_centre == 0) return std::nullopt;
     return vm_rumour{item.address, item.data_centre, to_age(now - item.alive_at)};
@@ -212,23 +215,24 @@
 std::vector<vm_rumour> fleet_table::rumours(std::size_t count,
                                             std::span<const std::uint32_t> delegates, instant now)
 {
-    std::vector<vm_rumour> told;
+    std::vector<vm_rumour> reports;
     if (!delegates.empty()) {
         const auto chosen =
-            this->table.find(delegates[this->calls_for_rumours++ % delegates.size()]);
+            this->table.find(delegates[this->liveness_report_calls++ % delegates.size()]);
         if (chosen != this->table.end()) {
-            if (const auto rumour = this->rumour_of(chosen->second, now)) told.push_back(*rumour);
+            if (const auto report = this->make_liveness_report(chosen->second, now))
+                reports.push_back(*report);
         }
     }
-    auto next = this->table.upper_bound(this->told_last);
-    for (std::size_t seen = 0; seen < this->table.size() && told.size() < count; ++seen) {
+    auto next = this->table.upper_bound(this->last_reported);
+    for (std::size_t seen = 0; seen < this->table.size() && reports.size() < count; ++seen) {
         if (next == this->table.end()) next = this->table.begin();
         const fleet_vm& item = next->second;
-        this->told_last = item.address;
+        this->last_reported = item.address;
         ++next;
-        if (const auto rumour = this->rumour_of(item, now)) told.push_back(*rumour);
+        if (const auto report = this->make_liveness_report(item, now)) reports.push_back(*report);
     }
-    return told;
+    return reports;
 }
 
 } // namespace worksshift
--- a/src/fleet_table.h
+++ b/src/fleet_table.h
@@ -1,10 +1,11 @@
 /** \file
- * The other VMs as this one knows them: by their own digests, and by what others say of them.
+ * Membership table of one VM: the other VMs as known from their own digests and from the liveness
+ * reports of others.
  *
- * VMs of one data centre are near each other and tell each other everything. Of the VMs of other
- * data centres it is enough to know that they live: a few of them, chosen by rank, are told sums.
- * So what a VM sends and holds grows with its data centre and not with the fleet. A small fleet is
- * taken as one data centre.
+ * VMs of one data centre are near each other and exchange all their state. Of VMs in other data
+ * centres only liveness is tracked; a few of them, chosen by rendezvous rank, receive load sums.
+ * Thus traffic and memory of a VM grow with its data centre and not with the fleet. A small fleet
+ * is treated as one data centre.
  */
 #pragma once
 
@@ -21,40 +22,41 @@
 
 namespace worksshift {
 
-/** Up to this many VMs all are near each other, whatever their data centres. */
+/** In a fleet of up to this many VMs, all are near each other regardless of data centres. */
 constexpr std::size_t small_fleet = 12;
-/** A VM from which nothing was heard for this many of its periods, and at least for the time below,
- * counts for nothing. */
+/** A VM is considered silent, and its state is ignored, when no digest of it has arrived for this
+ * many of its periods and for at least the time below. */
 constexpr int periods_until_silent = 8;
 constexpr duration silent_after_at_least = milliseconds(1200);
-/** A distant VM of whose life nothing was heard for so long is taken for dead. Rumours need about
- * one period for each step. */
+/** A distant VM without a sign of life for this long is considered dead. A liveness report takes
+ * about one period per hop. */
 constexpr duration distant_alive_for = seconds(5);
-/** Delegates of a fleet, so that the loss of one leaves no gap. */
+/** Number of delegates of a fleet: more than one, so that the loss of one leaves no gap. */
 constexpr std::size_t delegates_of_fleet = 2;
-/** A VM is remembered, and told of this one, for so long after it was last known to live. */
+/** A VM is kept in the table, and sent digests, for this long after its last sign of life. */
 constexpr duration forget_after = seconds(60);
-/** A VM that was only just heard of is sent to in each round for so long, heard or not. */
+/** A newly discovered VM is sent a digest in each round for this long, even while it is silent. */
 constexpr duration new_vm_period = seconds(2);
-/** A VM asks to be answered for so long after its start, and while it hears nobody. */
+/** A VM asks for answers to its digests for this long after its start, and while no digests
+ * arrive. */
 constexpr duration joining_for = seconds(4);
-/** A VM that has not heard of another one of its data centre for so long knows all of them. When
- * 480 VMs start at once, some know half of the 80 near ones after 10 s, and hear of two more in
- * each second. */
+/** The list of near VMs is considered complete when no new one was discovered for this long. When
+ * 480 VMs start at once, some know half of the 80 near ones after 10 s, and discover two more per
+ * second. */
 constexpr duration members_settle_for = seconds(3);
 
 /** One other VM. */
 struct fleet_vm {
     std::uint32_t address = 0;     ///< IPv4, host order
     std::uint32_t data_centre = 0; ///< low half of the hash of its name; 0: not known yet
-    fleet_digest last;             ///< but for its loads
+    fleet_digest last;             ///< newest digest, without its loads
     load_copy own_loads;
     load_copy centre_loads;
     load_copy distant_loads;
-    instant heard_at{}; ///< its own digest; never: the epoch
-    instant alive_at{}; ///< heard by anybody; never: the epoch
+    instant heard_at{}; ///< when its last digest arrived; the epoch: never
+    instant alive_at{}; ///< last sign of life, also as reported by others; the epoch: never
     instant known_since{};
-    bool to_answer = false; ///< it is joining, and was heard since this VM last sent
+    bool to_answer = false; ///< it is joining, and sent a digest that was not answered yet
 };
 
 class fleet_table {
@@ -67,58 +69,65 @@
 
     fleet_table(const identity& self, std::span<const std::uint32_t> seeds, instant now);
 
-    void add_seeds(std::span<const std::uint32_t> given, instant now);
-    /** Takes a digest that came from an address. Returns its sender; nullptr when it is older than
-     * one that came before. */
+    void add_seeds(std::span<const std::uint32_t> new_seeds, instant now);
+    /** Applies a digest received from address \p from. Returns its sender; nullptr if a newer
+     * digest arrived before, or if \p from is the address of this VM. */
     const fleet_vm* take(std::uint32_t from, fleet_digest digest, instant now);
-    /** Drops VMs that have not lived for long. */
+    /** Removes VMs whose last sign of life is older than `forget_after`, except seeds. */
     void forget_dead(instant now);
 
     [[nodiscard]] const identity& self() const { return this->own; }
     [[nodiscard]] std::map<std::uint32_t, fleet_vm>& vms() { return this->table; }
     [[nodiscard]] const std::map<std::uint32_t, fleet_vm>& vms() const { return this->table; }
     [[nodiscard]] bool is_near(const fleet_vm& item) const;
+    /** Whether digests of the VM arrive, that is, it is not silent. */
     [[nodiscard]] static bool is_heard(const fleet_vm& item, instant now);
+    /** Whether the VM is considered alive: near VMs by their own digests, distant ones by any sign
+     * of life. */
     [[nodiscard]] bool is_alive(const fleet_vm& item, instant now) const;
+    /** All near VMs that are not silent. */
     [[nodiscard]] std::vector<const fleet_vm*> near(instant now) const;
-    /** All VMs whose own digests came lately. */
+    /** All VMs that are not silent. */
     [[nodiscard]] std::vector<const fleet_vm*> heard(instant now) const;
-    /** VMs that live, this one included. */
+    /** Number of VMs that are alive, including this one. */
     [[nodiscard]] std::size_t alive(instant now) const;
+    /** Whether this VM asks for answers to its digests; see `joining_for`. */
     [[nodiscard]] bool is_joining(instant now) const;
-    /** The VMs of this data centre that are remembered, those that were lost lately included, and
-     * the data centres that are known by their VMs. */
+    /** The VMs of this data centre in the table, including recently lost ones, and the data centres
+     * of all VMs in the table. */
     [[nodiscard]] fleet_members members(instant now) const;
-    /** There are other VMs, and none of them was heard lately. */
+    /** Whether digests used to arrive from other VMs, and none has arrived recently. */
     [[nodiscard]] bool is_cut_off(instant now) const;
-    [[nodiscard]] const store_news& store() const { return this->store_heard; }
-    /** Highest revision of the registry that was heard of. */
-    [[nodiscard]] std::uint64_t servers_revision() const { return this->newest_servers; }
-    /** The VMs that do for the whole fleet what not all have to do: the first of those that live
-     * and stay, in a rank that is the same on all VMs as far as they know the same others. */
+    [[nodiscard]] const store_news& store() const { return this->reported_store; }
+    /** Highest revision of the registry in any digest received. */
+    [[nodiscard]] std::uint64_t servers_revision() const { return this->max_servers_revision; }
+    /** The VMs that do work which only a few VMs need to do for the whole fleet: the first by
+     * rendezvous rank of those that are alive and not leaving. VMs that know the same members
+     * choose the same delegates. */
     [[nodiscard]] std::vector<std::uint32_t> delegates(instant now) const;
 
-    /** Some VMs that live, others with each call. One of them is a delegate of the fleet, since all
-     * VMs have to know of these in time. */
+    /** Liveness reports on up to \p count VMs, in rotation from call to call. One of them is for a
+     * delegate if possible, since all VMs must learn in time that a delegate is alive. */
     std::vector<vm_rumour> rumours(std::size_t count, std::span<const std::uint32_t> delegates,
                                    instant now);
 
 private:
-    [[nodiscard]] std::optional<vm_rumour> rumour_of(const fleet_vm& item, instant now) const;
-    [[nodiscard]] bool hears_nobody(instant now) const;
-    void learn(std::uint32_t address, std::uint32_t data_centre, instant alive, instant now);
+    [[nodiscard]] std::optional<vm_rumour> make_liveness_report(const fleet_vm& item,
+                                                                instant now) const;
+    [[nodiscard]] bool receives_nothing(instant now) const;
+    void record_vm(std::uint32_t address, std::uint32_t data_centre, instant alive, instant now);
 
     identity own;
     std::vector<std::uint32_t> seeds;
-    instant started{};
-    instant heard_any_at{};
-    instant near_learnt_at{}; ///< a VM of this data centre was heard of for the first time
-    instant hearing_since{};  ///< digests have come without a long pause; never: the epoch
+    instant started_at{};
+    instant last_digest_at{};
+    instant near_discovered_at{}; ///< when a new VM of this data centre was last discovered
+    instant receiving_since{};    ///< digests arrive without a long gap; the epoch: none yet
     std::map<std::uint32_t, fleet_vm> table; ///< by address
-    std::uint32_t told_last = 0;             ///< address of the newest rumour told
-    std::size_t calls_for_rumours = 0;
-    store_news store_heard;
-    std::uint64_t newest_servers = 0;
+    std::uint32_t last_reported = 0;         ///< address in the newest liveness report
+    std::size_t liveness_report_calls = 0;
+    store_news reported_store;
+    std::uint64_t max_servers_revision = 0;
 };
 
 } // namespace worksshift
