--- a/src/load_exchange.cpp
+++ b/src/load_exchange.cpp
@@ -14,8 +14,8 @@
     to.insert(to.end(), from.begin(), from.end());
 }
 
-/** Of each server the larger of two loads; both tables are in order. */
-load_table larger_of(const load_table& left, std::span<const load_entry> right)
+/** Merges two sorted tables; a server in both gets the larger load. */
+load_table merge_by_max(const load_table& left, std::span<const load_entry> right)
 {
     load_table merged;
     merged.reserve(left.size() + right.size());
@@ -50,10 +50,10 @@
     return server % this->slices;
 }
 
-void load_exchange::choose_homes(instant now)
+void load_exchange::choose_aggregators(instant now)
 {
     this->own_slices.clear();
-    this->distant.clear();
+    this->distant_aggregators.clear();
     std::map<std::uint32_t, std::vector<std::uint32_t>> by_centre;
     const std::uint32_t here = this->fleet.self().data_centre;
     by_centre[here].push_back(this->fleet.self().address);
@@ -62,29 +62,29 @@
         by_centre[this->fleet.is_near(item) ? here : item.data_centre].push_back(address);
     }
     if (by_centre.size() < 2) return;
-    std::map<std::size_t, std::vector<std::uint32_t>> homes_elsewhere;
+    std::map<std::size_t, std::vector<std::uint32_t>> distant_by_slice;
     for (std::size_t slice = 0; slice < this->slices; ++slice) {
         for (auto& [centre, members] : by_centre) {
-            const std::size_t homes = std::min(homes_per_slice, members.size());
+            const std::size_t count = std::min(homes_per_slice, members.size());
             std::ranges::partial_sort(
-                members, members.begin() + static_cast<std::ptrdiff_t>(homes), std::greater{},
+                members, members.begin() + static_cast<std::ptrdiff_t>(count), std::greater{},
                 [slice](std::uint32_t address) { return rendezvous_weight(slice, address); });
-            const std::span<const std::uint32_t> chosen(members.data(), homes);
+            const std::span<const std::uint32_t> chosen(members.data(), count);
             if (centre != here) {
-                homes_elsewhere[slice].insert(homes_elsewhere[slice].end(), chosen.begin(),
-                                              chosen.end());
+                distant_by_slice[slice].insert(distant_by_slice[slice].end(), chosen.begin(),
+                                               chosen.end());
             } else if (std::ranges::find(chosen, this->fleet.self().address) != chosen.end()) {
                 this->own_slices.push_back(slice);
             }
         }
     }
     for (const std::size_t slice : this->own_slices) {
-        for (const std::uint32_t address : homes_elsewhere[slice])
-            this->distant[address].push_back(slice);
+        for (const std::uint32_t address : distant_by_slice[slice])
+            this->distant_aggregators[address].push_back(slice);
     }
 }
 
-/** Requests of all VMs of this data centre. */
+/** Requests from all VMs of this data centre. */
 load_table load_exchange::centre_sums(instant now) const
 {
     load_table sums = this->own;
@@ -94,7 +94,8 @@
     return sums;
 }
 
-/** Requests of the other data centres that their homes sent to this VM. */
+/** Requests from the other data centres, as their aggregators reported them to this VM. The
+ * aggregators of a slice report the same load at different times, so the larger value counts. */
 load_table load_exchange::distant_sums(instant now) const
 {
     const duration limit = std::max<duration>(distant_sums_for, this->period * 3);
@@ -102,7 +103,7 @@
     for (const auto& [address, item] : this->fleet.vms()) {
         if (this->fleet.is_near(item) || now - item.heard_at > limit) continue;
         load_table& centre = by_centre[item.data_centre];
-        centre = larger_of(centre, item.centre_loads.entries());
+        centre = merge_by_max(centre, item.centre_loads.entries());
     }
     load_table sums;
     for (const auto& [centre, table] : by_centre)
@@ -113,36 +114,36 @@
 
 void load_exchange::begin_round(instant now)
 {
-    this->choose_homes(now);
+    this->choose_aggregators(now);
     if (this->own_slices.empty()) {
-        this->centre.clear();
-        this->elsewhere.clear();
+        this->own_centre_sums.clear();
+        this->other_centre_sums.clear();
         return;
     }
     const auto other_slice = [this](const load_entry& entry) {
         return std::ranges::find(this->own_slices, this->slice_of(entry.server)) ==
                this->own_slices.end();
     };
-    this->centre = this->centre_sums(now);
-    std::erase_if(this->centre, other_slice);
-    this->elsewhere = this->distant_sums(now);
-    std::erase_if(this->elsewhere, other_slice);
+    this->own_centre_sums = this->centre_sums(now);
+    std::erase_if(this->own_centre_sums, other_slice);
+    this->other_centre_sums = this->distant_sums(now);
+    std::erase_if(this->other_centre_sums, other_slice);
 }
 
 void load_exchange::describe(fleet_digest& to_near)
 {
     to_near.own_loads = this->own_publisher.next(this->own, this->busy);
     if (!this->own_slices.empty()) {
-        to_near.distant_loads = this->distant_publisher.next(this->elsewhere, this->busy);
+        to_near.distant_loads = this->distant_publisher.next(this->other_centre_sums, this->busy);
     }
 }
 
 std::vector<distant_message> load_exchange::to_distant()
 {
     std::vector<distant_message> messages;
-    if (this->distant.empty()) return messages;
-    const load_part part = this->centre_publisher.next(this->centre, this->busy);
-    for (const auto& [address, wanted] : this->distant) {
+    if (this->distant_aggregators.empty()) return messages;
+    const load_part part = this->centre_publisher.next(this->own_centre_sums, this->busy);
+    for (const auto& [address, wanted] : this->distant_aggregators) {
         distant_message message{address, {part.part, part.parts, {}}};
         std::ranges::copy_if(part.entries, std::back_inserter(message.centre_loads.entries),
                              [&](const load_entry& entry) {
@@ -160,7 +161,7 @@
     load_table sums;
     for (const fleet_vm* item : this->fleet.near(now)) {
         append(sums, item->own_loads.entries());
-        distant_all = larger_of(distant_all, item->distant_loads.entries());
+        distant_all = merge_by_max(distant_all, item->distant_loads.entries());
     }
     append(sums, distant_all);
     normalize(sums);
--- a/src/load_exchange.h
+++ b/src/load_exchange.h
@@ -1,10 +1,11 @@
 /** \file
- * How the VMs of a fleet learn the load of each server without telling everybody everything.
+ * Two-level exchange of server loads, so that traffic per VM does not grow with the whole fleet.
  *
- * Each VM tells its own loads to the VMs of its data centre. The servers are cut into slices; for
- * each slice two VMs of each data centre, chosen by rank, send the sum of their data centre to
- * those of the other data centres, and tell the VMs of their own what they are sent. Two, so that
- * the loss of one costs nothing. In a fleet of one data centre only the first step is left.
+ * Each VM sends its own loads to the VMs of its data centre. The servers are divided into slices.
+ * For each slice, two VMs of each data centre, chosen by rendezvous rank, are aggregators: they
+ * send the sums of their data centre to the aggregators of the other data centres, and forward the
+ * sums that they receive to the VMs of their own. There are two, so that the loss of one leaves no
+ * gap. In a fleet of one data centre, only the first step takes place.
  */
 #pragma once
 
@@ -15,17 +16,17 @@
 
 namespace worksshift {
 
-/** Servers of one slice, about; the slices are a power of two, so that VMs whose registries differ
- * by a few servers cut them alike. */
+/** Approximate number of servers in one slice. The number of slices is a power of two, so that VMs
+ * whose registries differ by a few servers use the same slices. */
 constexpr std::size_t servers_per_slice = 16;
 constexpr std::size_t slices_at_most = 16;
-/** VMs of each data centre that exchange the sums of a slice. */
+/** Aggregators of each slice in each data centre. */
 constexpr std::size_t homes_per_slice = 2;
-/** Sums of another data centre that are older than this, or than three periods, count for nothing.
+/** Sums from another data centre are ignored when they are older than both this and three periods.
  */
 constexpr duration distant_sums_for = seconds(2);
 
-/** What one distant VM is sent. */
+/** Load sums to be sent to one VM of another data centre. */
 struct distant_message {
     std::uint32_t address = 0;
     load_part centre_loads;
@@ -35,23 +36,27 @@
 public:
     explicit load_exchange(fleet_table& fleet) : fleet(fleet) {}
 
-    /** This VM's own requests, all servers of the registry, and those of them that are busy. */
+    /** \p own: requests from this VM. \p servers: number of servers in the registry. \p busy: ids
+     * of busy servers, in any order. */
     void set_own(load_table own, std::size_t servers, std::vector<std::uint32_t> busy);
     void set_period(duration span) { this->period = span; }
 
-    /** Chooses the homes of this round; call it before the two below. */
+    /** Chooses the aggregators of this round and computes their sums. Call it before `describe` and
+     * `to_distant`. */
     void begin_round(instant now);
+    /** Adds loads to the digest for near VMs. */
     void describe(fleet_digest& to_near);
+    /** Messages to the aggregators of other data centres; empty if this VM is not an aggregator. */
     std::vector<distant_message> to_distant();
 
-    /** Requests of all other VMs, as far as they told. */
+    /** Requests from all other VMs, as far as they reported them. */
     [[nodiscard]] load_table others(instant now) const;
 
 private:
     [[nodiscard]] std::size_t slice_of(std::uint32_t server) const;
     [[nodiscard]] load_table centre_sums(instant now) const;
     [[nodiscard]] load_table distant_sums(instant now) const;
-    void choose_homes(instant now);
+    void choose_aggregators(instant now);
 
     fleet_table& fleet;
     duration period = milliseconds(150);
@@ -61,10 +66,11 @@
     load_publisher own_publisher;
     load_publisher centre_publisher;
     load_publisher distant_publisher;
-    std::vector<std::size_t> own_slices;                       ///< of which this VM is a home
-    std::map<std::uint32_t, std::vector<std::size_t>> distant; ///< slices of other homes, by VM
-    load_table centre;    ///< of the round: sums of this data centre, own slices only
-    load_table elsewhere; ///< of the round: sums of the others, own slices only
+    std::vector<std::size_t> own_slices; ///< of which this VM is an aggregator
+    /** Slices of each distant aggregator, by its address. */
+    std::map<std::uint32_t, std::vector<std::size_t>> distant_aggregators;
+    load_table own_centre_sums;   ///< sums of this data centre in this round, own slices only
+    load_table other_centre_sums; ///< sums of the other data centres in this round, own slices only
 };
 
 } // namespace worksshift
