--- a/src/load_tables.cpp
+++ b/src/load_tables.cpp
@@ -28,28 +28,29 @@
 load_part load_publisher::next(std::span<const load_entry> table,
                                std::span<const std::uint32_t> busy)
 {
-    load_part told;
+    load_part message;
     const std::size_t needed = (table.size() + entries_per_part - 1) / entries_per_part;
     const std::size_t parts = std::clamp<std::size_t>(needed, 1, parts_at_most);
-    told.parts = static_cast<std::uint8_t>(parts);
-    told.part = static_cast<std::uint8_t>(this->round++ % parts);
+    message.parts = static_cast<std::uint8_t>(parts);
+    message.part = static_cast<std::uint8_t>(this->round++ % parts);
     for (const load_entry& entry : table) {
-        if (told.entries.size() == load_entries_at_most) {
-            // Not all of the part can be told, so nothing is said of what is not named.
-            told.parts = 0;
+        if (message.entries.size() == load_entries_at_most) {
+            // The part does not fit, so servers without an entry must not count as idle.
+            message.parts = 0;
             break;
         }
-        const bool turn = told.covers(entry.server);
-        if (turn || std::ranges::binary_search(busy, entry.server)) told.entries.push_back(entry);
+        const bool in_part = message.covers(entry.server);
+        if (in_part || std::ranges::binary_search(busy, entry.server))
+            message.entries.push_back(entry);
     }
-    return told;
+    return message;
 }
 
 void load_copy::take(const load_part& part)
 {
     std::erase_if(this->table, [&](const load_entry& entry) {
-        const auto named = std::ranges::find(part.entries, entry.server, &load_entry::server);
-        return part.covers(entry.server) || named != part.entries.end();
+        const auto listed = std::ranges::find(part.entries, entry.server, &load_entry::server);
+        return part.covers(entry.server) || listed != part.entries.end();
     });
     std::ranges::copy_if(part.entries, std::back_inserter(this->table),
                          [](const load_entry& entry) { return entry.requests > 0; });
--- a/src/load_tables.h
+++ b/src/load_tables.h
@@ -1,8 +1,9 @@
 /** \file
- * A table of loads that one VM tells another in parts, and the copy that the other keeps.
+ * Load tables that are sent in parts, and the copies that recipients keep.
  *
- * Each datagram tells one part of the table whole, so a lost one is made up for when the part's
- * turn comes again, and every busy server beside, since only these decide where a request goes.
+ * Each datagram carries one complete part of the table, so a lost datagram is repaired when the
+ * part is sent again. It also carries every busy server, since these determine where requests are
+ * sent.
  */
 #pragma once
 
@@ -13,31 +14,34 @@
 
 namespace worksshift {
 
-/** Loads by server, in the order of their ids. */
+/** Loads of servers, sorted by server id. */
 using load_table = std::vector<load_entry>;
 
-/** Sorts and merges entries of the same server. */
+/** Sorts the table and adds up entries of the same server. */
 void normalize(load_table& table);
 
-/** Requests at a server; 0 when it is not named. \p table is in order. */
+/** Requests at a server; 0 if it has no entry. \p table must be sorted. */
 std::uint32_t load_at(std::span<const load_entry> table, std::uint32_t server);
 
-/** Cuts a table into parts, one for each round. */
+/** Divides a table into parts and sends one of them in each round. */
 class load_publisher {
 public:
-    /** Entries of a part: a table of up to this many is told whole in each round. A fleet of eight
-     * VMs before 22 servers stays below; at 80 VMs before 93 servers a table has about 25. */
+    /** Entries in one part: a table of up to this many is sent whole in each round. Tables in a
+     * fleet of 8 VMs and 22 servers are smaller; with 80 VMs and 93 servers a table has about 25.
+     */
     static constexpr std::size_t entries_per_part = 24;
     static constexpr std::size_t parts_at_most = 16;
 
-    /** The part whose turn it is, with the entries of \p busy servers (in order) beside. */
+    /** Next part in rotation, and the entries of the \p busy servers. Both arguments must be
+     * sorted.
+     */
     load_part next(std::span<const load_entry> table, std::span<const std::uint32_t> busy);
 
 private:
     std::size_t round = 0;
 };
 
-/** What another VM told of its table. */
+/** Copy of another VM's table, assembled from the parts received. */
 class load_copy {
 public:
     void take(const load_part& part);
