--- a/src/load_tables.h
+++ b/src/load_tables.h
@@ -23,7 +23,7 @@
 /** Requests at a server; 0 if it has no entry. \p table must be sorted. */
 std::uint32_t load_at(std::span<const load_entry> table, std::uint32_t server);
 
-/** Divides a table into parts and sends one of them in each round. */
+/** Divides a table into parts and returns one of them in each round. */
 class load_publisher {
 public:
     /** Entries in one part: a table of up to this many is sent whole in each round. Tables in a
