--- a/src/packed_text.h
+++ b/src/packed_text.h
@@ -1,5 +1,6 @@
 /** \file
- * Long texts in few bytes, by zlib: documents of hundreds of routes that one VM passes on to many.
+ * Compression of long texts with zlib, for documents of hundreds of routes that a VM forwards to
+ * many others.
  */
 #pragma once
 
@@ -8,9 +9,10 @@
 
 namespace worksshift {
 
+/** Compresses a text; the result begins with the length of the text. */
 std::string pack(std::string_view text);
-/** \throws peer_error when the bytes were not packed by `pack`, or are too long to be a document.
- */
+/** Decompresses the output of `pack`. \throws peer_error naming \p peer if the bytes are not such
+ * output, or if the text would be larger than any document. */
 std::string unpack(std::string_view bytes, const std::string& peer);
 
 } // namespace worksshift
