--- a/src/suspension.cpp
+++ b/src/suspension.cpp
@@ -22,13 +22,13 @@
 
 std::optional<clock_pair> read_clocks()
 {
-    constexpr int tries = 3;
-    constexpr duration at_once = milliseconds(5);
-    for (int i = 0; i < tries; ++i) {
+    constexpr int max_attempts = 3;
+    constexpr duration max_delay = milliseconds(5);
+    for (int i = 0; i < max_attempts; ++i) {
         const duration before = read_steady_clock();
         const duration boot = read_boot_clock();
         const duration after = read_steady_clock();
-        if (after - before < at_once) return clock_pair{after, boot};
+        if (after - before < max_delay) return clock_pair{after, boot};
     }
     return std::nullopt;
 }
--- a/src/suspension.h
+++ b/src/suspension.h
@@ -1,7 +1,7 @@
 /** \file
- * Notices that the VM was suspended. The steady clock stands still meanwhile, so whatever is
- * measured by it seems younger than it is: callers have waited longer, and idle connections may be
- * closed at the other end.
+ * Detects that the VM was suspended. The steady clock stops during a suspension, so times measured
+ * by it are too short afterwards: callers have waited longer, and peers may have closed idle
+ * connections.
  */
 #pragma once
 
@@ -11,21 +11,21 @@
 
 namespace worksshift {
 
-/** Two clocks, read at the same moment. */
+/** Readings of two clocks, taken at nearly the same time. */
 struct clock_pair {
-    duration steady{}; ///< stands still while the VM is suspended
-    duration boot{};   ///< does not
+    duration steady{}; ///< stops while the VM is suspended
+    duration boot{};   ///< includes suspensions
 };
 
-/** Nothing when the process was held up between the readings each time that it was tried. */
+/** std::nullopt if the process was delayed between the two readings in every attempt. */
 std::optional<clock_pair> read_clocks();
 
 class suspension_watch {
 public:
-    /** Readings that are apart by less are not told from a pause between them. */
+    /** Shorter gaps cannot be distinguished from a delay between the two readings. */
     static constexpr duration shortest = milliseconds(100);
 
-    /** For how long the VM was suspended since the last call; zero: it was not. */
+    /** How long the VM was suspended since the last call; zero if it was not. */
     duration update(const clock_pair& read)
     {
         const duration ahead = read.boot - read.steady;
@@ -37,7 +37,7 @@
     }
 
 private:
-    std::optional<duration> ahead; ///< of the clock that counts suspensions
+    std::optional<duration> ahead; ///< boot clock minus steady clock, as last seen
 };
 
 } // namespace worksshift
