--- a/src/link_address.cpp
+++ b/src/link_address.cpp
@@ -25,21 +25,22 @@
 
 sockaddr_in to_socket_address(const link_address& from)
 {
-    sockaddr_in made{};
-    made.sin_family = AF_INET;
-    made.sin_port = htons(from.port);
-    if (inet_pton(AF_INET, from.address.c_str(), &made.sin_addr) != 1) {
-        throw user_error("listen", from.address, "not an IPv4 number: " + from.address);
+    sockaddr_in converted{};
+    converted.sin_family = AF_INET;
+    converted.sin_port = htons(from.port);
+    if (inet_pton(AF_INET, from.address.c_str(), &converted.sin_addr) != 1) {
+        throw user_error("listen", from.address, "not an IPv4 address: " + from.address);
     }
-    return made;
+    return converted;
 }
 
 link_address parse_address(std::string_view name, std::string_view text)
 {
     const auto fail = [&] {
-        throw user_error("settings", "",
-                         std::string(name) + "=" + std::string(text) +
-                             " is not ADDRESS:PORT with an IPv4 number and a port from 1 to 65535");
+        throw user_error(
+            "settings", "",
+            std::string(name) + "=" + std::string(text) +
+                " is not ADDRESS:PORT with an IPv4 address and a port from 1 to 65535");
     };
     const std::size_t colon = text.rfind(':');
     if (colon == std::string_view::npos) fail();
--- a/src/link_address.h
+++ b/src/link_address.h
@@ -1,5 +1,5 @@
 /** \file
- * Addresses of processes: an IPv4 number and a port.
+ * Network addresses of processes: an IPv4 address and a port.
  */
 #pragma once
 
@@ -11,22 +11,22 @@
 
 namespace worksshift {
 
-/** Where a VM listens. */
+/** Address and port on which a VM listens. */
 struct link_address {
-    std::string address; ///< IPv4 number
+    std::string address; ///< IPv4, dotted decimal
     std::uint16_t port = 0;
 };
 
-/** `ADDRESS:PORT`. */
+/** Formats as `ADDRESS:PORT`. */
 std::string to_string(const link_address& from);
 
-/** An IPv4 number in host order as text. */
+/** Formats an IPv4 address in host byte order as dotted decimal. */
 std::string to_text(std::uint32_t address);
 
-/** For the system's socket calls. */
+/** Converts to the form used by socket calls. \throws user_error if the address is not IPv4. */
 sockaddr_in to_socket_address(const link_address& from);
 
-/** Parses `ADDRESS:PORT`. \throws user_error naming \p name. */
+/** Parses `ADDRESS:PORT`. \throws user_error naming the setting \p name if the text is invalid. */
 link_address parse_address(std::string_view name, std::string_view text);
 
 } // namespace worksshift
