--- a/src/event_loop.cpp
+++ b/src/event_loop.cpp
@@ -15,12 +15,12 @@
 
 timer::timer(event_base* base, std::function<void()> action) : action(std::move(action))
 {
-    const auto fire = [](evutil_socket_t, short, void* self) {
+    const auto on_event = [](evutil_socket_t, short, void* self) {
         auto* item = static_cast<timer*>(self);
         if (item->period > duration::zero()) item->arm(item->period);
         item->action();
     };
-    this->inner.reset(evtimer_new(base, fire, this));
+    this->inner.reset(evtimer_new(base, on_event, this));
 }
 
 void timer::start_once(duration after)
@@ -50,10 +50,10 @@
 signal_watch::signal_watch(event_base* base, int number, std::function<void()> action)
     : action(std::move(action))
 {
-    const auto fire = [](evutil_socket_t, short, void* self) {
+    const auto on_event = [](evutil_socket_t, short, void* self) {
         static_cast<signal_watch*>(self)->action();
     };
-    this->inner.reset(evsignal_new(base, number, fire, this));
+    this->inner.reset(evsignal_new(base, number, on_event, this));
     evsignal_add(this->inner.get(), nullptr);
 }
 
@@ -71,11 +71,11 @@
     evbuffer* output = bufferevent_get_output(socket);
     const evutil_socket_t descriptor = bufferevent_getfd(socket);
     if (descriptor < 0 || evbuffer_get_length(output) == 0) return;
-    // A bufferevent keeps the front of its output frozen against others; we stand in for it here.
+    // A bufferevent freezes the front of its output buffer so that only it can remove bytes.
     evbuffer_unfreeze(output, 1);
     evbuffer_write(output, descriptor);
     evbuffer_freeze(output, 1);
-    // Interest in writing is only kept while something is left; enabling it always polls.
+    // Enabling EV_WRITE always polls the socket, so it is enabled only while output remains.
     if (evbuffer_get_length(output) > 0) {
         bufferevent_enable(socket, EV_WRITE);
     } else {
@@ -97,7 +97,7 @@
 
 void probe_while_idle(evutil_socket_t socket)
 {
-    // The shortest that the system takes.
+    // The minimum that the system accepts.
     constexpr int period_s = 1;
     constexpr int probes = 1;
     const int on = 1;
--- a/src/event_loop.h
+++ b/src/event_loop.h
@@ -1,5 +1,5 @@
 /** \file
- * Owning handles for libevent's objects, and timers.
+ * Owning handles for libevent objects, timers, signal handlers and socket options.
  */
 #pragma once
 
@@ -31,7 +31,7 @@
 
 timeval to_timeval(duration span);
 
-/** Calls a function after a time, once or again and again. */
+/** Calls a function after a delay, once or periodically. */
 class timer {
 public:
     timer(event_base* base, std::function<void()> action);
@@ -58,26 +58,26 @@
     event_ptr<event> inner;
 };
 
-/** A loop that applies changes of interest together, so that one undone in the same round costs no
- * system call. */
+/** Creates an event loop that applies changes of watched events in batches, so that a change
+ * reverted in the same iteration costs no system call. */
 event_ptr<event_base> make_event_base();
 
-/** Writes what a connected socket's output holds at once, rather than after a round of polling for
- * it to be writable; a token costs one system call instead of four. */
+/** Writes the output buffer of a connected socket immediately instead of polling for writability
+ * first. A token then costs one system call instead of four. */
 void write_now(bufferevent* socket);
 
-/** Sends small pieces at once: a token must not wait until the one before it is acknowledged. */
+/** Disables Nagle's algorithm: a token must not wait until the previous one is acknowledged. */
 void set_no_delay(evutil_socket_t socket);
 
-/** Ends the connection when bytes that were sent stay unacknowledged for so long: its peer is out
- * of reach, and without this the connection would be kept for a quarter of an hour. */
+/** Closes the connection when sent bytes stay unacknowledged for \p span because the peer is
+ * unreachable. By default, the system would keep the connection for about 15 minutes. */
 void limit_unacknowledged(evutil_socket_t socket, milliseconds span);
 
-/** Ends the connection when its peer is out of reach although nothing is sent: the system asks it
- * after a second without a byte, and gives up two seconds after the last one. */
+/** Closes an idle connection when the peer is unreachable: the system sends a keepalive probe after
+ * 1 s without traffic, and gives up 2 s after the last byte received. */
 void probe_while_idle(evutil_socket_t socket);
 
-/** Whole content of a buffer as text. */
+/** Copies the whole content of a buffer. */
 std::string read_all(evbuffer* buffer);
 
 } // namespace worksshift
