--- a/src/log.cpp
+++ b/src/log.cpp
@@ -50,7 +50,7 @@
     return instance;
 }
 
-/** Keeps lines until they can be written without blocking, within bounds. */
+/** Buffers lines, up to its limits, until they can be written without blocking. */
 class bounded_appender : public log4cplus::Appender {
 public:
     explicit bounded_appender(const log_bounds& bounds) : bounds(bounds) {}
@@ -64,27 +64,27 @@
 
     void flush()
     {
-        this->report_left_out();
-        const std::string_view all = this->waiting;
+        this->report_dropped_lines();
+        const std::string_view all = this->buffered;
         std::size_t written = 0;
         while (written < all.size() && writable()) {
-            // A pipe that polls as writable takes this much without blocking.
+            // A pipe that polls as writable accepts at least PIPE_BUF bytes without blocking.
             const std::string_view part = all.substr(written, PIPE_BUF);
             const ssize_t count = ::write(STDOUT_FILENO, part.data(), part.size());
             if (count <= 0) break;
             written += static_cast<std::size_t>(count);
         }
-        this->waiting.erase(0, written);
+        this->buffered.erase(0, written);
     }
 
 protected:
     void append(const log4cplus::spi::InternalLoggingEvent& event) override
     {
         const bool bounded = event.getLogLevel() <= log4cplus::INFO_LOG_LEVEL;
-        if (bounded && !this->take_line()) return;
+        if (bounded && !this->count_line()) return;
         std::ostringstream line;
         this->layout->formatAndAppend(line, event);
-        this->add(line.str());
+        this->buffer_line(line.str());
     }
 
 private:
@@ -94,49 +94,50 @@
         return ::poll(&output, 1, 0) > 0 && (output.revents & POLLOUT) != 0;
     }
 
-    void add(const std::string& line)
+    void buffer_line(const std::string& line)
     {
-        if (this->waiting.size() + line.size() > this->bounds.waiting_bytes) {
-            ++this->left_out;
+        if (this->buffered.size() + line.size() > this->bounds.waiting_bytes) {
+            ++this->dropped_lines;
         } else {
-            this->waiting += line;
+            this->buffered += line;
         }
     }
 
-    bool take_line()
+    bool count_line()
     {
         const auto now = std::chrono::steady_clock::now();
-        if (now - this->second > std::chrono::seconds(1)) {
-            this->second = now;
+        if (now - this->second_start > std::chrono::seconds(1)) {
+            this->second_start = now;
             this->lines = 0;
         }
         if (this->lines >= this->bounds.lines_per_s) {
-            ++this->left_out;
+            ++this->dropped_lines;
             return false;
         }
         ++this->lines;
         return true;
     }
 
-    void report_left_out()
+    void report_dropped_lines()
     {
         const auto now = std::chrono::steady_clock::now();
-        if (this->left_out == 0 || now - this->reported < std::chrono::seconds(1)) return;
-        if (this->waiting.size() * 2 > this->bounds.waiting_bytes) return;
-        this->reported = now;
-        const std::size_t count = std::exchange(this->left_out, 0);
+        if (this->dropped_lines == 0 || now - this->dropped_reported_at < std::chrono::seconds(1))
+            return;
+        if (this->buffered.size() * 2 > this->bounds.waiting_bytes) return;
+        this->dropped_reported_at = now;
+        const std::size_t count = std::exchange(this->dropped_lines, 0);
         log_event(log_level::warn, "log_lines_left_out", {{"count", count}});
     }
 
     log_bounds bounds;
-    std::string waiting;
-    std::size_t left_out = 0;
-    std::size_t lines = 0; ///< of this second
-    std::chrono::steady_clock::time_point second;
-    std::chrono::steady_clock::time_point reported;
+    std::string buffered;
+    std::size_t dropped_lines = 0;
+    std::size_t lines = 0; ///< logged in the current second
+    std::chrono::steady_clock::time_point second_start;
+    std::chrono::steady_clock::time_point dropped_reported_at;
 };
 
-/** Owned by the logger that it was added to. */
+/** The appender of `start_bounded_log`, owned by the logger; nullptr: none. */
 bounded_appender* bounded_output = nullptr;
 
 void add_appender(log_level level, std::string_view vm, log4cplus::SharedAppenderPtr appender)
--- a/src/log.h
+++ b/src/log.h
@@ -1,5 +1,5 @@
 /** \file
- * Structured logs: one line of key=value pairs for each event, by log4cplus.
+ * Structured logging with log4cplus: one line of key=value pairs per event.
  */
 #pragma once
 
@@ -30,22 +30,22 @@
 void start_log(log_level level, std::string_view vm);
 void set_log_level(log_level level);
 
-/** Bounds of a log that must never hold up its process. */
+/** Limits of a log that must never block its process. */
 struct log_bounds {
-    /** Lines a second at level info and below. A quarter core serves about 200 requests a second,
-     * and a request has one line and one more for each attempt that failed. */
+    /** Lines per second at level info and below. A quarter of a core serves about 200 requests per
+     * second, and a request logs one line plus one for each failed attempt. */
     std::size_t lines_per_s = 500;
-    /** Bytes that wait for a reader of the output; a few seconds of the lines above. */
+    /** Bytes buffered until the output can be written: a few seconds of the lines above. */
     std::size_t waiting_bytes = std::size_t{1024} * 1024;
 };
 
-/** Starts logging to standard output. Lines wait in memory until `flush_log` finds that they can be
- * written without blocking; what is over the bounds is left out, and counted in a line. */
+/** Starts logging to standard output. Lines are buffered in memory until `flush_log` can write them
+ * without blocking. Lines over the limits are dropped, and a log line reports their number. */
 void start_bounded_log(log_level level, std::string_view vm, const log_bounds& bounds);
-/** Writes waiting lines as far as the output takes them at once. */
+/** Writes buffered lines as far as the output accepts them without blocking. */
 void flush_log();
 
-/** Parses a level's name. \throws user_error if there is no such level. */
+/** Parses the name of a level. \throws user_error if there is no such level. */
 log_level parse_log_level(std::string_view name);
 
 [[nodiscard]] bool log_enabled(log_level level);
@@ -54,7 +54,7 @@
  * characters are quoted and escaped, so that a line can be parsed back. */
 void log_event(log_level level, std::string_view event, std::initializer_list<log_field> fields);
 
-/** The value as it stands in a log line. */
+/** Returns the value as it is written to a log line, quoted and escaped if necessary. */
 std::string escape_log_value(std::string_view value);
 
 } // namespace worksshift
