--- a/src/metrics.cpp
+++ b/src/metrics.cpp
@@ -7,8 +7,8 @@
 namespace {
 
 constexpr unsigned bucket_count = 30;
-constexpr double shortest_s = 0.0001;
-constexpr double longest_s = 100;
+constexpr double min_latency_s = 0.0001;
+constexpr double max_latency_s = 100;
 
 const char* name_of(latency kind)
 {
@@ -35,7 +35,7 @@
 
 } // namespace
 
-client_account_id metrics::bounded(const client_account_id& account)
+client_account_id metrics::histogram_account(const client_account_id& account)
 {
     if (this->known_accounts.contains(account)) return account;
     if (this->known_accounts.size() >= accounts_with_histograms) return {"other"};
@@ -53,10 +53,10 @@
 metrics::series& metrics::find(latency kind, const service_id& service,
                                const client_account_id& account)
 {
-    const key name{kind, service, this->bounded(account)};
+    const key name{kind, service, this->histogram_account(account)};
     const auto found = this->histograms.find(name);
     if (found != this->histograms.end()) return found->second;
-    auto empty = boost::histogram::make_histogram(axis(bucket_count, shortest_s, longest_s));
+    auto empty = boost::histogram::make_histogram(axis(bucket_count, min_latency_s, max_latency_s));
     return this->histograms.emplace(name, series{std::move(empty), 0}).first->second;
 }
 
--- a/src/metrics.h
+++ b/src/metrics.h
@@ -1,6 +1,6 @@
 /** \file
- * Metrics in Prometheus' text format: Boost.Histogram histograms per service and client account,
- * bounded in number, and plain counters.
+ * Metrics in the Prometheus text format: latency histograms (Boost.Histogram) per service and
+ * client account, limited in number, and plain counters.
  */
 #pragma once
 
@@ -15,16 +15,18 @@
 
 namespace worksshift {
 
-/** Accounts with histograms of their own; the rest share `other`. */
+/** Maximum number of client accounts with their own histograms; the rest share `other`. */
 constexpr std::size_t accounts_with_histograms = 32;
 
+/** The measured intervals: from the request to the first byte of the response, between two pieces
+ * of a streamed response, and from the request to the end of the response. */
 enum class latency : std::uint8_t { first_byte, between_pieces, whole };
 
 class metrics {
 public:
     using axis = boost::histogram::axis::regular<double, boost::histogram::axis::transform::log>;
     using histogram = decltype(boost::histogram::make_histogram(axis()));
-    /** One histogram and the sum of its values, in seconds. */
+    /** Histogram of latencies in seconds, and their sum. */
     struct series {
         histogram buckets;
         double sum = 0;
@@ -32,7 +34,7 @@
         void add(duration value);
     };
 
-    /** The histogram of a service and account, made if it is new; it stays where it is. */
+    /** Histogram of a service and account, created if missing. References stay valid. */
     series& find(latency kind, const service_id& service, const client_account_id& account);
     void observe(latency kind, const service_id& service, const client_account_id& account,
                  duration value)
@@ -41,6 +43,7 @@
     }
     void count(const std::string& name, std::uint64_t add = 1) { this->counters[name] += add; }
 
+    /** All metrics in the Prometheus text format. */
     [[nodiscard]] std::string text() const;
 
 private:
@@ -51,7 +54,7 @@
         auto operator<=>(const key&) const = default;
     };
 
-    client_account_id bounded(const client_account_id& account);
+    client_account_id histogram_account(const client_account_id& account);
 
     std::map<key, series> histograms;
     std::map<client_account_id, bool> known_accounts;
