--- a/src/process.h
+++ b/src/process.h
@@ -1,5 +1,5 @@
 /** \file
- * What a daemon asks of its own process: descriptors, and numbers that no other start has.
+ * Process-level helpers for daemons: the limit of open files, and random identifiers.
  */
 #pragma once
 
@@ -7,10 +7,11 @@
 
 namespace worksshift {
 
-/** Raises the soft limit of open files to the hard one: many callers hold idle connections. */
+/** Raises the soft limit of open files to the hard limit, since many callers keep idle connections.
+ */
 void raise_file_limit();
 
-/** A number that differs from that of every other start of every process. */
+/** 64-bit random number that identifies one start of a process, from std::random_device. */
 std::uint64_t random_number();
 
 } // namespace worksshift
