--- a/src/given_options.cpp
+++ b/src/given_options.cpp
@@ -15,8 +15,8 @@
 constexpr std::string_view environment_prefix = "WORKSSHIFT_";
 constexpr const char* file_option = "config";
 
-/** The option that an environment variable sets; empty when there is none. */
-std::string option_of(const std::string& variable, const options::options_description& all)
+/** Name of the option that an environment variable sets; empty if none. */
+std::string option_name(const std::string& variable, const options::options_description& all)
 {
     if (!variable.starts_with(environment_prefix)) return {};
     std::string name = variable.substr(environment_prefix.size());
@@ -47,7 +47,7 @@
         constexpr int style = options::command_line_style::default_style &
                               ~options::command_line_style::allow_guessing;
         options::store(options::parse_command_line(count, arguments, all, style), given.values);
-        const auto known = [&](const std::string& variable) { return option_of(variable, all); };
+        const auto known = [&](const std::string& variable) { return option_name(variable, all); };
         options::store(options::parse_environment(all, known), given.values);
         if (given.values.count(file_option) > 0) {
             given.file = given.values[file_option].as<std::string>();
--- a/src/given_options.h
+++ b/src/given_options.h
@@ -1,6 +1,6 @@
 /** \file
- * Settings of a daemon as they were given: flags go before environment variables, and these before
- * a file of `name = value` lines.
+ * Reads the settings of a daemon: command line flags take precedence over environment variables,
+ * and these over a file of `name = value` lines.
  */
 #pragma once
 
@@ -12,14 +12,15 @@
 
 struct given_options {
     boost::program_options::variables_map values;
-    std::string file;      ///< named by the option `config`; empty: none
-    std::string help_text; ///< of all options
-    bool help = false;
-    bool check_only = false;
+    std::string file;        ///< path given by the option `config`; empty: none
+    std::string help_text;   ///< describes all options
+    bool help = false;       ///< print the help text and exit
+    bool check_only = false; ///< check the settings and exit
 };
 
-/** Reads all sources. An environment variable is `WORKSSHIFT_` and the option's name in capitals,
- * with _ for -; those that name no option are left alone. \throws user_error naming the fault. */
+/** Reads all sources. The environment variable of an option is `WORKSSHIFT_` followed by its name
+ * in upper case with _ instead of -; other variables are ignored. \throws user_error describing the
+ * invalid setting. */
 given_options read_options(const boost::program_options::options_description& all, int count,
                            const char* const* arguments);
 
