--- a/src/errors.h
+++ b/src/errors.h
@@ -1,7 +1,7 @@
 /** \file
- * Error types. A user error is a fault in what somebody gave us (a setting, a document, a request);
- * a peer error is a fault of another process; an internal error is a fault of our own. Each carries
- * the step and the peer at which it arose.
+ * Error types: a user error is invalid input (a setting, a document, a request), a peer error is a
+ * failure of another process, and an internal error is a defect of this program. Each carries the
+ * step and the peer at which it occurred.
  */
 #pragma once
 
@@ -22,12 +22,12 @@
     std::string peer;
 };
 
-/** Bad input: the one who gave it can mend it. */
+/** Invalid input, which whoever provided it can correct. */
 class user_error : public error {
     using error::error;
 };
 
-/** Another process broke the protocol, refused, or went away. */
+/** Another process violated the protocol, refused, or became unreachable. */
 class peer_error : public error {
     using error::error;
 };
--- a/src/ids.h
+++ b/src/ids.h
@@ -1,8 +1,8 @@
 /** \file
- * Strong identifier types and the time types of the decision code.
+ * Strong identifier types, and the time types used throughout.
  *
- * Names of servers, VMs and accounts all look alike as strings; distinct types keep one from being
- * passed where another is meant.
+ * Names of servers, VMs and accounts are all strings; distinct types prevent one from being passed
+ * in place of another.
  */
 #pragma once
 
@@ -22,13 +22,14 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-/** 64-bit hash of a name; equal on every VM, so that rendezvous ranks agree across the fleet. */
+/** 64-bit hash of a name. It is the same on every VM, so that rendezvous ranks agree across the
+ * fleet. */
 inline std::uint64_t hash_of(std::string_view text)
 {
     return XXH3_64bits(text.data(), text.size());
 }
 
-/** A name of one kind of thing, distinguished by \p Tag. */
+/** A name whose kind is distinguished by \p Tag. */
 template <class Tag>
 struct strong_id {
     std::string text;
@@ -55,8 +56,8 @@
 /** Identifies a chat: the hash of the chat header or of the stable prefix of its messages. */
 enum class chat_key : std::uint64_t {};
 
-/** One try of one request at one server. `origin` is random per process start, so ids of a
- * restarted VM never meet those of its earlier life. */
+/** One attempt of a request at one server. `origin` is random for each start of the process, so ids
+ * of a restarted VM do not collide with its earlier ones. */
 struct attempt_id {
     std::uint64_t origin = 0;
     std::uint64_t sequence = 0;
@@ -72,7 +73,7 @@
 
 } // namespace worksshift
 
-/// \cond Doxygen finds no place for specializations of std's templates.
+/// \cond Doxygen cannot place specializations of templates in namespace std.
 template <class Tag>
 struct std::hash<worksshift::strong_id<Tag>> {
     std::size_t operator()(const worksshift::strong_id<Tag>& id) const noexcept
--- a/src/visitor.h
+++ b/src/visitor.h
@@ -1,5 +1,5 @@
 /** \file
- * A visitor of a variant, made of one lambda for each alternative.
+ * Overload set of lambdas, used with std::visit: one lambda per alternative of a variant.
  */
 #pragma once
 
