--- a/src/router_settings.cpp
+++ b/src/router_settings.cpp
@@ -12,42 +12,45 @@
 
 namespace options = boost::program_options;
 
-/** One figure of the placement, which measurements vary or switch off. */
+/** Setting of one parameter of placement, so that experiments can vary it or switch it off. */
 struct placement_setting {
     const char* name;
-    double placement_policy::*figure;
-    double highest;
+    double placement_policy::*field;
+    double max;
     const char* text;
 };
 
 constexpr std::array placement_settings{
-    placement_setting{"wait-of-objective", &placement_policy::wait_of_objective, 10,
-                      "share of the objective that a request may wait for a slot, 0 to 10; 0: any"},
-    placement_setting{"busy-from", &placement_policy::busy_from, 10,
-                      "share of slots from which requests are admitted by rate, 0 to 10; 0: never"},
+    placement_setting{
+        "wait-of-objective", &placement_policy::wait_of_objective, 10,
+        "share of the latency objective that a request may wait for a slot, 0 to 10; 0: no limit"},
+    placement_setting{
+        "busy-from", &placement_policy::busy_from, 10,
+        "share of used slots from which requests are admitted by rate, 0 to 10; 0: never"},
     placement_setting{"ranks-to-wait-at", &placement_policy::ranks_to_wait_at, 10000,
-                      "engines in rank of a prompt that may get full, 0 to 10000"},
+                      "highest-ranked engines of a prompt that may become full, 0 to 10000"},
     placement_setting{"free-share", &placement_policy::free_share, 10,
-                      "share of slots below which any engine is taken, 0 to 10"},
+                      "share of used slots below which any engine may be chosen, 0 to 10"},
     placement_setting{
         "slow-multiple", &placement_policy::slow_multiple, 1000,
-        "delay, against that of the first quartile, of a slow engine, 0 to 1000; 0: none"},
+        "multiple of the first-quartile delay from which an engine is slow, 0 to 1000; 0: never"},
     placement_setting{
         "patience-while-heard", &placement_policy::patience_while_heard, 1000,
-        "multiple of the silence that a server which answers others is given, 0 to 1000"},
+        "multiple of the response timeout for a server that answers others, 0 to 1000"},
     placement_setting{"hot-prompt-share", &placement_policy::hot_prompt_share, 10,
-                      "share of an engine's slots that one prompt fills, 0 to 10; 0: any"},
-    placement_setting{"lateness-margin", &placement_policy::lateness_margin, 100,
-                      "deviations of unseen load taken off the load bound, 0 to 100"},
+                      "share of an engine's slots that one prompt may use, 0 to 10; 0: no limit"},
+    placement_setting{
+        "lateness-margin", &placement_policy::lateness_margin, 100,
+        "standard deviations of unreported load subtracted from the load bound, 0 to 100"},
     placement_setting{
         "cold-senders", &placement_policy::cold_senders, 1,
-        "VMs that may send to a cold server, as a share of the requests that it bears "
-        "in a second, 0 to 1; 0: all, evenly"},
+        "VMs that may send to a cold server, as a share of its allowed requests per second, "
+        "0 to 1; 0: all VMs, with equal shares"},
+    placement_setting{"failing-share", &placement_policy::failing_share, 1,
+                      "share of recent failures from which an engine is avoided, 0 to 1; 0: never"},
     placement_setting{
-        "failing-share", &placement_policy::failing_share, 1,
-        "share of recent failures from which an engine is left alone, 0 to 1; 0: none"},
-    placement_setting{"load-spread", &placement_policy::spread_of_loads, 1000,
-                      "requests by which the load of a full engine is drawn apart, 0 to 1000"},
+        "load-spread", &placement_policy::spread_of_loads, 1000,
+        "random spread, in requests, of the load from which an engine is full, 0 to 1000"},
 };
 
 void describe_placement(options::options_description& all)
@@ -55,7 +58,7 @@
     const placement_policy fallback;
     for (const placement_setting& item : placement_settings) {
         std::ostringstream value;
-        value << fallback.*item.figure;
+        value << fallback.*item.field;
         all.add_options()(item.name, options::value<std::string>()->default_value(value.str()),
                           item.text);
     }
@@ -64,38 +67,46 @@
 options::options_description describe()
 {
     const auto text = [] { return options::value<std::string>(); };
-    const auto with = [](const char* fallback) {
+    const auto text_with_default = [](const char* fallback) {
         return options::value<std::string>()->default_value(fallback);
     };
     options::options_description all("worksshift-router settings");
     auto add = all.add_options();
-    add("help", "prints this");
+    add("help", "prints this help text");
     add("check", "checks the settings and exits");
-    add("config", text(), "file of settings, a line each: name = value");
+    add("config", text(), "settings file with one setting per line: name = value");
     add("vm", text(), "name of this VM");
-    add("data-centre", text(), "its data centre");
+    add("data-centre", text(), "data centre of this VM");
     add("front", text(), "ADDRESS:PORT for callers");
-    add("readiness", text(), "ADDRESS:PORT that says whether this VM takes callers");
+    add("readiness", text(),
+        "ADDRESS:PORT of the readiness check: whether this VM accepts callers");
     add("peer-address", text(), "IPv4 address for other VMs");
     add("peer-port", text(), "port for other VMs, UDP and TCP; the same on all VMs");
-    add("metrics-port", with("9464"), "port of /metrics on the address for other VMs");
+    add("metrics-port", text_with_default("9464"), "port of /metrics on the address for other VMs");
     add("store", text(), "ADDRESS:PORT of the platform's store");
-    add("seeds", with(""), "addresses of some VMs, comma-separated; ports are not used");
-    add("regions", with(""), "DATA-CENTRE:REGION of each data centre, comma-separated");
-    add("cold-over", with("1"), "multiple of its stated rate that a cold server bears, 1 to 100");
-    add("cold-slack", with("0"),
-        "requests in a second that a cold server bears beyond that, 0 to 1000000");
-    add("log-level", with("info"), "trace, debug, info, warn, error or off");
-    add("log-lines-per-s", with("500"), "lines of level info in a second, 10 to 100000");
-    add("stop-grace-s", with("8"), "seconds from SIGTERM until the process is killed, 1 to 3600");
-    add("retry-ratio", with("0.2"), "repeats for each request to a service, 0 to 1");
-    add("retry-window-s", with("10"), "seconds over which repeats are counted, 1 to 3600");
-    add("retry-slack", with("50"), "repeats beyond the ratio in a window, 0 to 1000000");
+    add("seeds", text_with_default(""),
+        "addresses of some VMs, comma-separated; ports are not used");
+    add("regions", text_with_default(""),
+        "DATA-CENTRE:REGION of each data centre, comma-separated");
+    add("cold-over", text_with_default("1"),
+        "multiple of its stated rate allowed to a cold server, 1 to 100");
+    add("cold-slack", text_with_default("0"),
+        "requests per second allowed to a cold server beyond that, 0 to 1000000");
+    add("log-level", text_with_default("info"), "trace, debug, info, warn, error or off");
+    add("log-lines-per-s", text_with_default("500"),
+        "log lines per second at level info and below, 10 to 100000");
+    add("stop-grace-s", text_with_default("8"),
+        "seconds from SIGTERM until the process is killed, 1 to 3600");
+    add("retry-ratio", text_with_default("0.2"), "retries per request to a service, 0 to 1");
+    add("retry-window-s", text_with_default("10"),
+        "seconds over which retries are counted, 1 to 3600");
+    add("retry-slack", text_with_default("50"),
+        "retries allowed beyond the ratio in a window, 0 to 1000000");
     describe_placement(all);
     return all;
 }
 
-/** The values that were given, by name. */
+/** Accessors for setting values, which check them. */
 class given_values {
 public:
     explicit given_values(const options::variables_map& values) : values(values) {}
@@ -120,8 +131,8 @@
         const std::string given = this->text(name);
         double value = 0;
         const auto [end, fault] = std::from_chars(given.data(), given.data() + given.size(), value);
-        const bool whole = fault == std::errc{} && end == given.data() + given.size();
-        if (!whole || value < low || value > high) {
+        const bool complete = fault == std::errc{} && end == given.data() + given.size();
+        if (!complete || value < low || value > high) {
             std::ostringstream what;
             what << name << '=' << given << " is not a number from " << low << " to " << high;
             throw user_error("settings", "", what.str());
@@ -164,12 +175,12 @@
     return std::chrono::duration_cast<duration>(std::chrono::duration<double>(value));
 }
 
-constexpr double largest_port = 65535;
-constexpr double longest_span_s = 3600;
-constexpr double largest_slack = 1e6;
-constexpr double most_cold_over = 100;
-constexpr double fewest_lines = 10;
-constexpr double most_lines = 100000;
+constexpr double max_port = 65535;
+constexpr double max_span_s = 3600;
+constexpr double max_slack = 1e6;
+constexpr double max_cold_over = 100;
+constexpr double min_log_lines_per_s = 10;
+constexpr double max_log_lines_per_s = 100000;
 
 router_settings read(const options::variables_map& values)
 {
@@ -181,7 +192,7 @@
     result.readiness = given.address("readiness");
     const std::string address = given.text("peer-address");
     const auto port_of = [&](const char* name) {
-        return static_cast<std::uint16_t>(given.number(name, 1, largest_port));
+        return static_cast<std::uint16_t>(given.number(name, 1, max_port));
     };
     result.peer =
         parse_address("peer-address", address + ":" + std::to_string(port_of("peer-port")));
@@ -189,17 +200,17 @@
     result.store = given.address("store");
     result.seeds = given.addresses("seeds");
     result.regions = given.regions("regions");
-    result.cold.over = given.number("cold-over", 1, most_cold_over);
-    result.cold.slack = given.number("cold-slack", 0, largest_slack);
+    result.cold.over = given.number("cold-over", 1, max_cold_over);
+    result.cold.slack = given.number("cold-slack", 0, max_slack);
     result.level = parse_log_level(given.text("log-level"));
-    result.log_lines_per_s =
-        static_cast<std::size_t>(given.number("log-lines-per-s", fewest_lines, most_lines));
-    result.stop_grace = to_duration(given.number("stop-grace-s", 1, longest_span_s));
+    result.log_lines_per_s = static_cast<std::size_t>(
+        given.number("log-lines-per-s", min_log_lines_per_s, max_log_lines_per_s));
+    result.stop_grace = to_duration(given.number("stop-grace-s", 1, max_span_s));
     result.retries.ratio = given.number("retry-ratio", 0, 1);
-    result.retries.window = to_duration(given.number("retry-window-s", 1, longest_span_s));
-    result.retries.slack = given.number("retry-slack", 0, largest_slack);
+    result.retries.window = to_duration(given.number("retry-window-s", 1, max_span_s));
+    result.retries.slack = given.number("retry-slack", 0, max_slack);
     for (const placement_setting& item : placement_settings)
-        result.placement.*item.figure = given.number(item.name, 0, item.highest);
+        result.placement.*item.field = given.number(item.name, 0, item.max);
     return result;
 }
 
