--- a/src/router_status.cpp
+++ b/src/router_status.cpp
@@ -47,7 +47,7 @@
     }
     json all = json::array();
     for (const auto& [id, row] : servers.rows()) {
-        const group& of = groups[row.record.service];
+        const group& totals = groups[row.record.service];
         all.push_back(
             {{"server", id.text},
              {"service", row.record.service.text},
@@ -56,7 +56,7 @@
              {"limit", row.record.slots},
              {"load", row.load()},
              {"bound", load_bound_multiple},
-             {"mean_load", of.servers > 0 ? of.load / of.servers : 0},
+             {"mean_load", totals.servers > 0 ? totals.load / totals.servers : 0},
              {"draining", !row.takes_work()},
              {"accepting", row.takes_work() && row.health.usable(now) && !row.quiet(now)}});
     }
