--- a/test/support/digest_fleet.cpp
+++ b/test/support/digest_fleet.cpp
@@ -8,12 +8,12 @@
 
 namespace {
 
-/** Of the routers' tick. */
+/** Same as the tick of a router. */
 constexpr duration step_span = milliseconds(25);
-/** The first VM's address; the others follow. */
+/** Address of the first VM; the others have consecutive addresses. */
 constexpr std::uint32_t first_address = 0x0a000001;
-constexpr duration shortest_delay = std::chrono::microseconds(300);
-constexpr duration longest_delay = milliseconds(3);
+constexpr duration min_delay = std::chrono::microseconds(300);
+constexpr duration max_delay = milliseconds(3);
 
 } // namespace
 
@@ -76,7 +76,7 @@
     for (auto& [vm, item] : this->vms) {
         if (this->on_tick) this->on_tick(vm);
         const bool before = item.duty.stands_by();
-        item.duty.update(item.rounds.fleet(), this->store_known_to(item).confirmed_at,
+        item.duty.update(item.rounds.fleet(), this->known_store_state(item).confirmed_at,
                          item.store_answers, this->now);
         if (!before && item.duty.stands_by()) {
             ++item.duties;
@@ -89,7 +89,7 @@
     }
 }
 
-store_news digest_fleet::store_known_to(const digest_vm& item)
+store_news digest_fleet::known_store_state(const digest_vm& item)
 {
     store_news known = item.rounds.fleet().store();
     known.merge(item.store);
@@ -117,7 +117,7 @@
     state.loads = item.loads;
     state.servers = this->servers;
     state.busy = item.busy;
-    this->store_known_to(item).describe(state.digest, this->now);
+    this->known_store_state(item).describe(state.digest, this->now);
     if (this->describe) this->describe(vm, state);
     for (const outgoing_digest& made : item.rounds.next(std::move(state), this->now)) {
         for (const std::uint32_t address : made.to) {
@@ -129,8 +129,9 @@
             const bool lost = std::uniform_real_distribution<>()(this->random) < this->loss;
             if (lost || this->cut.contains(std::minmax(vm, to))) continue;
             const auto delay = std::uniform_int_distribution<duration::rep>(
-                shortest_delay.count(), longest_delay.count())(this->random);
-            this->network.push({this->now + duration(delay), this->sent++, vm, to, made.bytes});
+                min_delay.count(), max_delay.count())(this->random);
+            this->network.push(
+                {this->now + duration(delay), this->datagrams_sent++, vm, to, made.bytes});
         }
     }
 }
--- a/test/support/digest_fleet.h
+++ b/test/support/digest_fleet.h
@@ -1,5 +1,6 @@
 /** \file
- * Many VMs' digests in one loop: a network that delays, loses and cuts, and no sockets or clocks.
+ * Simulates the gossip of a whole fleet in one loop, without sockets or real clocks, over a network
+ * that delays and loses datagrams and can be partitioned.
  */
 #pragma once
 
@@ -16,7 +17,7 @@
 
 namespace support {
 
-/** One VM of the fleet. */
+/** One VM of the simulated fleet. */
 struct digest_vm {
     digest_vm(const worksshift::fleet_table::identity& self, std::span<const std::uint32_t> seeds,
               worksshift::instant now)
@@ -31,8 +32,8 @@
     std::uint64_t config_version = 1;
     bool store_answers = true;
     bool leaving = false;
-    std::size_t duties = 0;       ///< times that it began to stand by as a watcher
-    worksshift::store_news store; ///< what it knows of the store by itself
+    std::size_t duties = 0;       ///< how often it became a standby watcher
+    worksshift::store_news store; ///< state of the store from its own calls
     std::uint64_t bytes_sent = 0;
     std::uint64_t bytes_received = 0;
     std::uint64_t bytes_across = 0; ///< sent to other data centres
@@ -40,13 +41,14 @@
 
 class digest_fleet {
 public:
-    /** VMs are spread over the data centres in turn; the first three are everybody's seeds. */
+    /** Assigns VMs to data centres round-robin; the first three VMs are the seeds of all. \p seed
+     * is that of the random generator. */
     digest_fleet(std::size_t vms, std::size_t data_centres, std::uint64_t seed);
 
     void run(worksshift::duration span);
-    /** Runs until \p done holds. Returns how long that took, or \p limit. */
+    /** Runs until \p done returns true. Returns the simulated time that took, or \p limit. */
     worksshift::duration run_until(const std::function<bool()>& done, worksshift::duration limit);
-    /** Ends a VM; \p start gives it a new life at the same address. */
+    /** Stops a VM; `start` starts it again, with a new incarnation at the same address. */
     void kill(std::size_t vm) { this->vms.erase(vm); }
     void start(std::size_t vm);
 
@@ -56,42 +58,43 @@
     }
     /** The VM at an address. */
     [[nodiscard]] static std::size_t vm_at(std::uint32_t address);
-    /** Requests of all live VMs but one at each server. */
+    /** True loads: requests from all running VMs except one at each server. */
     [[nodiscard]] worksshift::load_table truth_without(std::size_t vm) const;
 
     worksshift::instant now{worksshift::seconds(1000)};
-    std::map<std::size_t, digest_vm> vms;              ///< that live
+    std::map<std::size_t, digest_vm> vms;              ///< that are running
     std::size_t servers = 20;                          ///< in the registry
-    double loss = 0;                                   ///< share of datagrams
-    std::set<std::pair<std::size_t, std::size_t>> cut; ///< pairs, both ways, smaller first
-    /** What a test adds to a VM: to each tick, and to what it tells of itself. */
+    double loss = 0;                                   ///< share of datagrams that are lost
+    std::set<std::pair<std::size_t, std::size_t>> cut; ///< disconnected pairs, the smaller first
+    /** Hooks for tests: called in each tick of a VM, and to add to the state that a VM reports. */
     std::function<void(std::size_t)> on_tick;
     std::function<void(std::size_t, worksshift::own_state&)> describe;
-    std::function<void(std::size_t, const worksshift::fleet_vm&)> on_digest; ///< that came to a VM
+    /** Called when a VM received a digest: the VM and the sender. */
+    std::function<void(std::size_t, const worksshift::fleet_vm&)> on_digest;
 
 private:
     struct datagram {
         worksshift::instant at;
-        std::uint64_t order = 0;
+        std::uint64_t sequence = 0;
         std::size_t from = 0;
         std::size_t to = 0;
         std::string bytes;
 
         bool operator>(const datagram& other) const
         {
-            return std::tie(this->at, this->order) > std::tie(other.at, other.order);
+            return std::tie(this->at, this->sequence) > std::tie(other.at, other.sequence);
         }
     };
 
     void step();
-    static worksshift::store_news store_known_to(const digest_vm& item);
+    static worksshift::store_news known_store_state(const digest_vm& item);
     void deliver(const datagram& item);
     void send_round(std::size_t vm);
 
     std::size_t data_centres;
     std::mt19937_64 random;
     std::priority_queue<datagram, std::vector<datagram>, std::greater<>> network;
-    std::uint64_t sent = 0;
+    std::uint64_t datagrams_sent = 0;
 };
 
 } // namespace support
