--- a/test/fuzz/digests_reach_every_vm.cpp
+++ b/test/fuzz/digests_reach_every_vm.cpp
@@ -1,6 +1,6 @@
 /** \file
- * Digests bring every VM the loads of all others, however many VMs and data centres there are,
- * with datagrams lost and VMs killed; and a few VMs watch the store for all.
+ * Simulated fleets of random size: digests propagate the loads of all VMs to every VM despite lost
+ * datagrams and killed VMs, and only a few VMs watch the store.
  */
 #include <algorithm>
 
@@ -15,7 +15,7 @@
 using namespace worksshift;
 using support::digest_fleet;
 
-/** Loads drawn for some of the servers. */
+/** Random loads at some of the servers, sorted. */
 load_table draw_loads(std::size_t servers)
 {
     const auto count = *rc::gen::inRange<std::size_t>(0, servers + 1);
@@ -28,15 +28,15 @@
     return loads;
 }
 
-/** What every VM should know, in the order of servers. */
-bool all_know_the_truth(const digest_fleet& fleet)
+/** Whether every VM has the true load sums of all other VMs. */
+bool all_have_true_loads(const digest_fleet& fleet)
 {
     return std::ranges::all_of(fleet.vms, [&](const auto& entry) {
         return entry.second.rounds.loads_of_others(fleet.now) == fleet.truth_without(entry.first);
     });
 }
 
-std::size_t standing_by(const digest_fleet& fleet)
+std::size_t count_standby_watchers(const digest_fleet& fleet)
 {
     return static_cast<std::size_t>(std::ranges::count_if(
         fleet.vms, [](const auto& entry) { return entry.second.duty.stands_by(); }));
@@ -62,6 +62,7 @@
     CPPUNIT_TEST_SUITE_END();
 
 public:
+    /** Guards against loads that are lost, stale or counted twice on the way between VMs. */
     static void loads()
     {
         const bool held = rc::check("all VMs come to know all loads", [] {
@@ -73,12 +74,13 @@
             for (auto& [vm, item] : fleet.vms)
                 item.loads = draw_loads(fleet.servers);
             const duration took =
-                fleet.run_until([&] { return all_know_the_truth(fleet); }, seconds(30));
+                fleet.run_until([&] { return all_have_true_loads(fleet); }, seconds(30));
             RC_ASSERT(took < seconds(30));
         });
         CPPUNIT_ASSERT(held);
     }
 
+    /** Guards against loads of a killed VM that stay in the sums. */
     static void loads_after_kills()
     {
         const bool held = rc::check("loads of killed VMs are forgotten, those of others kept", [] {
@@ -94,12 +96,13 @@
                 fleet.kill(*rc::gen::inRange<std::size_t>(0, vms));
             if (*rc::gen::arbitrary<bool>()) fleet.start(0);
             const duration took =
-                fleet.run_until([&] { return all_know_the_truth(fleet); }, seconds(30));
+                fleet.run_until([&] { return all_have_true_loads(fleet); }, seconds(30));
             RC_ASSERT(took < seconds(30));
         });
         CPPUNIT_ASSERT(held);
     }
 
+    /** Guards against too many VMs that watch the store, or none. */
     static void watchers_settle()
     {
         const bool held = rc::check("few VMs watch the store", [] {
@@ -110,14 +113,15 @@
             const std::size_t allowed = vms <= small_fleet || centres == 1
                                             ? watch_duty::watchers_of_fleet
                                             : watch_duty::watchers_of_data_centre * centres;
-            RC_ASSERT(standing_by(fleet) <= allowed);
-            RC_ASSERT(standing_by(fleet) >= 1U);
+            RC_ASSERT(count_standby_watchers(fleet) <= allowed);
+            RC_ASSERT(count_standby_watchers(fleet) >= 1U);
             RC_ASSERT(linearizable(fleet) == std::min(vms, delegates_of_fleet));
         });
         CPPUNIT_ASSERT(held);
     }
 
-    /** VMs that stop in turn, as in an upgrade: their place is taken by few, not by all. */
+    /** Guards against most VMs starting to watch when watchers stop one by one, as in an upgrade.
+     */
     static void few_take_over_from_watchers_that_leave()
     {
         digest_fleet fleet(80, 4, 3);
@@ -144,6 +148,7 @@
         CPPUNIT_ASSERT(began <= 3 * left);
     }
 
+    /** Guards against a data centre without a working watch when the store refuses all watchers. */
     static void others_watch_when_the_store_refuses()
     {
         digest_fleet fleet(40, 4, 1);
@@ -151,7 +156,7 @@
         for (auto& [vm, item] : fleet.vms) {
             if (item.duty.watching()) item.store_answers = false;
         }
-        // A server that leaves must get no new work two seconds later.
+        // A leaving server must get no new requests 2 s later, so other VMs must take over sooner.
         const duration took = fleet.run_until(
             [&] {
                 return std::ranges::all_of(fleet.vms, [&](const auto& entry) {
@@ -167,7 +172,8 @@
         CPPUNIT_ASSERT(took <= seconds(1));
     }
 
-    /** Settings that change may name VMs to begin with when all former ones are gone. */
+    /** Guards against added seeds that are not contacted, as when reloaded settings replace all
+     * former seeds. */
     static void seeds_can_be_added()
     {
         const instant now(seconds(100));
@@ -187,7 +193,7 @@
         CPPUNIT_ASSERT(std::ranges::find(told, 3U) != told.end());
     }
 
-    /** A VM that was started anew has nothing under way of what it had before. */
+    /** Guards against loads of a VM's previous incarnation that are kept after its restart. */
     static void a_new_life_begins_with_nothing()
     {
         const instant now(seconds(100));
@@ -204,13 +210,14 @@
         CPPUNIT_ASSERT_EQUAL(4U, load_at(table.vms().at(2).own_loads.entries(), 12));
         digest.incarnation = 6;
         digest.sequence = 1;
-        // A part of its table only: the rest must not be that of its former life.
+        // This digest has only part of the table: the rest must not come from the old incarnation.
         digest.own_loads = {1, 2, {{11, 1}}};
         CPPUNIT_ASSERT(table.take(2, digest, now) != nullptr);
         CPPUNIT_ASSERT_EQUAL(0U, load_at(table.vms().at(2).own_loads.entries(), 12));
         CPPUNIT_ASSERT_EQUAL(1U, load_at(table.vms().at(2).own_loads.entries(), 11));
     }
 
+    /** Guards against fields lost in encoding, and against truncated digests that are accepted. */
     static void a_digest_survives_its_coding()
     {
         const bool held = rc::check("decoding gives what was encoded", [] {
