--- a/test/error/log_is_bounded.cpp
+++ b/test/error/log_is_bounded.cpp
@@ -1,6 +1,6 @@
 /** \file
- * A log that is written faster than its bounds, or that nobody reads, holds nothing up, and tells
- * how much was left out.
+ * A log that receives lines faster than its limit, or whose output is not read, never blocks the
+ * process, and reports how many lines it dropped.
  */
 #include <array>
 
@@ -14,11 +14,11 @@
 
 using namespace worksshift;
 
-constexpr std::size_t lines_allowed = 100;
-constexpr std::size_t bytes_allowed = std::size_t{64} * 1024;
+constexpr std::size_t max_lines_per_s = 100;
+constexpr std::size_t max_buffered = std::size_t{64} * 1024;
 
-/** Standard output goes into a pipe while this lives, and standard error, to which the tests' own
- * log writes the same lines, nowhere. */
+/** Redirects standard output to a pipe during its lifetime, and standard error, to which the log of
+ * the test program writes the same lines, to /dev/null. */
 class captured_output {
 public:
     captured_output() : saved(::dup(STDOUT_FILENO)), saved_error(::dup(STDERR_FILENO))
@@ -26,9 +26,9 @@
         CPPUNIT_ASSERT(::pipe2(this->ends.data(), O_CLOEXEC) == 0);
         ::fcntl(this->ends[0], F_SETFL, O_NONBLOCK);
         ::dup2(this->ends[1], STDOUT_FILENO);
-        const int nowhere = ::open("/dev/null", O_WRONLY | O_CLOEXEC);
-        ::dup2(nowhere, STDERR_FILENO);
-        ::close(nowhere);
+        const int null_device = ::open("/dev/null", O_WRONLY | O_CLOEXEC);
+        ::dup2(null_device, STDERR_FILENO);
+        ::close(null_device);
     }
     ~captured_output()
     {
@@ -42,7 +42,7 @@
     captured_output(captured_output&&) = delete;
     captured_output& operator=(captured_output&&) = delete;
 
-    /** What came since the last call. */
+    /** Output since the last call. */
     std::string read()
     {
         std::string all;
@@ -74,31 +74,32 @@
     CPPUNIT_TEST_SUITE_END();
 
 public:
+    /** Guards against a log that blocks, exceeds its limits or drops lines silently. */
     static void four_times_the_lines_and_no_reader()
     {
-        start_bounded_log(log_level::info, "test", {lines_allowed, bytes_allowed});
+        start_bounded_log(log_level::info, "test", {max_lines_per_s, max_buffered});
         captured_output output;
-        for (std::size_t i = 0; i < 4 * lines_allowed; ++i)
+        for (std::size_t i = 0; i < 4 * max_lines_per_s; ++i)
             log_event(log_level::info, "busy", {{"number", i}});
         flush_log();
         flush_log();
         const std::string first = output.read();
-        CPPUNIT_ASSERT_EQUAL(lines_allowed, lines_in(first, "event=busy"));
+        CPPUNIT_ASSERT_EQUAL(max_lines_per_s, lines_in(first, "event=busy"));
         CPPUNIT_ASSERT(first.find("event=log_lines_left_out count=300") != std::string::npos);
 
-        // Errors are not counted by the second, but nobody reads: a flush returns all the same.
+        // Errors have no limit per second. Nobody reads the pipe, but each flush must return.
         const std::string text(1000, 'x');
         for (std::size_t i = 0; i < 1000; ++i) {
             log_event(log_level::error, "unread", {{"text", text}});
             flush_log();
         }
-        constexpr std::size_t pipe_holds = std::size_t{64} * 1024;
+        constexpr std::size_t pipe_capacity = std::size_t{64} * 1024;
         std::string unread;
         for (int round = 0; round < 40; ++round) {
             unread += output.read();
             flush_log();
         }
-        CPPUNIT_ASSERT(unread.size() <= bytes_allowed + pipe_holds);
+        CPPUNIT_ASSERT(unread.size() <= max_buffered + pipe_capacity);
         CPPUNIT_ASSERT(lines_in(unread, "event=unread") > 60);
         set_log_level(log_level::off);
     }
--- a/test/error/packed_documents_are_checked.cpp
+++ b/test/error/packed_documents_are_checked.cpp
@@ -1,5 +1,5 @@
 /** \file
- * A document that another VM passes on is taken only if it is whole.
+ * A compressed document from another VM is accepted only if it is complete and well-formed.
  */
 #include <cppunit/extensions/HelperMacros.h>
 
@@ -27,6 +27,7 @@
     }
 
 public:
+    /** Guards against documents that change in a round trip or are not compressed. */
     static void comes_back_and_is_short()
     {
         const std::string packed = pack(document());
@@ -35,6 +36,7 @@
         CPPUNIT_ASSERT_EQUAL(std::string(), unpack(pack(""), "vm"));
     }
 
+    /** Guards against accepting a truncated document. */
     static void cut_short()
     {
         const std::string packed = pack(document());
@@ -42,11 +44,13 @@
             CPPUNIT_ASSERT_THROW(unpack(packed.substr(0, size), "vm"), peer_error);
     }
 
+    /** Guards against accepting bytes that are not a compressed document, as an error page. */
     static void other_bytes()
     {
         CPPUNIT_ASSERT_THROW(unpack("<html>not found</html>", "vm"), peer_error);
     }
 
+    /** Guards against allocating memory for a length that no document has. */
     static void length_beyond_all_documents()
     {
         std::string packed = pack(document());
--- a/test/error/router_settings_name_the_fault.cpp
+++ b/test/error/router_settings_name_the_fault.cpp
@@ -1,6 +1,6 @@
 /** \file
- * The router refuses a bad setting with an error that names it, its value and the valid range; the
- * figures of the placement can be set and switched off.
+ * The router rejects an invalid setting with an error that names it, its value and the valid range.
+ * The parameters of placement can be set and switched off.
  */
 #include <cppunit/extensions/HelperMacros.h>
 
@@ -27,17 +27,21 @@
     }
 
 public:
+    /** Guards against defaults that differ from placement_policy, and against settings that are
+     * ignored.
+     */
     static void figures_of_placement()
     {
-        const placement_policy usual;
+        const placement_policy defaults;
         const placement_policy given = parse({}).placement;
-        CPPUNIT_ASSERT_EQUAL(usual.wait_of_objective, given.wait_of_objective);
-        CPPUNIT_ASSERT_EQUAL(usual.ranks_to_wait_at, given.ranks_to_wait_at);
+        CPPUNIT_ASSERT_EQUAL(defaults.wait_of_objective, given.wait_of_objective);
+        CPPUNIT_ASSERT_EQUAL(defaults.ranks_to_wait_at, given.ranks_to_wait_at);
         const placement_policy off = parse({"--busy-from=0", "--slow-multiple=0"}).placement;
         CPPUNIT_ASSERT_EQUAL(0.0, off.busy_from);
         CPPUNIT_ASSERT_EQUAL(0.0, off.slow_multiple);
     }
 
+    /** Guards against accepting a parameter that is out of range or not a number. */
     static void figures_out_of_range()
     {
         for (const char* bad :
--- a/test/error/suspended_vms.cpp
+++ b/test/error/suspended_vms.cpp
@@ -1,6 +1,6 @@
 /** \file
- * A VM that was suspended: callers' deadlines go on while the steady clock stands still, and
- * connections that were idle before are not used any more.
+ * After a suspension of the VM, during which the steady clock stops: callers' deadlines include the
+ * suspension, and connections that were idle before it are not used again.
  */
 #include <cppunit/extensions/HelperMacros.h>
 
@@ -38,6 +38,7 @@
         this->rig->path->set_config(this->rig->dialect.decode_config(example_config(1)));
     }
 
+    /** Guards against missed, repeated and false reports of a suspension. */
     static void are_noticed_once()
     {
         suspension_watch watch;
@@ -51,6 +52,7 @@
         CPPUNIT_ASSERT(watch.update({seconds(10), seconds(114)}) == seconds(1));
     }
 
+    /** Guards against false reports from the real clocks of a system that is not suspended. */
     static void clocks_agree_here()
     {
         suspension_watch watch;
@@ -60,6 +62,7 @@
         }
     }
 
+    /** Guards against callers that wait on after their deadline passed during a suspension. */
     void callers_are_told_at_once()
     {
         const scripted_server& server =
@@ -75,7 +78,7 @@
         CPPUNIT_ASSERT(caller.received.starts_with("HTTP/1.1 504"));
     }
 
-    /** A second server is told what the caller has left. */
+    /** Guards against a deadline passed to a second server that ignores the suspension. */
     void what_goes_on_has_less_time()
     {
         bool broken = false;
@@ -97,6 +100,7 @@
         CPPUNIT_ASSERT(least <= 700);
     }
 
+    /** Guards against reuse of an idle connection that the server may have closed meanwhile. */
     void idle_connections_are_closed()
     {
         const scripted_server& server =
