--- a/test/support/run_tests.cpp
+++ b/test/support/run_tests.cpp
@@ -1,7 +1,7 @@
 /** \file
- * Runs all registered CppUnit tests of one program. With arguments, only those tests whose path
- * contains one of them. Tests that KNOWN-RED.txt lists are run, printed and passed over; one that
- * is listed and passes is an error.
+ * Runs the CppUnit tests of one program: all of them, or those whose path contains one of the
+ * arguments. Failures of tests that are listed in KNOWN-RED.txt are printed but do not fail the
+ * run; a listed test that passes does.
  */
 #include <algorithm>
 #include <csignal>
@@ -23,14 +23,14 @@
 
 namespace {
 
-/** A test's name without the namespace that all fixtures are in, which has a blank in its name. */
+/** Name of a test without the anonymous namespace of the fixtures, whose name contains a space. */
 std::string short_name(const std::string& name)
 {
     constexpr std::string_view scope = "(anonymous namespace)::";
     return name.starts_with(scope) ? name.substr(scope.size()) : name;
 }
 
-std::set<std::string> read_known_red()
+std::set<std::string> read_expected_failures()
 {
     std::set<std::string> names;
     std::ifstream file(WORKSSHIFT_SOURCE_DIR "/KNOWN-RED.txt");
@@ -41,19 +41,19 @@
     return names;
 }
 
-void collect(CppUnit::Test* test, const std::set<std::string>& wanted,
+void collect(CppUnit::Test* test, const std::set<std::string>& filters,
              std::vector<CppUnit::Test*>& chosen)
 {
     if (test->getChildTestCount() > 0) {
         for (int i = 0; i < test->getChildTestCount(); ++i) {
-            collect(test->getChildTestAt(i), wanted, chosen);
+            collect(test->getChildTestAt(i), filters, chosen);
         }
         return;
     }
-    const auto named = [&](const std::string& part) {
+    const auto matches = [&](const std::string& part) {
         return test->getName().find(part) != std::string::npos;
     };
-    if (wanted.empty() || std::ranges::any_of(wanted, named)) chosen.push_back(test);
+    if (filters.empty() || std::ranges::any_of(filters, matches)) chosen.push_back(test);
 }
 
 } // namespace
@@ -62,13 +62,13 @@
 {
     std::signal(SIGPIPE, SIG_IGN);
     worksshift::start_log(worksshift::log_level::off, "test");
-    const std::set<std::string> wanted(arguments + 1, arguments + count);
-    const std::set<std::string> known_red = read_known_red();
+    const std::set<std::string> filters(arguments + 1, arguments + count);
+    const std::set<std::string> expected_failures = read_expected_failures();
 
     const std::unique_ptr<CppUnit::Test> all(
         CppUnit::TestFactoryRegistry::getRegistry().makeTest());
     std::vector<CppUnit::Test*> chosen;
-    collect(all.get(), wanted, chosen);
+    collect(all.get(), filters, chosen);
 
     CppUnit::TestResult controller;
     CppUnit::TestResultCollector collector;
@@ -88,7 +88,7 @@
     }
     int unexpected = 0;
     for (const std::string& name : failed) {
-        if (known_red.contains(name)) {
+        if (expected_failures.contains(name)) {
             std::cout << "KNOWN RED " << name << '\n';
         } else {
             ++unexpected;
@@ -96,7 +96,7 @@
     }
     for (const CppUnit::Test* test : chosen) {
         const std::string name = short_name(test->getName());
-        if (known_red.contains(name) && !failed.contains(name)) {
+        if (expected_failures.contains(name) && !failed.contains(name)) {
             std::cout << "LISTED IN KNOWN-RED.txt BUT PASSES " << name << '\n';
             ++unexpected;
         }
