--- a/test/performance/fleet.cpp
+++ b/test/performance/fleet.cpp
@@ -1,7 +1,7 @@
 /** \file
- * What VMs tell each other in fleets of several sizes, with the decisions of all VMs in one loop:
- * bytes a second, how far the loads that a VM believes are from the true ones, how soon a new
- * version of the configuration is known, and the processor time of it all.
+ * Gossip in simulated fleets of several sizes. Measures bytes per second, the error of the loads
+ * that a VM assumes, the time until all VMs know a new version of the configuration, and processor
+ * time.
  */
 #include <algorithm>
 #include <chrono>
@@ -22,10 +22,10 @@
     std::size_t data_centres;
     std::size_t servers;
     std::size_t requests_per_s;
-    duration request_span; ///< from its start to its end
+    duration request_span; ///< duration of one request
 };
 
-/** Requests that begin and end all the time, each at one server for its whole span. */
+/** Random requests, each in flight at one server for a fixed duration. */
 class traffic {
 public:
     traffic(digest_fleet& fleet, const fleet_size& size) : fleet(fleet), size(size)
@@ -37,42 +37,43 @@
             this->counts[vm].resize(size.servers);
     }
 
-    /** Lets the fleet run under load. */
+    /** Runs the fleet under load. */
     void run(duration span)
     {
         const instant end = this->fleet.now + span;
         while (this->fleet.now < end) {
-            this->start_and_end();
-            this->tell();
+            this->update_requests();
+            this->report_loads();
             this->fleet.run(milliseconds(25));
         }
     }
 
-    /** Mean share of a server's load by which a VM's belief of it is off. */
+    /** Sum of the errors of the loads that VMs assume, relative to the sum of the true loads. */
     double error_of_loads() const
     {
-        double off = 0;
+        double error_sum = 0;
         double all = 0;
         for (std::size_t vm = 0; vm < this->size.vms; vm += std::max<std::size_t>(vm, 7)) {
-            const load_table believed =
+            const load_table assumed =
                 this->fleet.vms.at(vm).rounds.loads_of_others(this->fleet.now);
-            const load_table truth = this->fleet.truth_without(vm);
+            const load_table actual = this->fleet.truth_without(vm);
             for (const std::uint32_t id : this->ids) {
-                off += std::abs(static_cast<double>(load_at(believed, id)) - load_at(truth, id));
-                all += load_at(truth, id);
+                error_sum +=
+                    std::abs(static_cast<double>(load_at(assumed, id)) - load_at(actual, id));
+                all += load_at(actual, id);
             }
         }
-        return off / all;
+        return error_sum / all;
     }
 
 private:
-    struct ending {
+    struct request_end {
         instant at;
         std::size_t vm;
         std::size_t server;
     };
 
-    void start_and_end()
+    void update_requests()
     {
         const double per_step = static_cast<double>(this->size.requests_per_s) * 0.025;
         const std::size_t count = std::poisson_distribution<std::size_t>(per_step)(this->random);
@@ -80,16 +81,16 @@
             const std::size_t vm = this->random() % this->size.vms;
             const std::size_t server = this->random() % this->size.servers;
             ++this->counts[vm][server];
-            this->endings.push_back({this->fleet.now + this->size.request_span, vm, server});
+            this->request_ends.push_back({this->fleet.now + this->size.request_span, vm, server});
         }
-        while (!this->endings.empty() && this->endings.front().at <= this->fleet.now) {
-            const ending& item = this->endings.front();
+        while (!this->request_ends.empty() && this->request_ends.front().at <= this->fleet.now) {
+            const request_end& item = this->request_ends.front();
             --this->counts[item.vm][item.server];
-            this->endings.pop_front();
+            this->request_ends.pop_front();
         }
     }
 
-    void tell()
+    void report_loads()
     {
         for (auto& [vm, item] : this->fleet.vms) {
             if (!item.rounds.due(this->fleet.now + milliseconds(25))) continue;
@@ -105,16 +106,16 @@
     fleet_size size;
     std::vector<std::uint32_t> ids;
     std::map<std::size_t, std::vector<std::uint16_t>> counts;
-    std::deque<ending> endings;
+    std::deque<request_end> request_ends;
     std::mt19937_64 random{1};
 };
 
-/** Time until every VM has heard of a new version; each that has tells of it at once. */
+/** Time until every VM knows a new version; each VM that learns it sends its next round early. */
 double spread_s(digest_fleet& fleet)
 {
     fleet.vms.begin()->second.config_version = 2;
     fleet.vms.begin()->second.rounds.hasten();
-    const auto all_have = [&] {
+    const auto all_know = [&] {
         for (auto& [vm, item] : fleet.vms) {
             if (item.config_version == 2) continue;
             const auto heard = item.rounds.fleet().heard(fleet.now);
@@ -127,7 +128,7 @@
         return std::ranges::all_of(
             fleet.vms, [](const auto& entry) { return entry.second.config_version == 2; });
     };
-    return std::chrono::duration<double>(fleet.run_until(all_have, seconds(30))).count();
+    return std::chrono::duration<double>(fleet.run_until(all_know, seconds(30))).count();
 }
 
 void measure(const fleet_size& size, figures& shown)
