--- a/src/log.cpp
+++ b/src/log.cpp
@@ -106,8 +106,8 @@
     bool count_line()
     {
         const auto now = std::chrono::steady_clock::now();
-        if (now - this->second_start > std::chrono::seconds(1)) {
-            this->second_start = now;
+        if (now - this->second > std::chrono::seconds(1)) {
+            this->second = now;
             this->lines = 0;
         }
         if (this->lines >= this->bounds.lines_per_s) {
@@ -132,8 +132,8 @@
     log_bounds bounds;
     std::string buffered;
     std::size_t dropped_lines = 0;
-    std::size_t lines = 0; ///< logged in the current second
-    std::chrono::steady_clock::time_point second_start;
+    std::size_t lines = 0;                        ///< logged in the current second
+    std::chrono::steady_clock::time_point second; ///< start of the current second
     std::chrono::steady_clock::time_point dropped_reported_at;
 };
 
