--- a/src/event_loop.cpp
+++ b/src/event_loop.cpp
@@ -71,7 +71,8 @@
     evbuffer* output = bufferevent_get_output(socket);
     const evutil_socket_t descriptor = bufferevent_getfd(socket);
     if (descriptor < 0 || evbuffer_get_length(output) == 0) return;
-    // A bufferevent freezes the front of its output buffer so that only it can remove bytes.
+    // A bufferevent freezes the front of its output buffer so that only it can remove bytes. This
+    // function writes in its place, so it lifts that for the duration of the write.
     evbuffer_unfreeze(output, 1);
     evbuffer_write(output, descriptor);
     evbuffer_freeze(output, 1);
