--- a/src/fleet_digest.h
+++ b/src/fleet_digest.h
@@ -65,7 +65,7 @@
  * them between two of its digests. */
 constexpr std::size_t told_outcomes_at_most = 12;
 
-/** A server process ended while a request was in flight there. */
+/** A server crashed while a request was in flight there. */
 struct crash_report {
     std::uint64_t content = 0; ///< hash of the request's content
     std::uint32_t server = 0;  ///< low half of the hash of the server's incarnation
@@ -78,7 +78,7 @@
 /** Request content that is blocked from all servers, or that was unblocked. */
 struct blocked_content {
     std::uint64_t content = 0; ///< hash of the request's content
-    std::uint8_t trials = 0;   ///< trial requests that ended another server
+    std::uint8_t trials = 0;   ///< trial attempts in which another server crashed
     bool cleared = false;      ///< requests with this content may be sent again
     std::uint16_t age = 0;     ///< time in this state, in units of `blocked_age_unit`
 };
@@ -95,11 +95,13 @@
 constexpr duration store_back_unit = milliseconds(10);
 constexpr duration store_confirmed_unit = milliseconds(100);
 
-/** Last sign of life of a VM, received by the sender itself or passed on by others. */
+/** Liveness report: when a VM was last seen, by the sender or by VMs that reported it to the
+ * sender.
+ */
 struct vm_rumour {
     std::uint32_t address = 0;     ///< IPv4, host order
     std::uint32_t data_centre = 0; ///< low half of the hash of its name
-    std::uint8_t age = 0;          ///< time since a digest of it arrived, in units of 100 ms
+    std::uint8_t age = 0;          ///< time since it was last seen, in units of 100 ms
 };
 
 /** State of one VM, as reported by that VM. */
@@ -117,12 +119,12 @@
     /** Time since the store last recovered from an outage, as far as the sender knows, in units of
      * `store_back_unit`. The maximum stands for longer ago or never. */
     std::uint16_t store_back = 65535;
-    /** Time since the store last answered a linearizable call of any VM, in units of
+    /** Time since the store last completed a linearizable call of any VM, in units of
      * `store_confirmed_unit`. The maximum stands for longer ago or never. */
     std::uint8_t store_confirmed = 255;
-    bool watches_store = false; ///< it watches the store for changes, and the store answers
+    bool watches_store = false; ///< it watches the store for changes, and the store responds
     bool leaving = false;
-    bool joining = false;    ///< it knows few VMs yet: recipients should answer it
+    bool joining = false;    ///< it knows few VMs yet: recipients should reply to it
     load_part own_loads;     ///< requests from the sender
     load_part centre_loads;  ///< requests from all VMs of the sender's data centre
     load_part distant_loads; ///< requests from other data centres, as reported to the sender
--- a/src/fleet_rounds.cpp
+++ b/src/fleet_rounds.cpp
@@ -87,7 +87,7 @@
     }
 }
 
-/** Digest with more liveness reports: answers VMs that are joining, and goes to the seeds while
+/** Digest with more liveness reports: replies to VMs that are joining, and goes to the seeds while
  * this VM is joining. */
 outgoing_digest fleet_rounds::make_joining_digest(fleet_digest digest, instant now)
 {
--- a/src/fleet_rounds.h
+++ b/src/fleet_rounds.h
@@ -24,7 +24,7 @@
 constexpr duration longest_period = seconds(2);
 /** Minimum interval between a round that is sent early and the previous round. */
 constexpr duration hastened_period = milliseconds(50);
-/** Near VMs that are silent are sent a digest in one of this many rounds. */
+/** Silent VMs of the same data centre are sent a digest in one of this many rounds. */
 constexpr unsigned rounds_between_trials = 8;
 /** Liveness reports in a digest: to any VM, and to a VM that is joining. */
 constexpr std::size_t rumours_told = 3;
--- a/src/fleet_table.cpp
+++ b/src/fleet_table.cpp
@@ -182,7 +182,7 @@
     found.near.push_back(this->own.address);
     found.data_centres.push_back(this->own.data_centre);
     for (const auto& [address, item] : this->table) {
-        // A seed without any sign of life may not exist.
+        // A seed that was never seen may not exist.
         if (item.alive_at == instant{}) continue;
         if (item.data_centre == this->own.data_centre) found.near.push_back(address);
         found.add(item.data_centre);
--- a/src/fleet_table.h
+++ b/src/fleet_table.h
@@ -2,10 +2,10 @@
  * Membership table of one VM: the other VMs as known from their own digests and from the liveness
  * reports of others.
  *
- * VMs of one data centre are near each other and exchange all their state. Of VMs in other data
- * centres only liveness is tracked; a few of them, chosen by rendezvous rank, receive load sums.
- * Thus traffic and memory of a VM grow with its data centre and not with the fleet. A small fleet
- * is treated as one data centre.
+ * VMs of the same data centre ("near" in identifiers) exchange all their state. Of VMs in other
+ * data centres ("distant") only liveness is tracked; a few of them, chosen by rendezvous rank,
+ * receive load sums. Thus traffic and memory of a VM grow with its data centre and not with the
+ * fleet. A small fleet is treated as one data centre.
  */
 #pragma once
 
@@ -22,27 +22,27 @@
 
 namespace worksshift {
 
-/** In a fleet of up to this many VMs, all are near each other regardless of data centres. */
+/** A fleet of up to this many VMs is treated as one data centre. */
 constexpr std::size_t small_fleet = 12;
 /** A VM is considered silent, and its state is ignored, when no digest of it has arrived for this
  * many of its periods and for at least the time below. */
 constexpr int periods_until_silent = 8;
 constexpr duration silent_after_at_least = milliseconds(1200);
-/** A distant VM without a sign of life for this long is considered dead. A liveness report takes
- * about one period per hop. */
+/** A VM of another data centre that was not seen for this long is considered dead. A liveness
+ * report takes about one period per hop. */
 constexpr duration distant_alive_for = seconds(5);
 /** Number of delegates of a fleet: more than one, so that the loss of one leaves no gap. */
 constexpr std::size_t delegates_of_fleet = 2;
-/** A VM is kept in the table, and sent digests, for this long after its last sign of life. */
+/** A VM is kept in the table, and sent digests, for this long after it was last seen. */
 constexpr duration forget_after = seconds(60);
 /** A newly discovered VM is sent a digest in each round for this long, even while it is silent. */
 constexpr duration new_vm_period = seconds(2);
-/** A VM asks for answers to its digests for this long after its start, and while no digests
+/** A VM asks for replies to its digests for this long after its start, and while no digests
  * arrive. */
 constexpr duration joining_for = seconds(4);
-/** The list of near VMs is considered complete when no new one was discovered for this long. When
- * 480 VMs start at once, some know half of the 80 near ones after 10 s, and discover two more per
- * second. */
+/** The VMs of the same data centre are considered all known when no new one was discovered for this
+ * long. When 480 VMs start at once, some know half of the 80 of their data centre after 10 s, and
+ * discover two more per second. */
 constexpr duration members_settle_for = seconds(3);
 
 /** One other VM. */
@@ -54,9 +54,9 @@
     load_copy centre_loads;
     load_copy distant_loads;
     instant heard_at{}; ///< when its last digest arrived; the epoch: never
-    instant alive_at{}; ///< last sign of life, also as reported by others; the epoch: never
+    instant alive_at{}; ///< when it was last seen, also as reported by others; the epoch: never
     instant known_since{};
-    bool to_answer = false; ///< it is joining, and sent a digest that was not answered yet
+    bool to_answer = false; ///< it is joining, and sent a digest without a reply yet
 };
 
 class fleet_table {
@@ -73,25 +73,26 @@
     /** Applies a digest received from address \p from. Returns its sender; nullptr if a newer
      * digest arrived before, or if \p from is the address of this VM. */
     const fleet_vm* take(std::uint32_t from, fleet_digest digest, instant now);
-    /** Removes VMs whose last sign of life is older than `forget_after`, except seeds. */
+    /** Removes VMs that were not seen for `forget_after`, except seeds. */
     void forget_dead(instant now);
 
     [[nodiscard]] const identity& self() const { return this->own; }
     [[nodiscard]] std::map<std::uint32_t, fleet_vm>& vms() { return this->table; }
     [[nodiscard]] const std::map<std::uint32_t, fleet_vm>& vms() const { return this->table; }
+    /** Whether the VM is treated as one of the same data centre. */
     [[nodiscard]] bool is_near(const fleet_vm& item) const;
     /** Whether digests of the VM arrive, that is, it is not silent. */
     [[nodiscard]] static bool is_heard(const fleet_vm& item, instant now);
-    /** Whether the VM is considered alive: near VMs by their own digests, distant ones by any sign
-     * of life. */
+    /** Whether the VM is considered alive: in the same data centre by its own digests, in another
+     * one also by liveness reports. */
     [[nodiscard]] bool is_alive(const fleet_vm& item, instant now) const;
-    /** All near VMs that are not silent. */
+    /** All VMs of the same data centre that are not silent. */
     [[nodiscard]] std::vector<const fleet_vm*> near(instant now) const;
     /** All VMs that are not silent. */
     [[nodiscard]] std::vector<const fleet_vm*> heard(instant now) const;
     /** Number of VMs that are alive, including this one. */
     [[nodiscard]] std::size_t alive(instant now) const;
-    /** Whether this VM asks for answers to its digests; see `joining_for`. */
+    /** Whether this VM asks for replies to its digests; see `joining_for`. */
     [[nodiscard]] bool is_joining(instant now) const;
     /** The VMs of this data centre in the table, including recently lost ones, and the data centres
      * of all VMs in the table. */
--- a/src/load_exchange.h
+++ b/src/load_exchange.h
@@ -44,7 +44,7 @@
     /** Chooses the aggregators of this round and computes their sums. Call it before `describe` and
      * `to_distant`. */
     void begin_round(instant now);
-    /** Adds loads to the digest for near VMs. */
+    /** Adds loads to the digest for the VMs of the same data centre. */
     void describe(fleet_digest& to_near);
     /** Messages to the aggregators of other data centres; empty if this VM is not an aggregator. */
     std::vector<distant_message> to_distant();
@@ -67,7 +67,7 @@
     load_publisher centre_publisher;
     load_publisher distant_publisher;
     std::vector<std::size_t> own_slices; ///< of which this VM is an aggregator
-    /** Slices of each distant aggregator, by its address. */
+    /** Slices of each aggregator of another data centre, by its address. */
     std::map<std::uint32_t, std::vector<std::size_t>> distant_aggregators;
     load_table own_centre_sums;   ///< sums of this data centre in this round, own slices only
     load_table other_centre_sums; ///< sums of the other data centres in this round, own slices only
--- a/src/router_settings.cpp
+++ b/src/router_settings.cpp
@@ -36,7 +36,7 @@
         "multiple of the first-quartile delay from which an engine is slow, 0 to 1000; 0: never"},
     placement_setting{
         "patience-while-heard", &placement_policy::patience_while_heard, 1000,
-        "multiple of the response timeout for a server that answers others, 0 to 1000"},
+        "multiple of the silence timeout for a server that responds to others, 0 to 1000"},
     placement_setting{"hot-prompt-share", &placement_policy::hot_prompt_share, 10,
                       "share of an engine's slots that one prompt may use, 0 to 10; 0: no limit"},
     placement_setting{
