--- a/src/claims.cpp
+++ b/src/claims.cpp
@@ -10,19 +10,20 @@
 
 namespace {
 
-constexpr duration retry_pause = milliseconds(250);
-constexpr duration longest_claim_wait = seconds(3);
-/** Between two writes of a bucket, so that 64 busy buckets stay within the platform's rate. */
-constexpr duration write_pause = milliseconds(150);
-constexpr std::size_t queue_at_most = 4096;
+constexpr duration retry_delay = milliseconds(250);
+constexpr duration max_claim_wait = seconds(3);
+/** Limits the write rate of a bucket, so that 64 busy buckets stay within the platform's rate
+ * limit. */
+constexpr duration min_write_interval = milliseconds(150);
+constexpr std::size_t max_queued_items = 4096;
 
 claim_reply reply_to(const claim_request& request, claim_state state)
 {
     return {request.id, state, 0, {}};
 }
 
-/** The slice that holds a live claim of the key; null when there is none. */
-claim_slice* slice_of(claim_bucket_row& bucket, const std::string& key, std::uint64_t unix_s)
+/** The slice that holds an unexpired claim of the key, or null if there is none. */
+claim_slice* find_live_slice(claim_bucket_row& bucket, const std::string& key, std::uint64_t unix_s)
 {
     for (auto& [number, slice] : bucket.slices) {
         const auto found = slice.records.find(key);
@@ -33,8 +34,8 @@
     return nullptr;
 }
 
-/** The answer to a claim of a key that is claimed already. */
-claim_reply answer_known(const claim_record& held, const claim_request& request)
+/** The reply to a claim of a key that is already claimed. */
+claim_reply reply_for_claimed_key(const claim_record& held, const claim_request& request)
 {
     if (held.holder == request.id) return reply_to(request, claim_state::granted);
     if (held.fingerprint != request.fingerprint) return reply_to(request, claim_state::mismatch);
@@ -42,8 +43,8 @@
     return {request.id, claim_state::repeated, held.status, held.body};
 }
 
-/** Applies an outcome: `not_run` releases the key, `done` records the answer. */
-void apply_settle(claim_records& records, const claim_settle& settle)
+/** Applies an outcome: `not_run` releases the key, `done` records the response. */
+void apply_outcome(claim_records& records, const claim_settle& settle)
 {
     const auto found = records.find(settle.key);
     if (found == records.end() || found->second.holder != settle.id) return;
@@ -82,15 +83,16 @@
                now);
 }
 
-/** Whether the newest slice is to be sealed before it takes another claim. */
+/** Whether the newest slice must be sealed before another claim is accepted. */
 bool is_full(const tables& t, const claim_slice& newest, std::uint64_t unix_s)
 {
     return newest.records.size() >= t.settings.claims_per_slice ||
            (!newest.records.empty() && newest.opened_at_s + claim_slice_age_s < unix_s);
 }
 
-/** Whether the outcome of the claim waits to be recorded. */
-bool settles_soon(const claim_bucket_row& bucket, const std::string& key, const attempt_id& holder)
+/** Whether the outcome of the claim is queued and not yet stored. */
+bool has_queued_outcome(const claim_bucket_row& bucket, const std::string& key,
+                        const attempt_id& holder)
 {
     return std::ranges::any_of(bucket.queue, [&](const queued_claim& item) {
         const auto* settle = std::get_if<claim_settle>(&item.what);
@@ -98,64 +100,68 @@
     });
 }
 
-/** Answers claims whose key is claimed already, and drops outcomes that change nothing. */
+/** Replies to queued claims whose key is already claimed, and drops outcomes that have no claim. */
 void answer_queue(tables& t, claim_bucket_row& bucket, std::uint64_t unix_s)
 {
     std::erase_if(bucket.queue, [&](const queued_claim& item) {
         const auto* request = std::get_if<claim_request>(&item.what);
         if (request == nullptr) {
             const auto& settle = std::get<claim_settle>(item.what);
-            const claim_slice* slice = slice_of(bucket, settle.key, unix_s);
+            const claim_slice* slice = find_live_slice(bucket, settle.key, unix_s);
             return slice == nullptr || slice->records.at(settle.key).holder != settle.id;
         }
-        const claim_slice* slice = slice_of(bucket, request->key, unix_s);
+        const claim_slice* slice = find_live_slice(bucket, request->key, unix_s);
         if (slice == nullptr) return false;
         const claim_record& held = slice->records.at(request->key);
-        // A caller that asks again at once gets the recorded answer, not a doubt.
-        if (settles_soon(bucket, request->key, held.holder)) return false;
-        t.send(item.entry, answer_known(held, *request));
+        // A caller that retries immediately gets the recorded response instead of `in_doubt`.
+        if (has_queued_outcome(bucket, request->key, held.holder)) return false;
+        t.send(item.entry, reply_for_claimed_key(held, *request));
         return true;
     });
 }
 
-/** Whether what waits is worth a write now. */
+/** Whether something is queued and the interval since the last write has elapsed. */
 bool write_is_due(const claim_bucket_row& bucket, instant now)
 {
-    return !bucket.queue.empty() && now - bucket.wrote_at >= write_pause;
+    return !bucket.queue.empty() && now - bucket.wrote_at >= min_write_interval;
 }
 
-/** Whether the claim's key is free, so that a write may grant it. */
+/** Whether the item is a claim of an unclaimed key, so that a write may grant it. */
 bool is_new_claim(claim_bucket_row& bucket, const queued_claim& item, std::uint64_t unix_s)
 {
     const auto* request = std::get_if<claim_request>(&item.what);
-    return request != nullptr && slice_of(bucket, request->key, unix_s) == nullptr;
+    return request != nullptr && find_live_slice(bucket, request->key, unix_s) == nullptr;
 }
 
-/** The slice of the first outcome that waits; answer_queue has left only those with a claim. */
-std::uint64_t first_settled(claim_bucket_row& bucket, std::uint64_t unix_s)
+/** The number of the slice to which the first queued outcome belongs, or of the newest slice if no
+ * outcome is queued. Requires that answer_queue has dropped the outcomes without a claim. */
+std::uint64_t first_outcome_slice(claim_bucket_row& bucket, std::uint64_t unix_s)
 {
     for (const queued_claim& item : bucket.queue) {
         const auto* settle = std::get_if<claim_settle>(&item.what);
-        if (settle != nullptr) return slice_of(bucket, settle->key, unix_s)->number;
+        if (settle != nullptr) return find_live_slice(bucket, settle->key, unix_s)->number;
     }
     return bucket.newest;
 }
 
-/** Puts into the write all that belongs to one slice: with new claims waiting, to the newest. */
-void fill_write(claim_bucket_row& bucket, std::uint64_t unix_s)
+/** Moves the queued items of one slice into the next write: the newest slice if new claims are
+ * queued, otherwise the slice of the first outcome. */
+void prepare_write(claim_bucket_row& bucket, std::uint64_t unix_s)
 {
-    const bool claims = std::ranges::any_of(
+    const bool has_new_claims = std::ranges::any_of(
         bucket.queue, [&](const queued_claim& item) { return is_new_claim(bucket, item, unix_s); });
-    const std::uint64_t number = claims ? bucket.newest : first_settled(bucket, unix_s);
+    const std::uint64_t number =
+        has_new_claims ? bucket.newest : first_outcome_slice(bucket, unix_s);
     bucket.writing = bucket.slices.at(number);
-    std::vector<queued_claim> left;
+    std::vector<queued_claim> remaining;
     for (queued_claim& item : std::exchange(bucket.queue, {})) {
         if (const auto* request = std::get_if<claim_request>(&item.what)) {
-            const auto same = bucket.writing.records.find(request->key);
-            const bool twice = same != bucket.writing.records.end() &&
-                               same->second.claimed_at_s + claim_lifetime_s >= unix_s;
-            if (twice || !is_new_claim(bucket, item, unix_s)) {
-                left.push_back(std::move(item)); // answered when the one before it is recorded
+            const auto existing = bucket.writing.records.find(request->key);
+            const bool duplicate = existing != bucket.writing.records.end() &&
+                                   existing->second.claimed_at_s + claim_lifetime_s >= unix_s;
+            if (duplicate || !is_new_claim(bucket, item, unix_s)) {
+                // Answered once the earlier claim of the key is stored.
+                remaining.push_back(std::move(item));
                 continue;
             }
             bucket.writing.records[request->key] = {
@@ -164,18 +170,18 @@
             continue;
         }
         const auto& settle = std::get<claim_settle>(item.what);
-        if (slice_of(bucket, settle.key, unix_s)->number != number) {
-            left.push_back(std::move(item));
+        if (find_live_slice(bucket, settle.key, unix_s)->number != number) {
+            remaining.push_back(std::move(item));
             continue;
         }
-        apply_settle(bucket.writing.records, settle);
+        apply_outcome(bucket.writing.records, settle);
         bucket.in_write.push_back(std::move(item));
     }
-    bucket.queue = std::move(left);
+    bucket.queue = std::move(remaining);
 }
 
-/** The next call of a bucket for which something waits. */
-void start_next(tables& t, std::size_t index, claim_bucket_row& bucket, const tick_time& time)
+/** Starts the next platform call of a bucket with a non-empty queue. */
+void start_next_call(tables& t, std::size_t index, claim_bucket_row& bucket, const tick_time& time)
 {
     if (bucket.newest == 0) {
         start_read(t, bucket, claim_step::read_head, claim_head_object(index), time.now);
@@ -202,13 +208,13 @@
             start_slice_write(t, index, bucket, claim_step::seal, time.now);
             return;
         }
-        fill_write(bucket, time.unix_s);
+        prepare_write(bucket, time.unix_s);
         start_slice_write(t, index, bucket, claim_step::write, time.now);
     }
 }
 
-/** Forgets what was read; the next call starts from the head. */
-void forget(claim_bucket_row& bucket)
+/** Discards the cached slices; the next call reads the head again. */
+void invalidate_bucket(claim_bucket_row& bucket)
 {
     bucket.slices.clear();
     bucket.newest = 0;
@@ -216,8 +222,8 @@
     bucket.head_due = false;
 }
 
-/** Refuses the claims that wait: the ring's next place still holds live claims. */
-void refuse_claims(tables& t, claim_bucket_row& bucket)
+/** Rejects the queued claims, because the next object of the ring still holds unexpired claims. */
+void reject_queued_claims(tables& t, claim_bucket_row& bucket)
 {
     std::erase_if(bucket.queue, [&](const queued_claim& item) {
         const auto* request = std::get_if<claim_request>(&item.what);
@@ -227,16 +233,16 @@
     });
 }
 
-/** Takes the object in in which the newest slice should stand. */
-void take_newest(tables& t, claim_bucket_row& bucket, const object_result& result,
-                 const tick_time& time)
+/** Handles a read of the object in which the newest slice is expected. */
+void handle_newest_slice(tables& t, claim_bucket_row& bucket, const object_result& result,
+                         const tick_time& time)
 {
     claim_slice slice{bucket.newest, time.unix_s, false, {}, 0};
     if (result.status == object_status::ok) {
         claim_slice found = parse_claim_slice(result.value);
         found.version = result.version;
         if (found.number > bucket.newest) {
-            // The head was out of date by a whole round of the ring.
+            // The head was stale by at least one full pass over the ring.
             bucket.slices.clear();
             bucket.older = found.number - 1;
             bucket.newest = found.number;
@@ -247,8 +253,8 @@
             slice.version = result.version;
         } else {
             log_event(log_level::error, "claims_full", {{"slice", bucket.newest}});
-            refuse_claims(t, bucket);
-            bucket.not_before = time.now + retry_pause;
+            reject_queued_claims(t, bucket);
+            bucket.not_before = time.now + retry_delay;
             return;
         }
     }
@@ -259,8 +265,8 @@
     bucket.head_due = true;
 }
 
-/** Takes an older slice in; one that is not there, or whose claims are too old, ends the search. */
-void take_older(claim_bucket_row& bucket, const object_result& result, std::uint64_t unix_s)
+/** Handles a read of an older slice. A missing or expired slice ends the search. */
+void handle_older_slice(claim_bucket_row& bucket, const object_result& result, std::uint64_t unix_s)
 {
     const std::uint64_t number = std::exchange(bucket.older, 0);
     if (result.status != object_status::ok) return;
@@ -268,11 +274,11 @@
     if (slice.number != number || slice.expired(unix_s)) return;
     slice.version = result.version;
     bucket.slices[number] = std::move(slice);
-    const bool more = number > 1 && bucket.newest - number + 1 < claim_slice_ring;
-    bucket.older = more ? number - 1 : 0;
+    const bool has_older = number > 1 && bucket.newest - number + 1 < claim_slice_ring;
+    bucket.older = has_older ? number - 1 : 0;
 }
 
-void take_head(claim_bucket_row& bucket, const object_result& result)
+void handle_head(claim_bucket_row& bucket, const object_result& result)
 {
     const bool missing = result.status == object_status::missing;
     bucket.head_version = missing ? 0 : result.version;
@@ -280,7 +286,7 @@
     bucket.older = bucket.newest - 1;
 }
 
-void take_written(tables& t, claim_bucket_row& bucket, std::uint64_t version)
+void handle_slice_written(tables& t, claim_bucket_row& bucket, std::uint64_t version)
 {
     bucket.writing.version = version;
     bucket.slices[bucket.writing.number] = std::move(bucket.writing);
@@ -291,48 +297,50 @@
     }
 }
 
-/** Puts what was in a write that did not take effect, or may not have, back into the queue. The
- * records' attempt ids make doing it twice harmless. */
-void requeue_written(claim_bucket_row& bucket)
+/** Returns the items of a write that failed, or whose outcome is unknown, to the queue. Repeating
+ * the write is safe because records are matched by attempt id. */
+void requeue_unconfirmed(claim_bucket_row& bucket)
 {
     std::ranges::move(bucket.queue, std::back_inserter(bucket.in_write));
     bucket.queue = std::exchange(bucket.in_write, {});
 }
 
-/** A call without a usable answer: what holds is read before anything else is decided. */
-void take_failure(claim_bucket_row& bucket, object_status status, instant now)
+/** Handles a conflict or a failed call: the state that may have changed is read again before the
+ * next decision. */
+void handle_call_failure(claim_bucket_row& bucket, object_status status, instant now)
 {
-    requeue_written(bucket);
+    requeue_unconfirmed(bucket);
     const bool conflict = status == object_status::conflict;
     const bool wrote = bucket.step == claim_step::write || bucket.step == claim_step::seal;
     if (conflict || bucket.step == claim_step::write_head) {
-        forget(bucket);
+        invalidate_bucket(bucket);
     } else if (wrote) {
-        // Without a conflict nobody else has written; only this slice is in doubt.
+        // Without a conflict no other node is known to have written, so only the slice of this
+        // write is uncertain.
         bucket.slices.erase(bucket.writing.number);
-        if (bucket.writing.number != bucket.newest) forget(bucket);
+        if (bucket.writing.number != bucket.newest) invalidate_bucket(bucket);
     }
-    if (!conflict) bucket.not_before = now + retry_pause;
+    if (!conflict) bucket.not_before = now + retry_delay;
 }
 
-void take_answer(tables& t, claim_bucket_row& bucket, const object_result& result,
-                 const tick_time& time)
+void handle_success(tables& t, claim_bucket_row& bucket, const object_result& result,
+                    const tick_time& time)
 {
     switch (bucket.step) {
     case claim_step::read_head:
-        take_head(bucket, result);
+        handle_head(bucket, result);
         return;
     case claim_step::read_newest:
-        take_newest(t, bucket, result, time);
+        handle_newest_slice(t, bucket, result, time);
         return;
     case claim_step::read_older:
-        take_older(bucket, result, time.unix_s);
+        handle_older_slice(bucket, result, time.unix_s);
         return;
     case claim_step::write:
-        take_written(t, bucket, result.version);
+        handle_slice_written(t, bucket, result.version);
         return;
     case claim_step::seal:
-        take_written(t, bucket, result.version);
+        handle_slice_written(t, bucket, result.version);
         ++bucket.newest;
         bucket.head_due = true;
         bucket.wrote_at = {};
@@ -351,28 +359,29 @@
     const bool answered =
         result.status == object_status::ok || result.status == object_status::missing;
     if (!answered) {
-        take_failure(bucket, result.status, time.now);
+        handle_call_failure(bucket, result.status, time.now);
         return;
     }
     try {
-        take_answer(t, bucket, result, time);
+        handle_success(t, bucket, result, time);
     } catch (const peer_error& fault) {
-        // One that cannot be read claims nothing: nobody may write over it.
+        // An object that cannot be parsed grants no claims and must not be overwritten.
         log_event(log_level::error, "claims_unreadable",
                   {{"step", fault.step}, {"peer", fault.peer}, {"why", fault.what()}});
-        forget(bucket);
-        bucket.not_before = time.now + retry_pause;
+        invalidate_bucket(bucket);
+        bucket.not_before = time.now + retry_delay;
     }
 }
 
-/** Refuses claims that waited too long. One that was in a write without an answer may be recorded;
- * the key then stays in doubt, which is safe, since nothing is sent for it. */
-void refuse_stale(tables& t, claim_bucket_row& bucket, instant now)
+/** Rejects claims that waited too long. If such a claim was part of a write whose response was
+ * lost, it may be stored; its key then stays `in_doubt`, which is safe because nothing is sent for
+ * it. */
+void expire_queued_items(tables& t, claim_bucket_row& bucket, instant now)
 {
     std::erase_if(bucket.queue, [&](const queued_claim& item) {
         const auto* request = std::get_if<claim_request>(&item.what);
-        if (now - item.since < longest_claim_wait) return false;
-        if (request == nullptr) return now - item.since > 20 * longest_claim_wait;
+        if (now - item.since < max_claim_wait) return false;
+        if (request == nullptr) return now - item.since > 20 * max_claim_wait;
         t.send(item.entry, reply_to(*request, claim_state::unavailable));
         return true;
     });
@@ -381,7 +390,7 @@
 void enqueue(tables& t, const std::string& key, queued_claim item)
 {
     claim_bucket_row& bucket = t.claims.buckets[claim_bucket(key)];
-    if (bucket.queue.size() < queue_at_most) {
+    if (bucket.queue.size() < max_queued_items) {
         bucket.queue.push_back(std::move(item));
         return;
     }
@@ -400,7 +409,7 @@
 void forget_claims(tables& t)
 {
     for (auto& [index, bucket] : t.claims.buckets) {
-        if (bucket.call == 0) forget(bucket);
+        if (bucket.call == 0) invalidate_bucket(bucket);
     }
 }
 
@@ -423,9 +432,9 @@
         if (bucket.call != 0 && time.now - bucket.call_at > object_call_timeout) {
             handle_result(t, bucket, {bucket.call, object_status::failed, 0, {}}, time);
         }
-        refuse_stale(t, bucket, time.now);
+        expire_queued_items(t, bucket, time.now);
         if (bucket.call != 0 || bucket.queue.empty() || time.now < bucket.not_before) continue;
-        start_next(t, index, bucket, time);
+        start_next_call(t, index, bucket, time);
     }
 }
 
--- a/src/claims.h
+++ b/src/claims.h
@@ -1,16 +1,17 @@
 /** \file
- * Claims of idempotency keys: a non-idempotent request is sent at most once, whatever fails.
+ * Claims of idempotency keys, which ensure that a non-idempotent request is sent to a server at
+ * most once under any failure.
  *
- * A key belongs to one of `claim_buckets` buckets, each a row of slices at the platform
- * (claim_slices.h). The bucket's home node groups the claims that arrive while a write is under way
- * into the next conditional write, so the number of writes does not grow with the number of
- * requests. Only a write that took effect grants; a write whose answer was lost is settled by
- * reading the slice and looking for the claim's attempt id. Two nodes that both believe that they
- * are the home meet in the conditional write.
+ * Keys are hashed into `claim_buckets` buckets. The platform stores each bucket as a sequence of
+ * slices (claim_slices.h). The bucket's home node batches the claims that arrive while a write is
+ * in flight into the next conditional write, so the write rate does not grow with the request rate.
+ * A claim is granted only after its write is known to have taken effect. If the response to a write
+ * is lost, the home reads the slice again and looks for the claim's attempt id. If two nodes both
+ * act as the home of a bucket, conditional writes detect it and only one of them succeeds.
  *
- * A granted claim is recorded before anything is sent and is never granted again, so a holder that
- * dies leaves the key `in_doubt` until `claim_lifetime_s` has passed. Only an outcome that proves
- * that nothing ran releases the key.
+ * A granted claim is stored before the request is sent and is never granted again. If its holder
+ * fails, the key stays `in_doubt` until `claim_lifetime_s` has elapsed. Only an outcome that proves
+ * that the request did not execute releases the key.
  */
 #pragma once
 
@@ -32,7 +33,7 @@
 /** The bucket of a claim key. */
 std::size_t claim_bucket(const std::string& key);
 
-/** A call of the platform's object API that a system wants made. */
+/** A request to the platform's object API, issued by one of the systems that run in each tick. */
 struct object_call {
     std::uint64_t id = 0;
     std::string name;
@@ -43,22 +44,22 @@
 
 enum class object_status : std::uint8_t { ok, conflict, missing, failed };
 
-/** Its answer. `failed` says nothing of whether a write took effect. */
+/** The result of an object_call. After `failed` it is unknown whether a write took effect. */
 struct object_result {
     std::uint64_t id = 0;
     object_status status = object_status::failed;
     std::uint64_t version = 0;
-    std::string value; ///< of a read
+    std::string value; ///< set by reads only
 };
 
-/** A claim or the outcome of one, waiting for its bucket's next write. */
+/** A claim, or the outcome of one, queued for its bucket's next write. */
 struct queued_claim {
     vm_id entry;
     std::variant<claim_request, claim_settle> what;
     instant since{};
 };
 
-/** What a bucket's call of the platform is for. */
+/** The purpose of a bucket's call in flight to the platform. */
 enum class claim_step : std::uint8_t {
     read_head,
     read_newest,
@@ -68,17 +69,18 @@
     write_head
 };
 
-/** One bucket at its home node. */
+/** The state of one bucket on its home node. */
 struct claim_bucket_row {
-    std::map<std::uint64_t, claim_slice> slices; ///< as the platform has them, by number
+    std::map<std::uint64_t, claim_slice>
+        slices; ///< by number, as last read from the platform or written to it
     std::uint64_t head_version = 0;
-    std::uint64_t newest = 0; ///< number of the slice that takes new claims; 0: not known yet
-    std::uint64_t older = 0;  ///< number of the next older slice to read; 0: all are read
-    bool head_due = false;    ///< the head does not name the newest slice yet
-    claim_slice writing;      ///< the slice as the write under way would leave it
+    std::uint64_t newest = 0; ///< number of the slice that accepts new claims; 0: not known yet
+    std::uint64_t older = 0;  ///< number of the next older slice to read; 0: all have been read
+    bool head_due = false;    ///< the stored head does not name the newest slice yet
+    claim_slice writing;      ///< the content of the slice after the write in flight
     std::vector<queued_claim> queue;
-    std::vector<queued_claim> in_write;
-    std::uint64_t call = 0; ///< id of the call under way, 0 if none
+    std::vector<queued_claim> in_write; ///< the items that the write in flight contains
+    std::uint64_t call = 0;             ///< id of the call in flight, 0 if none
     claim_step step = claim_step::read_head;
     instant call_at{};
     instant wrote_at{};
@@ -92,11 +94,12 @@
 struct tables;
 struct tick_time;
 
-/** The members changed, so other VMs may have written buckets that this VM knows: they are read
- * anew. Without it a key that another home released would stay in doubt here. */
+/** Invalidates the cached buckets after a change of membership, because another VM may have written
+ * them as their home. Otherwise a key that another home released would stay `in_doubt` here. */
 void forget_claims(tables& t);
 
-/** System: takes claims and outcomes in, reads and writes buckets, answers the entries. */
+/** System: queues received claims and outcomes, reads and writes buckets, and replies to the entry
+ * nodes. */
 void settle_claims(tables& t, const tick_time& time);
 
 } // namespace worksshift
