--- a/src/claim_slices.cpp
+++ b/src/claim_slices.cpp
@@ -10,7 +10,7 @@
 
 using nlohmann::json;
 
-/** Places of a record in its list; lists take half the space of objects. */
+/** Array indices of the fields of a stored record. Arrays take half the space of JSON objects. */
 enum record_field : std::uint8_t {
     origin,
     sequence,
--- a/src/claim_slices.h
+++ b/src/claim_slices.h
@@ -1,13 +1,15 @@
 /** \file
- * How claims of idempotency keys are stored: as slices, small objects that follow one another.
+ * Storage format of claims of idempotency keys: each bucket is a sequence of small objects, called
+ * slices.
  *
- * One object for all claims of an hour would be written whole for each new claim. So the claims of
- * a bucket stand in slices with rising numbers. Only the newest takes new claims; before the next
- * one is opened the newest is sealed by a conditional write, after which no writer that has not
- * seen the seal can add to it. So new claims are still serialized by conditional writes of one
- * object at a time, whoever writes. A claim's outcome is recorded in its own slice, sealed or not.
- * Slices share a ring of objects, since the platform's objects are never deleted, and a head object
- * tells a new home about where to look for the newest.
+ * A single object for all claims of an hour would be rewritten as a whole for each new claim. The
+ * claims of a bucket are therefore split into slices with increasing numbers. Only the newest slice
+ * accepts new claims. Before the next slice is opened, the newest is sealed by a conditional write;
+ * a writer that has not read the seal then fails with a conflict. New claims are thus serialized by
+ * conditional writes of one object at a time, whichever node writes. The outcome of a claim is
+ * recorded in the slice of the claim, sealed or not. Slices reuse a fixed ring of objects, because
+ * the platform never deletes objects. A head object gives a new home node the approximate number of
+ * the newest slice.
  */
 #pragma once
 
@@ -20,12 +22,14 @@
 namespace worksshift {
 
 constexpr std::uint64_t claim_lifetime_s = 3600;
-/** A slice that is older takes no more claims, so that it can be forgotten as a whole. */
+/** A slice that is older accepts no more claims, so that all its claims can be dropped together
+ * once they have expired. */
 constexpr std::uint64_t claim_slice_age_s = 600;
-/** What the clocks of two VMs may differ by. */
+/** The largest difference between the clocks of two VMs that is tolerated. */
 constexpr std::uint64_t claim_clock_slack_s = 60;
+/** Number of slice objects of a bucket. */
 constexpr std::uint64_t claim_slice_ring = 256;
-constexpr std::size_t recorded_body_at_most = 1024; ///< longer answers are recorded without body
+constexpr std::size_t recorded_body_at_most = 1024; ///< longer responses are recorded without body
 
 /** One recorded claim. */
 struct claim_record {
@@ -44,9 +48,10 @@
     std::uint64_t opened_at_s = 0;
     bool sealed = false;
     claim_records records;
-    std::uint64_t version = 0; ///< of its object; that of the slice before it in the ring at first
+    std::uint64_t version =
+        0; ///< of the object; initially that of the older slice which the object still holds
 
-    /** Whether all its claims are older than their lifetime. */
+    /** Whether all claims of the slice have expired. */
     [[nodiscard]] bool expired(std::uint64_t unix_s) const;
 };
 
@@ -55,7 +60,8 @@
 std::string write_claim_slice(const claim_slice& slice);
 std::string claim_slice_object(std::size_t bucket, std::uint64_t number);
 
-/** The head: the number of the newest slice, as far as its writer knew. */
+/** The head object holds the number of the newest slice known to its writer. It may be stale.
+ * \throws peer_error when the object does not hold a head. */
 std::uint64_t parse_claim_head(const std::string& value);
 std::string write_claim_head(std::uint64_t newest);
 std::string claim_head_object(std::size_t bucket);
