--- a/src/sync_config.cpp
+++ b/src/sync_config.cpp
@@ -10,23 +10,24 @@
 
 namespace {
 
+/** Rendezvous key by which watchers are selected. */
 constexpr std::uint64_t watcher_key = 0x636f6e666967ULL;
 
-/** Whether each shard that the manifest names was given or is held. */
-bool complete(const manifest_head& head, const shard_map& given, const shard_map& held)
+/** Whether every shard that the manifest names was received or is already held. */
+bool has_all_shards(const manifest_head& head, const shard_map& received, const shard_map& held)
 {
     return std::ranges::all_of(head.shards, [&](const std::string& name) {
-        return held.contains(name) || given.contains(name);
+        return held.contains(name) || received.contains(name);
     });
 }
 
-/** The documents of the shards named; moved out of those held, where they are, so that a change
- * copies none of them. */
-shard_map gather(const manifest_head& head, shard_map& held, shard_map& given)
+/** The documents of the shards that the manifest names. They are moved out of \p held where
+ * present, otherwise out of \p received, so that a change copies no shard. */
+shard_map collect_shards(const manifest_head& head, shard_map& held, shard_map& received)
 {
     shard_map shards;
     for (const std::string& name : head.shards) {
-        shard_map& source = held.contains(name) ? held : given;
+        shard_map& source = held.contains(name) ? held : received;
         shards.insert(source.extract(name));
     }
     return shards;
@@ -44,10 +45,10 @@
         }
         if (head.revision == state.revision()) return offer_result::same;
         shard_map& held = state.documents.shards;
-        if (!complete(head, documents.shards, held)) return offer_result::incomplete;
+        if (!has_all_shards(head, documents.shards, held)) return offer_result::incomplete;
         state.config =
             std::make_shared<const fleet_config>(parse_fleet_config(documents, state.config.get()));
-        documents.shards = gather(head, held, documents.shards);
+        documents.shards = collect_shards(head, held, documents.shards);
         state.documents = std::move(documents);
         return offer_result::applied;
     } catch (const user_error& fault) {
@@ -61,7 +62,7 @@
 void hear_revision(config_state& state, std::uint64_t revision, const vm_id& from)
 {
     if (revision <= std::max(state.revision(), state.wanted_revision)) {
-        // The same revision from another VM is a second source, should the first be gone.
+        // Prefer the latest VM that advertises the same revision, in case the first one has failed.
         if (revision == state.wanted_revision && revision > state.revision()) {
             state.wanted_from = from;
         }
@@ -100,12 +101,12 @@
 {
     const data_centre_id& own = members.self().data_centre;
     const std::uint64_t weight = rendezvous_weight(watcher_key, members.self().vm.hash());
-    const auto before = std::ranges::count_if(members.members(), [&](const auto& entry) {
+    const auto higher_ranked = std::ranges::count_if(members.members(), [&](const auto& entry) {
         const member& row = entry.second;
         return row.info.data_centre == own && row.live() &&
                rendezvous_weight(watcher_key, entry.first.hash()) > weight;
     });
-    return static_cast<std::size_t>(before) < watchers_per_data_centre;
+    return static_cast<std::size_t>(higher_ranked) < watchers_per_data_centre;
 }
 
 } // namespace worksshift
--- a/src/sync_config.h
+++ b/src/sync_config.h
@@ -1,9 +1,9 @@
 /** \file
- * System: keeps the newest accepted configuration in force, and never an older one.
+ * System: applies the newest accepted configuration and never returns to an older revision.
  *
- * A few watchers in each data centre wait on the platform's manifest; the other VMs hear of its
- * revision in gossip and fetch the documents from the VM that told them. Whatever the source, a
- * lower revision is counted and not obeyed.
+ * In each data centre, `watchers_per_data_centre` VMs watch the platform's manifest. The other VMs
+ * learn of new revisions through gossip and pull the documents from the VM that advertised the
+ * revision. A lower revision is counted and ignored, whatever its source.
  */
 #pragma once
 
@@ -20,15 +20,16 @@
 constexpr std::size_t watchers_per_data_centre = 2;
 constexpr duration config_pull_timeout = seconds(1);
 
-/** The configuration that this VM holds, and what it saw of others. */
+/** The configuration that this VM holds, and the newest revision that its peers advertise. */
 struct config_state {
     config_documents documents;
     std::shared_ptr<const fleet_config> config;
-    std::uint64_t lower_seen = 0;   ///< lower revisions offered, as by a restored platform
-    std::uint64_t invalid_seen = 0; ///< documents that did not parse
+    /** Number of lower revisions offered, such as by a platform restored from a backup. */
+    std::uint64_t lower_seen = 0;
+    std::uint64_t invalid_seen = 0; ///< number of offers with documents that failed to parse
     vm_id pulling_from;
     instant pull_at{};
-    std::uint64_t wanted_revision = 0; ///< highest heard of
+    std::uint64_t wanted_revision = 0; ///< highest revision advertised by a peer
     vm_id wanted_from;
 
     [[nodiscard]] std::uint64_t revision() const
@@ -39,19 +40,21 @@
 
 enum class offer_result : std::uint8_t { applied, same, lower, invalid, incomplete };
 
-/** Offers documents from any source. Shards that the state holds already may be left out. */
+/** Validates and applies documents from any source. Shards that \p state already holds may be left
+ * out. */
 offer_result offer_config(config_state& state, config_documents documents);
 
-/** Notes a revision heard of from a peer. */
+/** Records a revision that a peer advertised. */
 void hear_revision(config_state& state, std::uint64_t revision, const vm_id& from);
 
-/** Asks for the configuration that was heard of, if one is newer than ours. */
+/** Requests the newest advertised configuration from the VM that advertised it, if it is newer than
+ * the local one. */
 void pull_config(tables& t, config_state& state, const tick_time& time);
 
-/** Answers a peer's pull; nothing is sent when ours is not newer. */
+/** The reply to a peer's pull; std::nullopt if the local revision is not newer than the peer's. */
 std::optional<config_push> answer_pull(const config_state& state, const config_pull& pull);
 
-/** Whether this VM is one of the data centre's watchers of the platform. */
+/** Whether this VM is one of those in its data centre that watch the platform's manifest. */
 bool is_watcher(const membership& members);
 
 } // namespace worksshift
