--- a/src/plans.cpp
+++ b/src/plans.cpp
@@ -12,7 +12,7 @@
 
 using nlohmann::json;
 
-/** One line for each field that differs between two states of an object. */
+/** Appends one line for each field that differs between two states of an object. */
 void describe_changes(const json& before, const json& after, const std::string& path,
                       std::vector<std::string>& changes)
 {
@@ -59,7 +59,7 @@
     }
 }
 
-/** Warns of a version that callers are to get and engines may not have yet. */
+/** Describes changes of the serving version, and warns if no engine was told to load it before. */
 void describe_versions(const fleet_config& before, const fleet_config& after, plan& item)
 {
     for (const service_config& service : after.services) {
@@ -75,8 +75,8 @@
     }
 }
 
-/** Applies the intent and checks the result as a whole, as its documents will be checked. */
-fleet_config changed(const fleet_config& config, const intent& wanted, std::uint64_t unix_s)
+/** Applies the intent and validates the whole result by serialising and parsing it. */
+fleet_config config_after(const fleet_config& config, const intent& wanted, std::uint64_t unix_s)
 {
     fleet_config next = config;
     apply_intent(next, wanted, unix_s);
@@ -97,7 +97,7 @@
     item.created_at_s = unix_s;
     item.wanted = wanted;
     item.touches = touched_object(parsed);
-    const fleet_config next = changed(config, parsed, unix_s);
+    const fleet_config next = config_after(config, parsed, unix_s);
     item.before = object_document(config, item.touches);
     describe_changes(item.before, object_document(next, item.touches), item.touches, item.changes);
     if (item.changes.empty()) item.warnings.emplace_back("nothing would change");
@@ -119,7 +119,7 @@
                              (now.is_null() ? "(none)" : now.dump()) + " at revision " +
                              std::to_string(config.revision));
     }
-    fleet_config next = changed(config, parse_intent(item.wanted), unix_s);
+    fleet_config next = config_after(config, parse_intent(item.wanted), unix_s);
     next.plans.push_back(item.id);
     if (next.plans.size() > plans_in_manifest) next.plans.erase(next.plans.begin());
     return next;
--- a/src/plans.h
+++ b/src/plans.h
@@ -1,10 +1,10 @@
 /** \file
- * Intents of operators and the plans that come of them.
+ * Plans: previews of configuration changes that operators request as intents.
  *
- * An intent is checked against the configuration in force and gives a plan: what it would change,
- * what that does to capacity, and warnings. Nothing changes until the plan is confirmed. A plan
- * remembers the state of what it touches, so it applies to a later revision only if nobody changed
- * the same thing meanwhile; otherwise it is refused with the conflict.
+ * An intent is checked against the configuration in force and yields a plan, which lists the
+ * changes, their effect on capacity, and warnings. Nothing changes until the plan is confirmed. A
+ * plan records the state of the object that it changes. It applies to a later revision only if that
+ * object is unchanged; otherwise it is rejected as a conflict.
  */
 #pragma once
 
@@ -19,7 +19,8 @@
 namespace worksshift {
 
 constexpr std::uint64_t plan_lifetime_s = 3600;
-/** Plan ids kept in the manifest, so that a confirmed plan whose answer was lost is found there. */
+/** Number of plan ids kept in the manifest. When the response to a confirmation was lost, the id in
+ * the manifest shows that the plan took effect. */
 constexpr std::size_t plans_in_manifest = 500;
 
 struct plan {
@@ -28,26 +29,26 @@
     std::uint64_t created_at_s = 0;
     std::string who;
     nlohmann::json wanted; ///< the intent, see intents.h
-    std::string touches;   ///< such as `server e1`
-    nlohmann::json before; ///< the object's document at the base revision, null if there was none
+    std::string touches;   ///< the object that the plan changes, such as `server e1`
+    nlohmann::json before; ///< the object's document at the base revision, null if it did not exist
     std::vector<std::string> changes;
     std::vector<std::string> warnings;
-    std::string effect; ///< on capacity
+    std::string effect; ///< on capacity and on the model versions served
 };
 
-/** Makes a plan. \throws user_error when the intent is malformed or does not fit. */
+/** Makes a plan from an intent. \throws user_error when the intent is malformed or does not fit. */
 plan make_plan(const fleet_config& config, const nlohmann::json& wanted, std::string id,
                std::string who, std::uint64_t unix_s);
 
-/** The intent that puts back what a plan changed. As a plan of its own it shows what else changed
- * since, and it is refused like any other when that changes again before it is confirmed. */
+/** The intent that reverts a plan's change. The plan made from it also lists later changes to the
+ * object, and is rejected like any other if the object changes again before confirmation. */
 nlohmann::json undo_intent(const plan& item);
 
-/** The configuration after the plan, one revision on.
+/** The configuration after the plan, with the revision incremented.
  * \throws user_error with step `expired` or `conflict` when it cannot be applied. */
 fleet_config apply_plan(const fleet_config& config, const plan& item, std::uint64_t unix_s);
 
-/** Whether the configuration took the plan in already. */
+/** Whether the plan has already been applied, given the plan ids of the manifest. */
 bool is_applied(const std::vector<std::string>& plans, const std::string& id);
 
 nlohmann::json write_plan(const plan& item);
