--- a/src/fleet_lease.h
+++ b/src/fleet_lease.h
@@ -1,13 +1,14 @@
 /** \file
- * System: holds the platform's lease under which orders to engines are given, on one VM at a time.
+ * System: maintains the fleet-wide lease on the platform. Only its holder sends orders to engines.
  *
  * The lease is one object with a holder and a fencing number. Only conditional writes change it, so
- * two VMs that want it meet there, and each new holder raises the number. No clocks are compared:
- * a VM that wants the lease takes it when the object has not changed for `lease_duration` by its
- * own clock, and the holder counts its lease from the moment at which it sent the write that
- * renewed it, less `lease_margin`. The write took effect after it was sent, and the other saw it
- * later still, so the holder stops first as long as the two clocks' rates differ by less than the
- * margin's share. A holder that was paused finds its lease lapsed in the tick in which it wakes.
+ * of two VMs that compete for it one succeeds, and each new holder increments the number. Clocks of
+ * different VMs are never compared: a candidate acquires the lease when the object has not changed
+ * for `lease_duration` by its own clock. The holder regards its lease as valid for `lease_duration`
+ * less `lease_margin`, counted from the moment at which it sent the renewing write. The write takes
+ * effect after it is sent, and the candidate observes it later still. The holder therefore stops
+ * first, as long as the clock rates of the two VMs differ by less than `lease_margin` /
+ * `lease_duration`. A holder that was paused detects the expiry in the first tick after it resumes.
  */
 #pragma once
 
@@ -23,10 +24,10 @@
 constexpr duration lease_renewal = seconds(3);
 constexpr const char* lease_object = "leases/orders";
 
-/** Ranks the VMs that may hold the lease; the first in rank wants it. */
+/** Rendezvous key that ranks the VMs; only the VM ranked first tries to acquire the lease. */
 constexpr std::uint64_t lease_key = 0x6f7264657273ULL;
 
-/** The value of the lease's object. */
+/** The value of the lease object. */
 struct lease_value {
     std::uint64_t holder = 0; ///< origin of the holder's process; 0: released
     std::uint64_t fence = 0;
@@ -36,34 +37,35 @@
 lease_value parse_lease(const std::string& text);
 std::string write_lease(const lease_value& value);
 
-/** What this VM knows of the lease, and its call of the platform. */
+/** The state of the lease as this VM knows it, and its call in flight to the platform. */
 struct lease_row {
     bool held = false;
     lease_value value;         ///< as last read or written
     std::uint64_t version = 0; ///< of the object at that time
-    bool known = false;        ///< `value` and `version` were read
-    instant seen_at{};         ///< when this version was first seen
-    instant renewed_at{};      ///< when the write of the newest renewal was sent
-    instant taken_at{};        ///< when it became this VM's
-    instant valid_until{};     ///< the holder gives no orders from then on
-    instant next_at{};         ///< of the next call
-    std::uint64_t call = 0;    ///< under way, 0 if none
-    bool writing = false;
-    lease_value proposed; ///< by the write under way, or by one whose answer was lost
-    bool unsettled = false;
+    bool known = false;        ///< `value` and `version` are current as far as this VM knows
+    instant seen_at{};         ///< when this VM first saw this version
+    instant renewed_at{};      ///< when the write of the latest renewal was sent
+    instant taken_at{};        ///< when this VM acquired the lease
+    instant valid_until{};     ///< from then on the holder sends no orders
+    instant next_at{};         ///< earliest time of the next call
+    std::uint64_t call = 0;    ///< id of the call in flight, 0 if none
+    bool writing = false;      ///< the call in flight is a write
+    lease_value proposed;      ///< value of the write in flight, or of one whose response was lost
+    bool unsettled = false;    ///< it is not known whether the last write took effect
     instant call_at{};
-    /** The highest fencing number seen here or told by an engine. A platform that is restored from
-     * a backup shows a lower one, and engines refuse what they knew before. */
+    /** The highest fencing number seen by this VM or reported by an engine. A platform restored
+     * from a backup shows a lower one, and engines reject orders with a number below the highest
+     * that they have seen. */
     std::uint64_t highest_fence = 0;
 };
 
 struct tables;
 struct tick_time;
 
-/** Whether this VM holds the lease at the moment. */
+/** Whether this VM holds a valid lease at \p now. */
 [[nodiscard]] bool holds_lease(const lease_row& lease, instant now);
 
-/** Wants, renews and releases the lease. */
+/** Acquires, renews and releases the lease. */
 void hold_lease(tables& t, const tick_time& time);
 
 } // namespace worksshift
