--- a/src/engine_orders.cpp
+++ b/src/engine_orders.cpp
@@ -9,27 +9,28 @@
 
 namespace {
 
-constexpr duration want_period = seconds(1);
-/** A gate asks each second until it sees the order's effect; silence means that it is there. */
-constexpr duration asked_lately = seconds(4);
-/** An order that shows no effect for so long is given again. */
-constexpr duration order_patience = seconds(20);
-/** A new holder first hears from the gates what the one before it had started. */
-constexpr duration settling_time = seconds(3);
+constexpr duration request_period = seconds(1);
+/** A gate repeats its request every `request_period` until it observes the order's effect, so a
+ * request that is no longer repeated is assumed to have taken effect. */
+constexpr duration request_expiry = seconds(4);
+/** An order without effect after this time is sent again. */
+constexpr duration order_retry_delay = seconds(20);
+/** A new holder waits this long for the gates to report the loads that its predecessor started. */
+constexpr duration initial_holder_delay = seconds(3);
 
 bool contains(const std::vector<std::string>& names, const std::string& name)
 {
     return std::ranges::find(names, name) != names.end();
 }
 
-bool runs_on(const gate_row& gate, const std::string& version)
+bool has_requests_on(const gate_row& gate, const std::string& version)
 {
     return std::ranges::any_of(gate.running,
                                [&](const auto& entry) { return entry.second.version == version; });
 }
 
-/** The order that brings the engine nearest to what the configuration says; without a version when
- * there is nothing to ask for. (clang-tidy 16 crashes on an optional here.) */
+/** The next order that brings the engine closer to the configuration: loads come before unloads.
+ * The version is empty if no order is needed. (clang-tidy 16 crashes on a std::optional here.) */
 order_wanted next_order(const gate_row& gate, const service_config& service)
 {
     const engine_versions& has = gate.versions;
@@ -39,15 +40,15 @@
         return {gate.server, order_kind::load, *missing, has.is_loading(*missing)};
     }
     if (!service.fenced) return {};
-    // What runs on a retired version ends before it is unloaded.
+    // A retired version is unloaded only after its running requests have ended.
     const auto retired = std::ranges::find_if(has.loaded, [&](const std::string& version) {
-        return !contains(service.versions, version) && !runs_on(gate, version);
+        return !contains(service.versions, version) && !has_requests_on(gate, version);
     });
     if (retired == has.loaded.end()) return {};
     return {gate.server, order_kind::unload, *retired, false};
 }
 
-void take_wanted(tables& t, instant now)
+void apply_requests(tables& t, instant now)
 {
     for (const auto& [from, wanted] : std::exchange(t.in.orders_wanted, {})) {
         order_row& row = t.orders[wanted.server];
@@ -55,17 +56,18 @@
         if (!same) row = {};
         row.wanted = wanted;
         row.asked_at = now;
-        // An engine that loads already was told so, perhaps by the holder before.
+        // An engine that is already loading received the order earlier, perhaps from the previous
+        // holder.
         if (wanted.under_way && !row.sent) {
             row.sent = true;
             row.sent_at = now;
         }
     }
     std::erase_if(t.orders,
-                  [&](const auto& entry) { return now - entry.second.asked_at > asked_lately; });
+                  [&](const auto& entry) { return now - entry.second.asked_at > request_expiry; });
 }
 
-void take_answers(tables& t)
+void handle_order_responses(tables& t)
 {
     for (const order_ended& ended : std::exchange(t.in.orders_ended, {})) {
         t.lease.highest_fence = std::max(t.lease.highest_fence, ended.known_fence);
@@ -81,7 +83,7 @@
     }
 }
 
-void give(tables& t, order_row& row, instant now)
+void send_order(tables& t, order_row& row, instant now)
 {
     const auto server = t.servers.find(row.wanted.server);
     if (server == t.servers.end()) return;
@@ -120,7 +122,8 @@
         std::find_if(service.versions.rbegin(), service.versions.rend(),
                      [&](const std::string& version) { return gate.versions.has(version); });
     if (newest != service.versions.rend()) return {true, *newest};
-    // An engine that came with a version of its own serves by it until it has one of ours.
+    // An engine that started with a version outside the configuration serves it until it has loaded
+    // a configured one.
     if (!gate.versions.loaded.empty()) return {true, gate.versions.loaded.back()};
     return {false, {}};
 }
@@ -128,7 +131,7 @@
 void want_orders(tables& t, instant& next, const tick_time& time)
 {
     if (time.now < next || !t.needs_orders) return;
-    next = time.now + want_period;
+    next = time.now + request_period;
     for (const auto& [id, gate] : t.gates) {
         const auto service = t.services.find(gate.service);
         if (!gate.first || !gate.versions.told || service == t.services.end()) continue;
@@ -140,21 +143,21 @@
 
 void give_orders(tables& t, const tick_time& time)
 {
-    take_answers(t);
-    take_wanted(t, time.now);
+    handle_order_responses(t);
+    apply_requests(t, time.now);
     if (!holds_lease(t.lease, time.now)) return;
-    if (time.now - t.lease.taken_at < settling_time) return;
+    if (time.now - t.lease.taken_at < initial_holder_delay) return;
     auto loading = std::ranges::count_if(t.orders, [](const auto& entry) {
         return entry.second.sent && entry.second.wanted.kind == order_kind::load;
     });
     for (auto& [server, row] : t.orders) {
-        if (row.sent && time.now - row.sent_at < order_patience) continue;
+        if (row.sent && time.now - row.sent_at < order_retry_delay) continue;
         const bool load = row.wanted.kind == order_kind::load;
         if (load && !row.sent && loading >= static_cast<std::ptrdiff_t>(t.settings.loads_at_once)) {
             continue;
         }
         if (load && !row.sent) ++loading;
-        give(t, row, time.now);
+        send_order(t, row, time.now);
     }
 }
 
--- a/src/engine_orders.h
+++ b/src/engine_orders.h
@@ -1,14 +1,15 @@
 /** \file
- * Systems: engines have the versions of their model loaded that the configuration names.
+ * Systems: reconcile the model versions that engines have loaded with the configuration.
  *
- * A gate sees from its engines' load reports what they have loaded, and asks the holder of the
- * lease (fleet_lease.h) for one order at a time until that is what the configuration says; so what
- * an order did is always read back, and one that was lost is asked for again. The holder gives the
- * orders, with its fencing number, and starts no more loads at a time than the weight store bears.
+ * A gate reads the loaded versions from its engines' load reports. While they differ from the
+ * configuration, it requests one order at a time from the holder of the lease (fleet_lease.h). The
+ * effect of an order is thus always read back, and a lost order is requested again. The holder
+ * sends the orders with its fencing number, and limits the number of concurrent loads to what the
+ * store of model weights can serve (setting `loads-at-once`).
  *
- * An engine that checks fencing numbers refuses the late order of a holder that was paused. One
- * that does not check gets only orders to load, which are harmless when they are repeated or late:
- * its retired versions stay loaded until it restarts.
+ * An engine that checks fencing numbers rejects a late order from a previous holder, for example
+ * one that was paused. An engine that does not check them receives only load orders, which are
+ * harmless when repeated or late; its retired versions stay loaded until it restarts.
  */
 #pragma once
 
@@ -22,9 +23,9 @@
 
 namespace worksshift {
 
-/** What an engine says of its model's versions. */
+/** The versions of its model that an engine reports. */
 struct engine_versions {
-    bool told = false; ///< false of an engine that does not tell
+    bool told = false; ///< false if the engine does not report versions
     std::vector<std::string> loaded;
     std::vector<std::string> loading;
 
@@ -32,7 +33,7 @@
     [[nodiscard]] bool is_loading(const std::string& version) const;
 };
 
-/** An order that a gate asks for, at the holder. */
+/** An order requested by a gate, as the holder keeps it. */
 struct order_row {
     order_wanted wanted;
     instant asked_at{};
@@ -42,11 +43,11 @@
 
 using order_table = std::unordered_map<server_id, order_row>;
 
-/** An engine's answer to an order. */
+/** An engine's response to an order. */
 struct order_ended {
     server_id server;
     bool accepted = false;
-    std::uint64_t known_fence = 0; ///< of an engine that refused a lower number, else 0
+    std::uint64_t known_fence = 0; ///< the engine's number, if it rejected a lower one; else 0
 };
 
 struct tables;
@@ -54,21 +55,22 @@
 struct gate_row;
 struct service_config;
 
-/** The version that a server's next request runs on. */
+/** The model version for a server's next request. */
 struct version_choice {
-    bool available = true; ///< false: the engine has none of the versions that may serve
-    std::string version;   ///< empty: the engine's own choice
+    bool available = true; ///< false: the engine has loaded none of the eligible versions
+    std::string version;   ///< empty: the engine chooses
 };
 
-/** The serving version if the engine has it, else the newest other that it has. A stream that goes
- * on (\p continued is not empty) goes on with its own version only. */
+/** The serving version if the engine has loaded it, else the newest configured version that it has,
+ * else a version that it loaded by itself. \p continued is the version of a resumed stream, which
+ * may use no other version; empty for a new request. */
 version_choice choose_version(const gate_row& gate, const service_config& service,
                               const std::string& continued);
 
-/** Gate role: asks for what the engines lack or should not have any more. */
+/** Gate role: requests loads of missing versions and unloads of retired ones. */
 void want_orders(tables& t, instant& next, const tick_time& time);
 
-/** Holder's role: gives the orders that were asked for. */
+/** Lease holder role: sends the requested orders to engines. */
 void give_orders(tables& t, const tick_time& time);
 
 } // namespace worksshift
