--- a/src/engine_client.cpp
+++ b/src/engine_client.cpp
@@ -15,7 +15,7 @@
 constexpr int status_ok = 200;
 constexpr int status_conflict = 409;
 
-/** The versions in an engine's load report; not told when it does not tell, or tells nonsense. */
+/** The versions in an engine's load report; marked as not reported if absent or invalid. */
 engine_versions read_versions(const json& report)
 {
     try {
@@ -28,7 +28,7 @@
     }
 }
 
-/** A field that must be a whole number; nothing when it is not. */
+/** An unsigned integer field; std::nullopt if it is absent or of another type. */
 std::optional<std::uint64_t> read_number(const json& object, const char* name)
 {
     const bool fits =
@@ -40,18 +40,18 @@
 
 void engine_client::ask_load(const server_config& engine, load_report report, report_handler done)
 {
-    const auto take = [report = std::move(report),
-                       done = std::move(done)](const http_response& response) {
+    const auto handle = [report = std::move(report),
+                         done = std::move(done)](const http_response& response) {
         const json body = json::parse(response.body, nullptr, false);
         const auto running = read_number(body, "running");
         if (response.status != status_ok || !running) return;
-        load_report taken = report;
-        taken.running = static_cast<std::uint32_t>(*running);
-        taken.versions = read_versions(body);
-        done(std::move(taken));
+        load_report completed = report;
+        completed.running = static_cast<std::uint32_t>(*running);
+        completed.versions = read_versions(body);
+        done(std::move(completed));
     };
     this->caller.call({engine.address, engine.port}, EVHTTP_REQ_GET, "/load", {}, {},
-                      {load_timeout}, take);
+                      {load_timeout}, handle);
 }
 
 void engine_client::give_order(const start_order& order, order_handler done)
@@ -59,15 +59,15 @@
     const json body{{"order", order.kind == order_kind::load ? "load" : "unload"},
                     {"version", order.version},
                     {"fence", order.fence}};
-    const auto take = [server = order.server.id,
-                       done = std::move(done)](const http_response& response) {
+    const auto handle = [server = order.server.id,
+                         done = std::move(done)](const http_response& response) {
         const json answer = json::parse(response.body, nullptr, false);
         const bool refused = response.status == status_conflict;
-        const std::uint64_t known = refused ? read_number(answer, "fence").value_or(0) : 0;
-        done({server, response.status == status_ok, known});
+        const std::uint64_t known_fence = refused ? read_number(answer, "fence").value_or(0) : 0;
+        done({server, response.status == status_ok, known_fence});
     };
     this->caller.call({order.server.address, order.server.port}, EVHTTP_REQ_POST, "/orders", {},
-                      body.dump(), {order_timeout}, take);
+                      body.dump(), {order_timeout}, handle);
 }
 
 } // namespace worksshift
--- a/src/engine_client.h
+++ b/src/engine_client.h
@@ -1,6 +1,6 @@
 /** \file
- * What this VM asks of engines beside callers' requests: their load, and orders
- * (docs/engine-api.md).
+ * Client of the engines' control interface, apart from callers' requests: load reports and orders
+ * to load or unload model versions (docs/engine-api.md).
  */
 #pragma once
 
@@ -18,8 +18,10 @@
 
     explicit engine_client(http_caller& caller) : caller(caller) {}
 
-    /** Completes the report with what the engine says; silent when it does not answer. */
+    /** Fills in the report from the engine's response. \p done is not called if the engine does not
+     * answer or its response lacks the number of running requests. */
     void ask_load(const server_config& engine, load_report report, report_handler done);
+    /** Sends an order. \p done is called in any case; an order without response is not accepted. */
     void give_order(const start_order& order, order_handler done);
 
 private:
