--- a/src/config_documents.cpp
+++ b/src/config_documents.cpp
@@ -15,13 +15,13 @@
 
 using nlohmann::json;
 
-constexpr double smallest_bound = 1.05;
-constexpr double largest_bound = 16;
+constexpr double min_bound = 1.05;
+constexpr double max_bound = 16;
 constexpr std::size_t sha256_hex_length = 64;
-constexpr std::uint64_t tokens_per_minute_at_most = 1'000'000'000'000;
+constexpr std::uint64_t max_tokens_per_minute = 1'000'000'000'000;
 constexpr const char* step = "configuration";
 
-/** The versions of a chat service's model: distinct, and the one that serves is among them. */
+/** Reads a chat service's model versions. They must be distinct and include the serving one. */
 void read_versions(json_reader& reader, service_config& service)
 {
     if (reader.has("versions")) service.versions = reader.names("versions");
@@ -86,7 +86,7 @@
     }
 }
 
-/** Writes one shard after another, and the manifest that names them. */
+/** Collects the shards of a configuration and builds the manifest that names them. */
 class document_writer {
 public:
     void add(const json& content)
@@ -110,7 +110,8 @@
     shard_map shards;
 };
 
-/** Accounts' shards with one of the names are named in the manifest, but not written. */
+/** Serialises a configuration without the content of account shards whose name is in \p known; the
+ * manifest lists these as well. */
 config_documents write_documents(const fleet_config& config, const std::set<std::string>& known)
 {
     document_writer writer;
@@ -146,12 +147,12 @@
 fleet_config parse_fleet_config(const config_documents& documents, const fleet_config* known)
 {
     manifest_head head = parse_manifest(documents.manifest);
-    std::unordered_map<std::string_view, std::shared_ptr<const config_shard_content>> held;
+    std::unordered_map<std::string_view, std::shared_ptr<const config_shard_content>> known_shards;
     fleet_config config;
     if (known != nullptr) {
         config.accounts = known->accounts;
         for (const auto& shard : known->shards)
-            held.emplace(shard->name, shard);
+            known_shards.emplace(shard->name, shard);
     }
     config.revision = head.revision;
     config.plans = std::move(head.plans);
@@ -159,12 +160,13 @@
     std::set<std::string> names;
     for (const std::string& name : head.shards) {
         add_name(names, name, "manifest.shards");
-        const auto given = documents.shards.find(name);
-        const auto parsed = held.find(name);
-        if (parsed == held.end() && given == documents.shards.end()) {
+        const auto received = documents.shards.find(name);
+        const auto parsed = known_shards.find(name);
+        if (parsed == known_shards.end() && received == documents.shards.end()) {
             fail_at(step, "manifest.shards", "names missing " + name);
         }
-        auto shard = parsed != held.end() ? parsed->second : read_shard(name, given->second);
+        auto shard =
+            parsed != known_shards.end() ? parsed->second : read_shard(name, received->second);
         std::ranges::copy(shard->services, std::back_inserter(config.services));
         if (shard->accounts != nullptr) buckets.push_back(shard->accounts);
         config.shards.push_back(std::move(shard));
@@ -240,7 +242,7 @@
     if (kind != "chat" && kind != "plain") reader.fail("kind", "must be chat or plain, is " + kind);
     service.kind = kind == "chat" ? service_kind::chat : service_kind::plain;
     service.path_prefix = reader.text("path_prefix", "");
-    service.bound = reader.number("bound", smallest_bound, largest_bound, 1.25);
+    service.bound = reader.number("bound", min_bound, max_bound, 1.25);
     read_versions(reader, service);
     const json& servers = reader.list("servers");
     for (std::size_t i = 0; i < servers.size(); ++i) {
@@ -278,7 +280,7 @@
     account.weight = reader.number("weight", 0.01, 1000, 1.0);
     account.reserved = reader.whole32("reserved", 0, 100'000, 0);
     account.concurrency = reader.whole32("concurrency", 0, 1'000'000, 0);
-    account.tokens_per_minute = reader.whole("tokens_per_minute", 0, tokens_per_minute_at_most, 0);
+    account.tokens_per_minute = reader.whole("tokens_per_minute", 0, max_tokens_per_minute, 0);
     reader.finish();
     const bool hex = account.key_sha256.size() == sha256_hex_length &&
                      account.key_sha256.find_first_not_of("0123456789abcdef") == std::string::npos;
--- a/src/config_documents.h
+++ b/src/config_documents.h
@@ -1,11 +1,11 @@
 /** \file
- * The configuration as documents: how it is stored, checked and sent.
+ * The configuration as documents: the format in which it is stored, validated and sent.
  *
- * A configuration is a manifest (its revision, the names of its shards, the newest plans that it
- * took in) and shards named by the hash of their content. A shard never changes, so a manifest that
- * is written with one conditional update changes everything at once. A VM fetches and parses only
- * the shards that it lacks, and writes only those that changed: a change costs what it touches,
- * whatever the number of accounts. docs/configuration.md gives the schema.
+ * A configuration consists of a manifest (its revision, the names of its shards and the ids of the
+ * latest plans applied) and of shards named by the hash of their content. Shards are immutable, so
+ * one conditional write of the manifest changes the configuration atomically. A VM fetches and
+ * parses only the shards that it lacks, and writes only those that changed, so the cost of a change
+ * does not depend on the number of accounts. docs/configuration.md gives the schema.
  */
 #pragma once
 
@@ -24,14 +24,14 @@
 /** Content of shards by name. */
 using shard_map = std::map<std::string, std::string>;
 
-/** The documents of one configuration as they are stored. Shards that the receiver holds may be
- * left out. */
+/** The documents of one configuration as stored. Shards that the receiver already holds may be left
+ * out. */
 struct config_documents {
     std::string manifest;
     shard_map shards;
 };
 
-/** What a manifest says of itself. */
+/** The content of a manifest. */
 struct manifest_head {
     std::uint64_t revision = 0;
     std::vector<std::string> shards;
@@ -41,23 +41,23 @@
 /** \throws user_error with the path and the value at fault. */
 manifest_head parse_manifest(std::string_view manifest);
 
-/** Parses and checks a whole configuration: unknown fields, ranges, doubled and dangling names.
- * Shards that \p known was parsed from are taken from it, and need no document.
- * \throws user_error with the path and the value at fault. */
+/** Parses and validates a whole configuration. Rejects unknown fields, values out of range,
+ * duplicate names and references to missing shards. Shards from which \p known was parsed are
+ * shared with it and need no document. \throws user_error with the path and the value at fault. */
 fleet_config parse_fleet_config(const config_documents& documents,
                                 const fleet_config* known = nullptr);
 
 /** The name under which a shard is stored: a hash of its content. */
 std::string shard_name(std::string_view content);
 
-/** Writes a configuration as documents. Each service has a shard, and so has each bucket of
- * accounts, so that a change of one server or account rewrites one small shard. */
+/** Serialises a configuration. Each service and each bucket of accounts has its own shard, so that
+ * a change of one server or account rewrites one small shard. */
 config_documents write_fleet_config(const fleet_config& config);
 
-/** The same, without the shards of accounts that \p known was parsed from. */
+/** The same, without the content of account shards from which \p known was parsed. */
 config_documents write_changed_config(const fleet_config& config, const fleet_config& known);
 
-/** One object of the configuration as a document, and back; for plans. */
+/** Conversion of single objects of the configuration to and from JSON, also used by plans. */
 nlohmann::json write_service(const service_config& service);
 nlohmann::json write_server(const server_config& server);
 nlohmann::json write_account(const account_config& account);
