--- a/src/config_writer.cpp
+++ b/src/config_writer.cpp
@@ -8,26 +8,26 @@
 namespace {
 
 constexpr int tries_at_most = 5;
-constexpr std::size_t writes_at_once = 8;
+constexpr std::size_t max_concurrent_writes = 8;
 
 } // namespace
 
-/** A change on its way into the platform. */
+/** A change that is being written to the platform. */
 struct config_writer::job {
     handler done;
-    std::string plan_id; ///< empty for a first configuration
+    std::string plan_id; ///< empty for the initial configuration
     std::uint64_t unix_s = 0;
     plan item;
     config_documents documents;
-    std::vector<std::string> unwritten; ///< shards that no write was started for
-    std::size_t under_way = 0;
+    std::vector<std::string> unwritten; ///< shards whose write has not been started
+    std::size_t writes_in_flight = 0;
     std::uint64_t manifest_version = 0;
     int tries = 0;
 
-    /** Tells the outcome, once. */
+    /** Calls the handler with the outcome; later calls have no effect. */
     void finish(const change_result& result)
     {
-        if (const handler tell = std::exchange(this->done, nullptr)) tell(result);
+        if (const handler notify = std::exchange(this->done, nullptr)) notify(result);
     }
     void end(change_state state, const std::string& step, const std::string& why)
     {
@@ -172,29 +172,29 @@
         this->write_manifest(item);
         return;
     }
-    for (std::size_t i = 0; i < writes_at_once; ++i)
+    for (std::size_t i = 0; i < max_concurrent_writes; ++i)
         this->write_next_shard(item);
 }
 
-/** Writes the shards that are left, a few at a time, and then the manifest. */
+/** Starts the write of the next shard. After the last response, writes the manifest. */
 void config_writer::write_next_shard(const job_ptr& item)
 {
     if (item->unwritten.empty()) return;
     const std::string name = item->unwritten.back();
     item->unwritten.pop_back();
-    ++item->under_way;
+    ++item->writes_in_flight;
     const object_call write{0, shard_object(name), true, 0, item->documents.shards.at(name)};
     this->platform.run_in_turn(write, [this, item, name](const object_result& result) {
-        --item->under_way;
-        // A conflict means that it is there already: its name is the hash of its content.
-        const bool there =
+        --item->writes_in_flight;
+        // A conflict means that the shard already exists: its name is the hash of its content.
+        const bool stored =
             result.status == object_status::ok || result.status == object_status::conflict;
-        if (!there) {
+        if (!stored) {
             item->unwritten.push_back(name);
             if (++item->tries > tries_at_most) item->unwritten.clear();
         }
         this->write_next_shard(item);
-        if (item->under_way > 0) return;
+        if (item->writes_in_flight > 0) return;
         if (item->tries > tries_at_most) {
             item->end(change_state::unanswered, "write shard", "the change could not be stored");
         } else {
@@ -211,7 +211,7 @@
         if (result.status == object_status::ok) {
             this->accept(item, parse_manifest(item->documents.manifest).revision);
         } else {
-            // Another change came first, or the answer was lost: the manifest tells.
+            // Another change was written first, or the response was lost: the manifest shows which.
             this->read_manifest(item);
         }
     });
--- a/src/config_writer.h
+++ b/src/config_writer.h
@@ -1,10 +1,11 @@
 /** \file
- * Makes a change of the configuration: the first one, or a plan that an operator confirmed.
+ * Writes a change of the configuration to the platform: the initial configuration, or a plan that
+ * an operator confirmed.
  *
- * A change is accepted by one conditional write of the manifest; shards are written before it under
- * names that nobody reads until then. When another change came first, the plan is applied anew to
- * what that left, or refused with the conflict. A write without an answer is settled by looking for
- * the plan's id in the manifest.
+ * A change takes effect with one conditional write of the manifest. Its new shards are written
+ * before, and are not referenced until then. If another change was written first, the plan is
+ * applied again to the resulting configuration, or rejected as a conflict. If the response to a
+ * write is lost, the plan's id in the manifest shows whether it took effect.
  */
 #pragma once
 
@@ -23,22 +24,22 @@
 enum class change_state : std::uint8_t {
     accepted,
     unknown_plan,
-    conflict, ///< what the plan touches changed since it was made
+    conflict, ///< the object that the plan changes was modified after the plan was made
     expired,
-    exists, ///< a first configuration is there already
+    exists, ///< bootstrap: there already is a configuration
     invalid,
-    platform_behind, ///< the platform shows a lower revision than the one in force
-    unanswered       ///< the platform did not answer; asking again is harmless
+    platform_behind, ///< the platform returned a lower revision than the one in force
+    unanswered       ///< the platform did not answer; the request may safely be repeated
 };
 
 struct change_result {
     change_state state = change_state::unanswered;
-    std::uint64_t revision = 0; ///< that holds the change, when it was accepted
+    std::uint64_t revision = 0; ///< that contains the change, if it was accepted
     std::string step;
     std::string why;
 };
 
-/** The object that holds a plan. */
+/** Name of the object that stores a plan. */
 std::string plan_object(const std::string& id);
 
 class config_writer {
@@ -50,11 +51,12 @@
     {
     }
 
+    /** Applies a stored plan. \p done is called once, with the outcome. */
     void confirm(const std::string& plan_id, std::uint64_t unix_s, handler done);
-    /** Accepts a first configuration, only where there is none. */
+    /** Writes the initial configuration; rejected if there already is one. */
     void bootstrap(const fleet_config& config, handler done);
 
-    /** A configuration was accepted through this VM and waits for the next tick. */
+    /** Emitted when this VM has written a new configuration, which the next tick will apply. */
     sigc::signal<void()> on_accepted;
 
 private:
