--- a/src/shard_fetcher.cpp
+++ b/src/shard_fetcher.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-constexpr std::size_t reads_at_once = 8;
+constexpr std::size_t max_concurrent_reads = 8;
 
 } // namespace
 
@@ -17,9 +17,9 @@
 
 struct shard_fetcher::job {
     std::string manifest;
-    std::vector<std::string> wanted; ///< all that the manifest names and this VM does not hold
-    std::vector<std::string> left;   ///< of them, those that no read was started for
-    std::size_t under_way = 0;
+    std::vector<std::string> wanted; ///< shards of the manifest that this VM does not hold
+    std::vector<std::string> unread; ///< those of them whose read has not been started
+    std::size_t reads_in_flight = 0;
     bool failed = false;
     handler done;
 };
@@ -32,35 +32,36 @@
     std::ranges::copy_if(
         head.shards, std::back_inserter(item->wanted),
         [this](const std::string& name) { return !this->held.documents.shards.contains(name); });
-    std::ranges::copy_if(item->wanted, std::back_inserter(item->left),
+    std::ranges::copy_if(item->wanted, std::back_inserter(item->unread),
                          [this](const std::string& name) { return !this->fetched.contains(name); });
-    for (std::size_t i = 0; i < reads_at_once; ++i)
+    for (std::size_t i = 0; i < max_concurrent_reads; ++i)
         this->start_next(item);
-    if (item->under_way == 0 && item->left.empty()) this->finish(item);
+    if (item->reads_in_flight == 0 && item->unread.empty()) this->finish(item);
 }
 
 void shard_fetcher::start_next(const std::shared_ptr<job>& item)
 {
-    if (item->left.empty() || item->failed) return;
-    const std::string name = item->left.back();
-    item->left.pop_back();
-    ++item->under_way;
-    this->platform.run_in_turn(
-        {0, shard_object(name), false, 0, {}},
-        [this, item, name](const object_result& result) { this->take(item, name, result); });
+    if (item->unread.empty() || item->failed) return;
+    const std::string name = item->unread.back();
+    item->unread.pop_back();
+    ++item->reads_in_flight;
+    this->platform.run_in_turn({0, shard_object(name), false, 0, {}},
+                               [this, item, name](const object_result& result) {
+                                   this->handle_shard(item, name, result);
+                               });
 }
 
-void shard_fetcher::take(const std::shared_ptr<job>& item, const std::string& name,
-                         const object_result& result)
+void shard_fetcher::handle_shard(const std::shared_ptr<job>& item, const std::string& name,
+                                 const object_result& result)
 {
-    --item->under_way;
+    --item->reads_in_flight;
     if (result.status == object_status::ok && shard_name(result.value) == name) {
         this->fetched[name] = result.value;
     } else {
         item->failed = true;
     }
     this->start_next(item);
-    if (item->under_way == 0) this->finish(item);
+    if (item->reads_in_flight == 0) this->finish(item);
 }
 
 void shard_fetcher::finish(const std::shared_ptr<job>& item)
--- a/src/shard_fetcher.h
+++ b/src/shard_fetcher.h
@@ -1,9 +1,9 @@
 /** \file
- * Fetches the shards that a manifest names and this VM does not hold from the platform.
+ * Fetches from the platform the shards of a manifest that this VM does not hold.
  *
- * At 36,000 accounts a first configuration has about 300 shards. They are read a few at a time
- * and within the VM's budget of calls; what was read is kept until a whole configuration has come,
- * so that a fetch that fails half way goes on where it stopped.
+ * With 36,000 accounts, an initial configuration has about 300 shards. A bounded number of reads is
+ * in flight at a time, within the VM's limit on the rate of platform calls. Shards that were read
+ * are kept until the configuration is complete, so that a fetch that failed is resumed by the next.
  */
 #pragma once
 
@@ -22,7 +22,7 @@
 
 class shard_fetcher {
 public:
-    /** Nothing when a shard could not be read; ask again later. */
+    /** Receives std::nullopt if a shard could not be read; the fetch may be retried later. */
     using handler = std::function<void(std::optional<config_documents>)>;
 
     shard_fetcher(platform_client& platform, const config_state& held)
@@ -30,20 +30,20 @@
     {
     }
 
-    /** Shards that are held already are left out of the documents. */
+    /** Fetches the documents, except for shards that are already held. */
     void fetch(const std::string& manifest, const manifest_head& head, handler done);
 
 private:
     struct job;
 
     void start_next(const std::shared_ptr<job>& item);
-    void take(const std::shared_ptr<job>& item, const std::string& name,
-              const object_result& result);
+    void handle_shard(const std::shared_ptr<job>& item, const std::string& name,
+                      const object_result& result);
     void finish(const std::shared_ptr<job>& item);
 
     platform_client& platform;
     const config_state& held;
-    shard_map fetched; ///< of a configuration that is not whole yet
+    shard_map fetched; ///< shards of a configuration that is not complete yet
 };
 
 } // namespace worksshift
