--- a/src/fleet_config.h
+++ b/src/fleet_config.h
@@ -1,7 +1,7 @@
 /** \file
- * The configuration as typed rows: services with their servers, and client accounts.
+ * The configuration as typed values: services with their servers, and client accounts.
  *
- * config_documents.h reads it from the documents that the platform stores, and writes it.
+ * config_documents.h converts it from and to the documents that the platform stores.
  */
 #pragma once
 
@@ -22,9 +22,9 @@
     data_centre_id data_centre;
     std::string address; ///< IPv4 number
     std::uint16_t port = 0;
-    std::uint32_t limit = 0;      ///< requests that it runs at once
-    bool draining = false;        ///< gets no new work
-    std::uint64_t added_at_s = 0; ///< Unix time; until `ramp_time` later it takes new chats only
+    std::uint32_t limit = 0;      ///< maximum number of concurrent requests
+    bool draining = false;        ///< receives no new requests
+    std::uint64_t added_at_s = 0; ///< Unix time; for `ramp_time_s` after it, gets new chats only
 
     bool operator==(const server_config&) const = default;
 };
@@ -35,28 +35,28 @@
     service_kind kind = service_kind::chat;
     std::string path_prefix;           ///< plain services only
     double bound = 1.25;               ///< a server's load is kept below this multiple of the mean
-    std::vector<std::string> versions; ///< of the model, that its engines have loaded; may be none
-    std::string serving; ///< the version that callers get; empty when there are no versions
-    bool fenced = false; ///< its engines refuse an order with an old fencing number
+    std::vector<std::string> versions; ///< model versions that the engines load; may be empty
+    std::string serving; ///< the version used for callers; empty if there are no versions
+    bool fenced = false; ///< its engines reject orders with an old fencing number
     std::vector<server_config> servers;
 
     bool operator==(const service_config&) const = default;
 };
 
-/** What one stored document holds. It never changes, so configurations share it. */
+/** The parsed content of one shard. It is immutable, so that configurations share it. */
 struct config_shard_content {
     std::string name; ///< a hash of the document
     std::vector<service_config> services;
-    account_table::bucket_ptr accounts; ///< null when it holds services only
+    account_table::bucket_ptr accounts; ///< null if the shard contains services only
 };
 
 /** A whole configuration, in force or planned. */
 struct fleet_config {
     std::uint64_t revision = 0;
-    std::vector<std::string> plans; ///< ids of the newest plans it took in, newest last
+    std::vector<std::string> plans; ///< ids of the latest plans applied, newest last
     std::vector<service_config> services;
     account_table accounts;
-    /** The documents that it was parsed from, in the manifest's order. */
+    /** The shards from which it was parsed, in the order of the manifest. */
     std::vector<std::shared_ptr<const config_shard_content>> shards;
 
     [[nodiscard]] const service_config* find_service(const service_id& id) const;
