--- a/src/intents.cpp
+++ b/src/intents.cpp
@@ -14,9 +14,9 @@
 using nlohmann::json;
 
 constexpr const char* step = "intent";
-constexpr const char* server_kind = "server ";
-constexpr const char* service_kind_name = "service ";
-constexpr const char* account_kind = "client_account ";
+constexpr const char* server_prefix = "server ";
+constexpr const char* service_prefix = "service ";
+constexpr const char* account_prefix = "client_account ";
 
 using parser = intent (*)(json_reader&);
 
@@ -31,7 +31,7 @@
     return {{reader.text("service")}, reader.text("version")};
 }
 
-/** A field that may be left out. */
+/** An optional unsigned integer field; std::nullopt if absent. */
 template <class Number>
 std::optional<Number> optional_whole(json_reader& reader, const char* name)
 {
@@ -92,13 +92,13 @@
     return all;
 }
 
-/** A server's place in the configuration. */
-struct server_place {
+/** A server and its service; both null if there is no such server. */
+struct server_location {
     service_config* service = nullptr;
     server_config* server = nullptr;
 };
 
-server_place look_for_server(fleet_config& config, const server_id& id)
+server_location find_server(fleet_config& config, const server_id& id)
 {
     for (service_config& service : config.services) {
         const auto found = std::ranges::find(service.servers, id, &server_config::id);
@@ -107,34 +107,34 @@
     return {};
 }
 
-server_place need_server(fleet_config& config, const server_id& id)
+server_location require_server(fleet_config& config, const server_id& id)
 {
-    const server_place place = look_for_server(config, id);
-    if (place.server == nullptr) fail_at(step, "server", "there is no server " + id.text);
-    return place;
+    const server_location location = find_server(config, id);
+    if (location.server == nullptr) fail_at(step, "server", "there is no server " + id.text);
+    return location;
 }
 
-service_config& need_service(fleet_config& config, const service_id& id)
+service_config& require_service(fleet_config& config, const service_id& id)
 {
     const auto found = std::ranges::find(config.services, id, &service_config::id);
     if (found == config.services.end()) fail_at(step, "service", "there is no service " + id.text);
     return *found;
 }
 
-account_config need_account(const fleet_config& config, const client_account_id& id)
+account_config require_account(const fleet_config& config, const client_account_id& id)
 {
     const account_config* account = config.accounts.find(id);
     if (account == nullptr) fail_at(step, "client_account", "there is no account " + id.text);
     return *account;
 }
 
-void erase_server(const server_place& place)
+void erase_server(const server_location& location)
 {
-    auto& servers = place.service->servers;
-    servers.erase(servers.begin() + (place.server - servers.data()));
+    auto& servers = location.service->servers;
+    servers.erase(servers.begin() + (location.server - servers.data()));
 }
 
-/** The name behind the kind, or nothing when the object is of another kind. */
+/** The name that follows the prefix \p kind; std::nullopt if the object is of another kind. */
 std::optional<std::string> name_of(const std::string& touched, std::string_view kind)
 {
     if (!touched.starts_with(kind)) return std::nullopt;
@@ -150,16 +150,16 @@
 
 void restore_server(fleet_config& config, const server_id& id, const json& document)
 {
-    const server_place old = look_for_server(config, id);
+    const server_location old = find_server(config, id);
     if (old.server != nullptr) erase_server(old);
     if (document.is_null()) return;
-    service_config& service = need_service(config, {document.at("service").get<std::string>()});
+    service_config& service = require_service(config, {document.at("service").get<std::string>()});
     service.servers.push_back(read_server(document.at("server"), "document.server"));
 }
 
 void restore_service(fleet_config& config, const service_id& id, json document)
 {
-    service_config& service = need_service(config, id);
+    service_config& service = require_service(config, id);
     document["servers"] = json::array();
     std::vector<server_config> servers = std::move(service.servers);
     service = read_service(document, "document");
@@ -175,46 +175,46 @@
     }
 }
 
-/** One overload for each kind of intent. */
+/** Visitor with one overload for each kind of intent. */
 struct intent_applier {
     fleet_config& config;
     std::uint64_t unix_s;
 
     void operator()(const drain_server& wanted) const
     {
-        need_server(this->config, wanted.server).server->draining = wanted.draining;
+        require_server(this->config, wanted.server).server->draining = wanted.draining;
     }
     void operator()(const add_server& wanted) const
     {
         server_config server = wanted.server;
         server.added_at_s = this->unix_s;
-        need_service(this->config, wanted.service).servers.push_back(std::move(server));
+        require_service(this->config, wanted.service).servers.push_back(std::move(server));
     }
     void operator()(const remove_server& wanted) const
     {
-        erase_server(need_server(this->config, wanted.server));
+        erase_server(require_server(this->config, wanted.server));
     }
     void operator()(const set_bound& wanted) const
     {
-        need_service(this->config, wanted.service).bound = wanted.bound;
+        require_service(this->config, wanted.service).bound = wanted.bound;
     }
     void operator()(const set_fencing& wanted) const
     {
-        need_service(this->config, wanted.service).fenced = wanted.fenced;
+        require_service(this->config, wanted.service).fenced = wanted.fenced;
     }
     void operator()(const add_model_version& wanted) const
     {
-        service_config& service = need_service(this->config, wanted.service);
+        service_config& service = require_service(this->config, wanted.service);
         service.versions.push_back(wanted.version);
         if (service.serving.empty()) service.serving = wanted.version;
     }
     void operator()(const serve_model_version& wanted) const
     {
-        need_service(this->config, wanted.service).serving = wanted.version;
+        require_service(this->config, wanted.service).serving = wanted.version;
     }
     void operator()(const retire_model_version& wanted) const
     {
-        service_config& service = need_service(this->config, wanted.service);
+        service_config& service = require_service(this->config, wanted.service);
         if (service.serving == wanted.version) {
             fail_at(step, "version",
                     "callers are served by " + wanted.version +
@@ -233,12 +233,12 @@
     }
     void operator()(const remove_account& wanted) const
     {
-        need_account(this->config, wanted.account);
+        require_account(this->config, wanted.account);
         this->config.accounts.erase(wanted.account);
     }
     void operator()(const set_account& wanted) const
     {
-        account_config account = need_account(this->config, wanted.account);
+        account_config account = require_account(this->config, wanted.account);
         account.weight = wanted.weight.value_or(account.weight);
         account.reserved = wanted.reserved.value_or(account.reserved);
         account.concurrency = wanted.concurrency.value_or(account.concurrency);
@@ -247,11 +247,11 @@
     }
     void operator()(const restore_object& wanted) const
     {
-        if (const auto server = name_of(wanted.touched, server_kind)) {
+        if (const auto server = name_of(wanted.touched, server_prefix)) {
             restore_server(this->config, {*server}, wanted.document);
-        } else if (const auto service = name_of(wanted.touched, service_kind_name)) {
+        } else if (const auto service = name_of(wanted.touched, service_prefix)) {
             restore_service(this->config, {*service}, wanted.document);
-        } else if (const auto account = name_of(wanted.touched, account_kind)) {
+        } else if (const auto account = name_of(wanted.touched, account_prefix)) {
             restore_account(this->config, {*account}, wanted.document);
         } else {
             fail_at(step, "touched", "is not an object: " + wanted.touched);
@@ -284,15 +284,15 @@
             if constexpr (std::is_same_v<Intent, restore_object>) {
                 return item.touched;
             } else if constexpr (std::is_same_v<Intent, add_server>) {
-                return server_kind + item.server.id.text;
+                return server_prefix + item.server.id.text;
             } else if constexpr (requires { item.server; }) {
-                return server_kind + item.server.text;
+                return server_prefix + item.server.text;
             } else if constexpr (requires { item.service; }) {
-                return service_kind_name + item.service.text;
+                return service_prefix + item.service.text;
             } else if constexpr (std::is_same_v<Intent, add_account>) {
-                return account_kind + item.account.id.text;
+                return account_prefix + item.account.id.text;
             } else {
-                return account_kind + item.account.text;
+                return account_prefix + item.account.text;
             }
         },
         wanted);
@@ -300,15 +300,15 @@
 
 json object_document(const fleet_config& config, const std::string& touched)
 {
-    if (const auto id = name_of(touched, account_kind)) {
+    if (const auto id = name_of(touched, account_prefix)) {
         const account_config* account = config.accounts.find({*id});
         return account == nullptr ? json() : write_account(*account);
     }
-    if (const auto id = name_of(touched, service_kind_name)) {
+    if (const auto id = name_of(touched, service_prefix)) {
         const service_config* service = config.find_service({*id});
         return service == nullptr ? json() : service_settings(*service);
     }
-    const auto id = name_of(touched, server_kind);
+    const auto id = name_of(touched, server_prefix);
     if (!id) return {};
     for (const service_config& service : config.services) {
         const auto found = std::ranges::find(service.servers, server_id{*id}, &server_config::id);
--- a/src/intents.h
+++ b/src/intents.h
@@ -1,9 +1,9 @@
 /** \file
- * What operators may ask for, as typed values.
+ * Intents: the changes of the configuration that operators can request, as typed values.
  *
- * An intent names one object of the configuration (a server, a service, a client account) and
- * changes nothing else, so two operators are in each other's way only when they mean the same
- * object. The documents' own checks apply to the result, whatever the intent.
+ * An intent changes exactly one object of the configuration (a server, a service or a client
+ * account), so two operators conflict only if they change the same object. The result of any intent
+ * is validated like a configuration document.
  */
 #pragma once
 
@@ -32,17 +32,17 @@
     service_id service;
     double bound = 0;
 };
-/** Whether the service's engines refuse orders with an old fencing number. */
+/** Sets whether the service's engines reject orders with an old fencing number. */
 struct set_fencing {
     service_id service;
     bool fenced = false;
 };
-/** The engines load the version; callers are not served by it yet. */
+/** The engines load the version. Callers do not get it yet, unless it is the service's first. */
 struct add_model_version {
     service_id service;
     std::string version;
 };
-/** Each engine serves callers by the version as soon as it has it loaded. */
+/** Each engine uses the version for callers as soon as it has loaded it. */
 struct serve_model_version {
     service_id service;
     std::string version;
@@ -58,7 +58,7 @@
 struct remove_account {
     client_account_id account;
 };
-/** Changes the fields that are given. */
+/** Changes the fields that have a value. */
 struct set_account {
     client_account_id account;
     std::optional<double> weight;
@@ -66,27 +66,28 @@
     std::optional<std::uint32_t> concurrency;
     std::optional<std::uint64_t> tokens_per_minute;
 };
-/** Puts one object back as it was before an earlier plan; made by a rollback. */
+/** Restores one object to its state before an earlier plan; created by a rollback. */
 struct restore_object {
     std::string touched;
-    nlohmann::json document; ///< null: the object was not there
+    nlohmann::json document; ///< null: the object did not exist
 };
 
 using intent = std::variant<drain_server, add_server, remove_server, set_bound, set_fencing,
                             add_model_version, serve_model_version, retire_model_version,
                             add_account, remove_account, set_account, restore_object>;
 
-/** \throws user_error with step `intent`, the path and the value at fault. */
+/** Parses an intent. \throws user_error with step `intent`, the path and the value at fault. */
 intent parse_intent(const nlohmann::json& value);
 
 /** The one object that the intent changes, such as `server e1` or `client_account a`. */
 std::string touched_object(const intent& wanted);
 
-/** The object's state as a document, null when it is not there. Of a service this is its own
- * settings without its servers. */
+/** The object's state as a document, null if it does not exist. The document of a service excludes
+ * its servers. */
 nlohmann::json object_document(const fleet_config& config, const std::string& touched);
 
-/** Changes the object. \throws user_error when the intent does not fit the configuration. */
+/** Applies the intent to the configuration. \throws user_error when it does not fit, such as when
+ * it names an unknown object. */
 void apply_intent(fleet_config& config, const intent& wanted, std::uint64_t unix_s);
 
 } // namespace worksshift
