--- a/src/json_reader.cpp
+++ b/src/json_reader.cpp
@@ -41,7 +41,7 @@
     fail_at(this->step, this->at(name), why);
 }
 
-const json* json_reader::take(const char* name, bool optional)
+const json* json_reader::find_field(const char* name, bool optional)
 {
     this->seen.insert(name);
     const auto found = this->value.find(name);
@@ -52,7 +52,7 @@
 
 std::string json_reader::text(const char* name, const std::optional<std::string>& fallback)
 {
-    const json* field = this->take(name, fallback.has_value());
+    const json* field = this->find_field(name, fallback.has_value());
     if (field == nullptr) return fallback.value_or("");
     if (!field->is_string()) this->fail(name, "must be a string, is " + field->dump());
     return field->get<std::string>();
@@ -61,7 +61,7 @@
 double json_reader::number(const char* name, double low, double high,
                            std::optional<double> fallback)
 {
-    const json* field = this->take(name, fallback.has_value());
+    const json* field = this->find_field(name, fallback.has_value());
     if (field == nullptr) return fallback.value_or(0);
     const bool fits =
         field->is_number() && field->get<double>() >= low && field->get<double>() <= high;
@@ -75,7 +75,7 @@
 std::uint64_t json_reader::whole(const char* name, std::uint64_t low, std::uint64_t high,
                                  std::optional<std::uint64_t> fallback)
 {
-    const json* field = this->take(name, fallback.has_value());
+    const json* field = this->find_field(name, fallback.has_value());
     if (field == nullptr) return fallback.value_or(0);
     const bool fits = field->is_number_unsigned() && field->get<std::uint64_t>() >= low &&
                       field->get<std::uint64_t>() <= high;
@@ -94,7 +94,7 @@
 
 bool json_reader::flag(const char* name, bool fallback)
 {
-    const json* field = this->take(name, true);
+    const json* field = this->find_field(name, true);
     if (field == nullptr) return fallback;
     if (!field->is_boolean()) this->fail(name, "must be true or false, is " + field->dump());
     return field->get<bool>();
@@ -102,7 +102,7 @@
 
 const json& json_reader::list(const char* name)
 {
-    const json* field = this->take(name, false);
+    const json* field = this->find_field(name, false);
     if (!field->is_array()) this->fail(name, "must be a list, is " + field->dump());
     return *field;
 }
@@ -119,7 +119,7 @@
 
 const json& json_reader::object(const char* name)
 {
-    const json* field = this->take(name, false);
+    const json* field = this->find_field(name, false);
     if (!field->is_object()) this->fail(name, "must be an object, is " + field->dump());
     return *field;
 }
--- a/src/json_reader.h
+++ b/src/json_reader.h
@@ -1,8 +1,9 @@
 /** \file
- * Reads JSON objects that somebody gave us: each field with its type and range, and nothing else.
+ * Strict reader for JSON objects from external sources: checks each field's type and range, and
+ * rejects unknown fields.
  *
- * A field that nobody asked for is most often a misspelt one, so it is refused rather than passed
- * over. Every fault names the path of the field and the value that stands there.
+ * An unknown field is usually a misspelt one, so it is an error rather than ignored. Every error
+ * states the path of the field and its value.
  */
 #pragma once
 
@@ -17,10 +18,12 @@
 
 namespace worksshift {
 
-/** The fields of one object. All calls \throw user_error with the step and the field's path. */
+/** Reads the fields of one object. A field without \p fallback is required. All calls throw
+ * user_error with the step and the field's path. */
 class json_reader {
 public:
-    /** \p step names what is read, such as `configuration`; \p path where the object stands. */
+    /** \p step names what is read, such as `configuration`; \p path locates the object within it.
+     * The object must outlive the reader. */
     json_reader(const nlohmann::json& object, std::string step, std::string path);
 
     std::string text(const char* name, const std::optional<std::string>& fallback = std::nullopt);
@@ -38,13 +41,13 @@
     [[nodiscard]] bool has(const char* name) const { return this->value.contains(name); }
     /** The path of a field of this object. */
     [[nodiscard]] std::string at(const std::string& name) const;
-    /** Throws for the field. */
+    /** Throws a user_error about the field. */
     [[noreturn]] void fail(const std::string& name, const std::string& why) const;
-    /** Refuses fields that were not read. */
+    /** Throws if the object has a field that was not read. */
     void finish() const;
 
 private:
-    const nlohmann::json* take(const char* name, bool optional);
+    const nlohmann::json* find_field(const char* name, bool optional);
 
     const nlohmann::json& value;
     std::string step;
