--- a/src/admin_api.cpp
+++ b/src/admin_api.cpp
@@ -16,8 +16,8 @@
 
 using nlohmann::json;
 
-constexpr ev_ssize_t body_at_most = ev_ssize_t{16} * 1024 * 1024;
-constexpr std::size_t history_shown = 20;
+constexpr ev_ssize_t max_body_bytes = ev_ssize_t{16} * 1024 * 1024;
+constexpr std::size_t max_history_entries = 20;
 constexpr const char* plan_prefix = "/admin/plans/";
 constexpr const char* confirm_suffix = "/confirm";
 
@@ -113,7 +113,7 @@
 
 } // namespace
 
-/** A call that waits for the platform; its caller may go away meanwhile. */
+/** A request that waits for the platform; its caller may disconnect in the meantime. */
 struct admin_api::call {
     evhttp_request* request = nullptr;
     evhttp_connection* connection = nullptr;
@@ -131,10 +131,10 @@
         this->tokens.push_back({entry.substr(0, first), operating ? role::operating : role::viewer,
                                 entry.substr(second + 1)});
     }
-    evhttp_set_max_body_size(this->server.get(), body_at_most);
+    evhttp_set_max_body_size(this->server.get(), max_body_bytes);
     evhttp_set_timeout(this->server.get(), static_cast<int>(options.idle_timeout_s));
     const auto handle = [](evhttp_request* request, void* self) {
-        static_cast<admin_api*>(self)->take(request);
+        static_cast<admin_api*>(self)->handle_request(request);
     };
     evhttp_set_gencb(this->server.get(), handle, this);
     if (evhttp_bind_socket(this->server.get(), options.admin.address.c_str(), options.admin.port) !=
@@ -160,7 +160,7 @@
     return found == this->tokens.end() ? nullptr : &*found;
 }
 
-void admin_api::take(evhttp_request* request)
+void admin_api::handle_request(evhttp_request* request)
 {
     const std::string path = evhttp_request_get_uri(request);
     const bool post = evhttp_request_get_command(request) == EVHTTP_REQ_POST;
@@ -330,13 +330,13 @@
     const call_ptr item = start_call(request);
     std::vector<std::string> ids;
     if (this->core.config().config != nullptr) ids = this->core.config().config->plans;
-    if (ids.size() > history_shown) {
-        ids.erase(ids.begin(), ids.end() - static_cast<std::ptrdiff_t>(history_shown));
+    if (ids.size() > max_history_entries) {
+        ids.erase(ids.begin(), ids.end() - static_cast<std::ptrdiff_t>(max_history_entries));
     }
     this->add_history(item, std::move(ids), json::array());
 }
 
-/** Reads the plans one after another, the newest first. */
+/** Reads the plans sequentially, the newest first, and replies when all have been read. */
 void admin_api::add_history(const call_ptr& item, std::vector<std::string> ids, const json& shown)
 {
     if (ids.empty()) {
@@ -376,7 +376,7 @@
         finish(item, 400, error_body("bad_configuration", fault.what(), fault.step));
         return;
     }
-    // One document becomes many: a bucket of accounts for each shard.
+    // The single uploaded document is split into one shard for each bucket of accounts.
     std::vector<account_config> accounts;
     for (const auto& bucket : first.accounts.buckets())
         std::ranges::copy(bucket->accounts, std::back_inserter(accounts));
@@ -388,8 +388,8 @@
 void admin_api::show_status(evhttp_request* request)
 {
     const tables& t = this->core.data();
-    // What the tick has applied, which callers are served by; a document may be held a little
-    // ahead.
+    // The revision that the last tick applied and that serves callers. Newer documents may already
+    // be held.
     const std::uint64_t in_force = t.config->revision;
     json vms = json::array();
     vms.push_back({{"vm", t.self.text},
--- a/src/admin_api.h
+++ b/src/admin_api.h
@@ -1,7 +1,7 @@
 /** \file
  * The administration API over HTTP (docs/admin-api.md): plans, confirmation, history, status.
  *
- * Any VM can serve it. What it shows is what this VM sees; changes go through config_writer.h.
+ * Any VM can serve it. It reports the state as this VM sees it; changes go through config_writer.h.
  */
 #pragma once
 
@@ -35,7 +35,7 @@
     struct call;
     using call_ptr = std::shared_ptr<call>;
 
-    void take(evhttp_request* request);
+    void handle_request(evhttp_request* request);
     void route(evhttp_request* request, const std::string& path, const operator_token& who);
     [[nodiscard]] const operator_token* authenticate(evhttp_request* request) const;
     void create_plan(evhttp_request* request, const operator_token& who);
