--- a/apps/worksshift.cpp
+++ b/apps/worksshift.cpp
@@ -1,6 +1,7 @@
 /** \file
- * The operators' command. Exit codes: 0 done, 1 refused (a conflict, a bad intent), 2 bad usage,
- * 3 the node did not answer, 4 not in force everywhere in time.
+ * The operators' command line client of the administration API. Exit codes: 0 success, 1 rejected
+ * (a conflict or an invalid intent), 2 wrong usage, 3 the node did not answer, 4 the plan was not
+ * in force on all live nodes in time.
  */
 #include <cstdlib>
 #include <fstream>
@@ -22,7 +23,7 @@
 constexpr int exit_refused = 1;
 constexpr int exit_usage = 2;
 constexpr int exit_no_answer = 3;
-constexpr int exit_late = 4;
+constexpr int exit_timeout = 4;
 
 constexpr const char* usage = R"(worksshift: operators' command
 
@@ -67,7 +68,7 @@
 complete -F _worksshift worksshift
 )";
 
-/** One call of the admin API. */
+/** A blocking client of the admin API of one node. */
 class client {
 public:
     client() : base(event_base_new()), caller(base.get())
@@ -78,7 +79,7 @@
             throw user_error("settings", "", "set WORKSSHIFT_ADMIN=ADDRESS:PORT");
         }
         this->target = parse_address("WORKSSHIFT_ADMIN", address);
-        // A router's status asks for none.
+        // The status of a worksshift-router needs no token.
         if (given != nullptr) this->token = given;
     }
 
@@ -102,9 +103,9 @@
     std::string token;
 };
 
-using words = std::vector<std::string>;
+using argument_list = std::vector<std::string>;
 
-json plan_account(const words& given)
+json plan_account(const argument_list& given)
 {
     json intent{{"kind", "set_account"}, {"client_account", given.at(2)}};
     for (std::size_t i = 3; i < given.size(); ++i) {
@@ -115,7 +116,7 @@
     return intent;
 }
 
-json read_intent(const words& given)
+json read_intent(const argument_list& given)
 {
     const std::string& kind = given.at(1);
     if (kind == "drain" || kind == "undrain" || kind == "remove") {
@@ -179,13 +180,14 @@
     }
     std::cout << "\nSERVER\tSERVICE\tGATE\tRUNNING\tLIMIT\tLOAD\tBOUND*MEAN\tSTATE\n";
     for (const json& row : status["servers"]) {
-        const double most = row["bound"].get<double>() * row["mean_load"].get<double>();
+        const double load_limit = row["bound"].get<double>() * row["mean_load"].get<double>();
         const char* state = row["draining"] == true    ? "draining"
                             : row["accepting"] == true ? "accepting"
                                                        : "ejected";
         std::cout << row["server"].get<std::string>() << '\t' << row["service"].get<std::string>()
                   << '\t' << row["gate"].get<std::string>() << '\t' << row["running"] << '\t'
-                  << row["limit"] << '\t' << row["load"] << '\t' << most << '\t' << state << '\n';
+                  << row["limit"] << '\t' << row["load"] << '\t' << load_limit << '\t' << state
+                  << '\n';
     }
     for (const json& alarm : status["alarms"]) {
         std::cout << "ALARM\t" << alarm.get<std::string>() << '\n';
@@ -193,8 +195,8 @@
     return 0;
 }
 
-/** Names of live nodes that are behind the revision. */
-std::vector<std::string> missing_nodes(const json& status, std::uint64_t revision)
+/** Names of the live nodes whose revision is lower than \p revision. */
+std::vector<std::string> lagging_nodes(const json& status, std::uint64_t revision)
 {
     std::vector<std::string> missing;
     for (const json& vm : status["vms"]) {
@@ -206,10 +208,10 @@
 
 int watch(client& node, const std::string& id)
 {
-    constexpr int rounds = 150;
-    constexpr auto pause = milliseconds(200);
-    std::uint64_t revision = 0; // of the node that has the plan in force, once it has
-    for (int round = 0; round < rounds; ++round, std::this_thread::sleep_for(pause)) {
+    constexpr int max_polls = 150;
+    constexpr auto poll_interval = milliseconds(200);
+    std::uint64_t revision = 0; // the called node's once the plan is in force there; 0 until then
+    for (int poll = 0; poll < max_polls; ++poll, std::this_thread::sleep_for(poll_interval)) {
         const http_response response = node.call(EVHTTP_REQ_GET, "/admin/status", {});
         if (response.status != 200) return print(response);
         const json status = json::parse(response.body);
@@ -222,7 +224,7 @@
             }
             revision = status["revision"];
         }
-        const auto missing = missing_nodes(status, revision);
+        const auto missing = lagging_nodes(status, revision);
         std::cout << "revision " << revision << " in force on "
                   << status["vms"].size() - missing.size() << " of " << status["vms"].size();
         for (const std::string& vm : missing)
@@ -230,7 +232,7 @@
         std::cout << '\n';
         if (missing.empty()) return 0;
     }
-    return exit_late;
+    return exit_timeout;
 }
 
 std::string read_file(const std::string& name)
@@ -242,7 +244,7 @@
     return text.str();
 }
 
-int run(const words& given)
+int run(const argument_list& given)
 {
     const std::string command = given.empty() ? "help" : given[0];
     if (command == "help" || command == "--help") {
