--- a/test/correctness/model_version_rolls_out.cpp
+++ b/test/correctness/model_version_rolls_out.cpp
@@ -1,7 +1,8 @@
 /** \file
- * A new version of a model through its life on a running fleet: engines load it, callers are served
- * by it engine by engine, the old one is unloaded, and a rollback brings it back. Under load all
- * the while, each answer is whole; the holder of the lease is killed in the middle of the loading.
+ * The life cycle of a model version on a running fleet: engines load it, each engine switches
+ * callers to it, the previous version is unloaded, and a rollback loads that version again. Guards
+ * against incomplete responses in any of these phases, and against loading that stops when the
+ * holder of the lease is killed.
  */
 #include <cppunit/extensions/HelperMacros.h>
 
@@ -17,7 +18,7 @@
     CPPUNIT_TEST_SUITE_END();
 
 public:
-    static constexpr int patience_ms = 40000;
+    static constexpr int timeout_ms = 40000;
 
     static json version_intent(const std::string& verb, const std::string& version)
     {
@@ -43,10 +44,10 @@
     {
         CPPUNIT_ASSERT_MESSAGE(
             versions.dump(),
-            support::fleet::wait_for([&] { return all_have(fleet, versions); }, patience_ms));
+            support::fleet::wait_for([&] { return all_have(fleet, versions); }, timeout_ms));
     }
 
-    /** Ends the process that gave orders, and starts it again. */
+    /** Kills the process that has sent orders, and restarts it. */
     static void kill_holder(support::fleet& fleet)
     {
         std::size_t holder = fleet.routers.size();
@@ -57,14 +58,14 @@
                 }
                 return holder < fleet.routers.size();
             },
-            patience_ms);
+            timeout_ms);
         CPPUNIT_ASSERT(found);
         fleet.routers[holder].process.signal(SIGKILL);
         fleet.routers[holder].process.wait();
         fleet.start_router(holder);
     }
 
-    /** A few chats through every router but the one that may be starting. */
+    /** Sends chats through all routers in turn, and checks that each response is complete. */
     static void check_served(const support::fleet& fleet, const std::string& text)
     {
         for (std::size_t i = 0; i < 20; ++i) {
@@ -75,7 +76,7 @@
         }
     }
 
-    static double runs_on(const support::fleet& fleet, const std::string& version)
+    static double runs_of_version(const support::fleet& fleet, const std::string& version)
     {
         double sum = 0;
         for (std::size_t i = 0; i < fleet.engines.size(); ++i)
@@ -98,20 +99,20 @@
         kill_holder(fleet);
         wait_until_all_have(fleet, {"v1", "v2"});
         CPPUNIT_ASSERT(support::fleet::wait_for([&] { return fleet.settled(fleet.routers.size()); },
-                                                patience_ms));
-        CPPUNIT_ASSERT_EQUAL(0.0, runs_on(fleet, "v2"));
+                                                timeout_ms));
+        CPPUNIT_ASSERT_EQUAL(0.0, runs_of_version(fleet, "v2"));
         change(fleet, version_intent("serve", "v2"));
         check_served(fleet, "after the switch ");
-        const double switched = runs_on(fleet, "v2");
-        CPPUNIT_ASSERT(switched > 0);
-        const std::string retired = change(fleet, version_intent("retire", "v1"));
+        const double runs_after_switch = runs_of_version(fleet, "v2");
+        CPPUNIT_ASSERT(runs_after_switch > 0);
+        const std::string retire_plan = change(fleet, version_intent("retire", "v1"));
         check_served(fleet, "after retiring ");
         wait_until_all_have(fleet, {"v2"});
-        CPPUNIT_ASSERT(runs_on(fleet, "v2") > switched);
+        CPPUNIT_ASSERT(runs_of_version(fleet, "v2") > runs_after_switch);
         const support::reply refused =
             fleet.admin(0, "POST", "/admin/plans", version_intent("retire", "v2").dump());
-        CPPUNIT_ASSERT_EQUAL(400, refused.status); // callers are served by it
-        change(fleet, {{"kind", "rollback"}, {"plan", retired}});
+        CPPUNIT_ASSERT_EQUAL(400, refused.status); // it is the serving version
+        change(fleet, {{"kind", "rollback"}, {"plan", retire_plan}});
         wait_until_all_have(fleet, {"v1", "v2"});
         const json history = fleet.admin(0, "GET", "/admin/history").json();
         CPPUNIT_ASSERT_EQUAL(std::size_t{6}, history.size());
