--- a/test/correctness/operators_race.cpp
+++ b/test/correctness/operators_race.cpp
@@ -1,7 +1,8 @@
 /** \file
- * Two operators at two VMs confirm plans for the same account at the same moment, on a platform
- * that is slow and loses the answer of a write: one plan takes effect, once, and the other operator
- * is told what the account is now.
+ * Two operators on different VMs concurrently confirm plans for the same account, while the
+ * platform is slow and loses the response to a write. Guards against lost or repeated changes:
+ * exactly one plan takes effect, once, and the other is rejected with the current state of the
+ * account.
  */
 #include <thread>
 
@@ -49,8 +50,8 @@
                     answers[i] = fleet.admin(i, "POST", "/admin/plans/" + plans[i] + "/confirm");
                 });
             }
-            for (std::thread& one : operators)
-                one.join();
+            for (std::thread& operator_thread : operators)
+                operator_thread.join();
             const std::size_t winner = answers[0].status == 200 ? 0 : 1;
             const std::size_t loser = 1 - winner;
             CPPUNIT_ASSERT_EQUAL(200, answers[winner].status);
@@ -58,7 +59,7 @@
             const std::string why = answers[loser].json()["error"]["message"];
             const int weight = (winner == 0 ? 10 : 20) + round;
             CPPUNIT_ASSERT(why.find("\"weight\":" + std::to_string(weight)) != std::string::npos);
-            // Asked again, the answer is the same and nothing more happens.
+            // Confirming the applied plan again succeeds and changes nothing.
             const support::reply again =
                 fleet.admin(loser, "POST", "/admin/plans/" + plans[winner] + "/confirm");
             CPPUNIT_ASSERT_EQUAL(200, again.status);
