--- a/test/support/disturb.h
+++ b/test/support/disturb.h
@@ -1,5 +1,5 @@
 /** \file
- * Faults that several stateful tests draw from: of the platform, of a node, and of a link.
+ * Faults injected by several property-based tests: of the platform, of a node and of a link.
  */
 #pragma once
 
@@ -7,9 +7,10 @@
 
 namespace support {
 
+/** Number of the actions of `disturb`. */
 constexpr int disturbances = 6;
 
-/** Brings the fault about, or ends those that are there; \p which is below `disturbances`. */
+/** Injects a fault or ends present ones, depending on \p which (0 to `disturbances` - 1). */
 inline void disturb(core_fleet& fleet, int which, std::size_t node)
 {
     switch (which) {
