--- a/test/fuzz/claims_grant_once.cpp
+++ b/test/fuzz/claims_grant_once.cpp
@@ -1,7 +1,8 @@
 /** \file
- * Claims under a platform that goes down, loses the answers of writes that took effect, and homes
- * that die or are cut off and replaced: all requests of one key together run at most once, and a
- * key whose request proved not to have run can be used again.
+ * Claims of idempotency keys while the platform is unavailable or loses the responses to successful
+ * writes, and while home nodes fail or are partitioned and replaced. Guards against a key whose
+ * requests run more than once in total, and against a key that stays claimed although its request
+ * is known not to have run.
  */
 #include <cppunit/extensions/HelperMacros.h>
 #include <rapidcheck.h>
@@ -33,7 +34,7 @@
         options.data_centres = 1;
         options.plain = true;
         options.ms_per_cost = 1;
-        options.settings.claims_per_slice = 2; // so that slices are sealed all the time
+        options.settings.claims_per_slice = 2; // so that slices are sealed frequently
         options.seed = seed;
         return options;
     }
@@ -47,20 +48,21 @@
         return request;
     }
 
+    /** A key must not run twice under faults of the platform, nodes, links and servers. */
     void through_platform_faults()
     {
-        const bool held = rc::check("one key runs once", [] {
+        const bool passed = rc::check("one key runs once", [] {
             support::core_fleet fleet(make_options(*rc::gen::inRange<std::uint64_t>(1, 1000)));
-            // VMs of different settings seal at different sizes.
+            // VMs with different settings seal slices at different sizes.
             fleet.node_at(1).data().settings.claims_per_slice = 5;
             fleet.run_for(seconds(12));
             const int steps = *rc::gen::inRange(2, 30);
             for (int i = 0; i < steps; ++i) {
                 const auto node = *rc::gen::inRange<std::size_t>(0, node_count);
-                const int what = *rc::gen::inRange(0, support::disturbances + 5);
-                if (what < support::disturbances) {
-                    support::disturb(fleet, what, node);
-                } else if (what == support::disturbances) {
+                const int action = *rc::gen::inRange(0, support::disturbances + 5);
+                if (action < support::disturbances) {
+                    support::disturb(fleet, action, node);
+                } else if (action == support::disturbances) {
                     for (auto& [id, server] : fleet.servers)
                         server.crash_next = true;
                 } else if (fleet.up(node)) {
@@ -76,9 +78,10 @@
             for (const auto& [key, count] : runs)
                 RC_ASSERT(count <= 1U);
         });
-        CPPUNIT_ASSERT(held);
+        CPPUNIT_ASSERT(passed);
     }
 
+    /** A request that did not run must release its key; one that completed must be replayed. */
     void a_key_is_free_again_after_not_run()
     {
         support::core_fleet fleet(make_options(1));
@@ -109,12 +112,13 @@
         return runs;
     }
 
+    /** A home that restarted must read older slices, or recorded requests would run again. */
     void a_new_home_knows_older_slices()
     {
         support::core_fleet fleet(make_options(2));
         fleet.run_for(seconds(12));
-        constexpr std::uint64_t keys = 400; // several slices of two in each of 64 buckets
-        for (std::uint64_t key = 0; key < keys; ++key) {
+        constexpr std::uint64_t key_count = 400; // several slices of two in each of 64 buckets
+        for (std::uint64_t key = 0; key < key_count; ++key) {
             fleet.submit(key % node_count, make_request(key));
             fleet.run_for(milliseconds(20));
         }
@@ -123,23 +127,24 @@
             fleet.restart(node);
         fleet.run_for(seconds(15));
         const std::size_t first_repeat = fleet.results.size();
-        for (std::uint64_t key = 0; key < keys; ++key) {
+        for (std::uint64_t key = 0; key < key_count; ++key) {
             fleet.submit(key % node_count, make_request(key));
             fleet.run_for(milliseconds(20));
         }
         fleet.run_for(seconds(10));
         for (std::size_t i = 0; i < fleet.results.size(); ++i) {
-            const ending wanted = i < first_repeat ? ending::whole : ending::replayed;
-            CPPUNIT_ASSERT(fleet.results[i].end == wanted);
+            const ending expected = i < first_repeat ? ending::whole : ending::replayed;
+            CPPUNIT_ASSERT(fleet.results[i].end == expected);
             CPPUNIT_ASSERT_EQUAL(i < first_repeat ? 1U : 0U, fleet.results[i].runs);
         }
     }
 
+    /** A claim whose write failed must not be granted, and must not stay claimed afterwards. */
     void a_write_that_failed_grants_nothing()
     {
         support::core_fleet fleet(make_options(3));
         fleet.run_for(seconds(12));
-        // The same bucket's object is at hand when the platform goes down.
+        // A first claim makes the home cache the bucket before the platform becomes unavailable.
         fleet.submit(0, make_request(1));
         fleet.run_for(seconds(2));
         fleet.set_platform(false);
@@ -160,6 +165,7 @@
         CPPUNIT_ASSERT_EQUAL(1U, runs_of(fleet, "key-" + std::to_string(key)));
     }
 
+    /** A request with an unknown outcome must keep its key, or a retry could run it twice. */
     void an_unknown_outcome_keeps_the_key()
     {
         support::core_options options = make_options(4);
