--- a/test/fuzz/configuration_only_moves_forward.cpp
+++ b/test/fuzz/configuration_only_moves_forward.cpp
@@ -1,7 +1,8 @@
 /** \file
- * Configuration and plans against a simple oracle: two operators, lost answers, stale and foreign
- * documents in any order. The revision in force never falls, a confirmed plan takes effect exactly
- * once, a refused one never, and nobody's change is undone by another's.
+ * Configurations and plans checked against a simple model: two operators, lost responses, and stale
+ * or damaged documents in any order. Guards against a decreasing revision in force, a confirmed
+ * plan that takes effect more than once, a rejected plan that takes effect, and a change that
+ * overwrites another operator's.
  */
 #include <cppunit/extensions/HelperMacros.h>
 #include <rapidcheck.h>
@@ -16,7 +17,7 @@
 using namespace worksshift;
 using nlohmann::json;
 
-fleet_config first_config()
+fleet_config make_first_config()
 {
     fleet_config config;
     config.revision = 1;
@@ -35,7 +36,7 @@
     return parse_fleet_config(write_fleet_config(config));
 }
 
-json draw_intent()
+json generate_intent()
 {
     const std::string server = "server-" + std::to_string(*rc::gen::inRange(0, 3));
     switch (*rc::gen::inRange(0, 3)) {
@@ -58,12 +59,12 @@
     CPPUNIT_TEST_SUITE_END();
 
 public:
-    /** The platform's manifest is one value with a version; a confirmation reads it, applies the
-     * plan and writes it back if the version is still the one read. */
+    /** Models the platform's manifest as one value with a version: a confirmation reads it, applies
+     * the plan, and writes the result if the version is unchanged. */
     void plans_of_two_operators()
     {
-        const bool held = rc::check("plans", [] {
-            fleet_config accepted = first_config();
+        const bool passed = rc::check("plans", [] {
+            fleet_config accepted = make_first_config();
             std::vector<plan> plans;
             std::map<std::string, int> took_effect;
             std::uint64_t clock = 1000;
@@ -71,55 +72,57 @@
             for (int i = 0; i < steps; ++i) {
                 clock += *rc::gen::element<std::uint64_t>(1, 10, 2000);
                 if (plans.empty() || *rc::gen::inRange(0, 2) == 0) {
-                    plans.push_back(
-                        make_plan(accepted, draw_intent(), "p-" + std::to_string(i), "ops", clock));
+                    plans.push_back(make_plan(accepted, generate_intent(), "p-" + std::to_string(i),
+                                              "ops", clock));
                     continue;
                 }
                 const plan item = parse_plan(write_plan(*rc::gen::elementOf(plans)).dump());
-                // Asked again after a lost answer: found in the manifest, and not applied again.
+                // A retry after a lost response finds the plan in the manifest and does not apply
+                // it again.
                 if (is_applied(accepted.plans, item.id)) continue;
-                const std::string other_before = write_fleet_config(accepted).manifest;
+                const std::string manifest_before = write_fleet_config(accepted).manifest;
                 try {
                     const fleet_config next = apply_plan(accepted, item, clock);
                     RC_ASSERT(next.revision == accepted.revision + 1);
                     RC_ASSERT(item.created_at_s + plan_lifetime_s >= clock);
-                    // Only what the plan touches may differ.
-                    fleet_config undone = next;
-                    undone.revision = accepted.revision;
-                    undone.plans = accepted.plans;
-                    for (std::size_t s = 0; s < undone.services[0].servers.size(); ++s) {
+                    // Only the object that the plan changes may differ.
+                    fleet_config compared = next;
+                    compared.revision = accepted.revision;
+                    compared.plans = accepted.plans;
+                    for (std::size_t s = 0; s < compared.services[0].servers.size(); ++s) {
                         const server_config& was = accepted.services[0].servers[s];
-                        const server_config& is = undone.services[0].servers[s];
+                        const server_config& is = compared.services[0].servers[s];
                         if (!(was == is)) RC_ASSERT(item.touches == "server " + was.id.text);
                     }
-                    if (undone.services[0].bound != accepted.services[0].bound) {
+                    if (compared.services[0].bound != accepted.services[0].bound) {
                         RC_ASSERT(item.touches == "service assist");
                     }
                     accepted = next;
                     ++took_effect[item.id];
                 } catch (const user_error& refused) {
                     RC_ASSERT(refused.step == "conflict" || refused.step == "expired");
-                    RC_ASSERT(write_fleet_config(accepted).manifest == other_before);
+                    RC_ASSERT(write_fleet_config(accepted).manifest == manifest_before);
                 }
             }
             for (const auto& [id, times] : took_effect)
                 RC_ASSERT(times == 1);
         });
-        CPPUNIT_ASSERT(held);
+        CPPUNIT_ASSERT(passed);
     }
 
+    /** Stale, incomplete or damaged documents must not lower the revision in force. */
     void offers_in_any_order()
     {
-        const bool held = rc::check("offers", [] {
+        const bool passed = rc::check("offers", [] {
             std::vector<config_documents> history;
-            fleet_config config = first_config();
+            fleet_config config = make_first_config();
             for (int i = 0; i < 8; ++i) {
                 history.push_back(write_fleet_config(config));
                 ++config.revision;
                 config.services[0].servers[0].draining = i % 2 == 0;
             }
             config_state state;
-            std::uint64_t highest = 0;
+            std::uint64_t highest_revision = 0;
             const int steps = *rc::gen::inRange(1, 30);
             for (int i = 0; i < steps; ++i) {
                 config_documents offered = *rc::gen::elementOf(history);
@@ -129,21 +132,22 @@
                 if (damage == 1) offered.manifest.resize(offered.manifest.size() / 2);
                 if (damage == 2) offered.shards.begin()->second += " ";
                 const offer_result result = offer_config(state, offered);
-                RC_ASSERT(state.revision() >= highest);
+                RC_ASSERT(state.revision() >= highest_revision);
                 if (result == offer_result::applied) {
                     RC_ASSERT(state.revision() == revision);
-                    RC_ASSERT(revision > highest);
+                    RC_ASSERT(revision > highest_revision);
                 }
                 if (damage == 3) RC_ASSERT(state.revision() >= revision);
-                highest = state.revision();
+                highest_revision = state.revision();
             }
         });
-        CPPUNIT_ASSERT(held);
+        CPPUNIT_ASSERT(passed);
     }
 
+    /** After partitions and pauses, every node must reach the newest revision, never going back. */
     void nodes_catch_up()
     {
-        const bool held = rc::check("every node reaches the newest revision", [] {
+        const bool passed = rc::check("every node reaches the newest revision", [] {
             support::core_options options;
             options.nodes = 6;
             options.servers = 4;
@@ -156,15 +160,15 @@
             const int steps = *rc::gen::inRange(1, 12);
             for (int i = 0; i < steps; ++i) {
                 const auto node = *rc::gen::inRange<std::size_t>(0, options.nodes);
-                const int what = *rc::gen::inRange(0, 5);
-                if (what <= 1) {
+                const int action = *rc::gen::inRange(0, 5);
+                if (action <= 1) {
                     fleet.change_config(
                         [&](fleet_config& config) { config.services[0].bound = 1.1 + i * 0.1; },
                         node);
                 }
-                if (what == 2) fleet.cut(node, (node + 1) % options.nodes);
-                if (what == 3) fleet.pause(node, seconds(4));
-                if (what == 4) fleet.heal();
+                if (action == 2) fleet.cut(node, (node + 1) % options.nodes);
+                if (action == 3) fleet.pause(node, seconds(4));
+                if (action == 4) fleet.heal();
                 fleet.run_for(milliseconds(*rc::gen::element(50, 800, 5000)));
                 for (std::size_t n = 0; n < options.nodes; ++n) {
                     const std::uint64_t revision = fleet.node_at(n).config().revision();
@@ -178,7 +182,7 @@
                 RC_ASSERT(fleet.node_at(n).config().revision() == fleet.config().revision);
             }
         });
-        CPPUNIT_ASSERT(held);
+        CPPUNIT_ASSERT(passed);
     }
 };
 
