--- a/test/fuzz/orders_come_from_one_holder.cpp
+++ b/test/fuzz/orders_come_from_one_holder.cpp
@@ -1,8 +1,9 @@
 /** \file
- * Orders to engines under pauses of the lease's holder, restarts, cuts, a platform that is down,
- * loses answers or goes back to a backup, and orders that arrive late. No two VMs give orders under
- * the same fencing number or at the same time, an engine that checks numbers never takes an order
- * after a newer holder's, and in the end each engine has the versions of the configuration.
+ * Orders to engines while the lease holder is paused, VMs restart, links are cut, orders arrive
+ * late, and the platform is unavailable, loses responses or is restored from a backup. Guards
+ * against two VMs that send orders under the same fencing number or hold the lease at the same
+ * time, an engine that checks fencing numbers but accepts an order after one from a newer holder,
+ * and engines that do not end up with the configured versions.
  */
 #include <cppunit/extensions/HelperMacros.h>
 #include <rapidcheck.h>
@@ -41,7 +42,7 @@
         return options;
     }
 
-    /** All engines have `v1`, and the configuration says so. */
+    /** Sets up engines that have loaded `v1`, and a configuration that names it. */
     static void begin(support::core_fleet& fleet, bool fenced)
     {
         for (auto& [id, server] : fleet.servers) {
@@ -64,7 +65,7 @@
         });
     }
 
-    static bool holds_now(support::core_fleet& fleet, std::size_t node)
+    static bool holds_lease_now(support::core_fleet& fleet, std::size_t node)
     {
         return fleet.up(node) && holds_lease(fleet.node_at(node).data().lease, fleet.now());
     }
@@ -72,35 +73,36 @@
     static void disturb(support::core_fleet& fleet)
     {
         const auto node = *rc::gen::inRange<std::size_t>(0, node_count);
-        const int what = *rc::gen::inRange(0, support::disturbances + 3);
-        if (what < support::disturbances) {
-            support::disturb(fleet, what, node);
-        } else if (what == support::disturbances) {
+        const int action = *rc::gen::inRange(0, support::disturbances + 3);
+        if (action < support::disturbances) {
+            support::disturb(fleet, action, node);
+        } else if (action == support::disturbances) {
             fleet.pause(node, seconds(*rc::gen::element(3, 12, 30)));
         } else {
             set_versions(fleet, *rc::gen::elementOf(version_sets));
         }
     }
 
-    /** The oracle of the orders given so far. */
+    /** Checks the invariants of fencing numbers over all orders sent so far. */
     static void check_orders(support::core_fleet& fleet)
     {
-        std::map<std::uint64_t, std::pair<std::size_t, std::uint64_t>> giver;
-        std::uint64_t highest = 0;
+        std::map<std::uint64_t, std::pair<std::size_t, std::uint64_t>> sender_by_fence;
+        std::uint64_t highest_fence = 0;
         for (const support::order_given& order : fleet.orders_given) {
-            const std::pair who{order.node, order.life};
-            RC_ASSERT(giver.try_emplace(order.fence, who).first->second == who);
-            RC_ASSERT(order.fence >= highest);
-            highest = order.fence;
+            const std::pair sender{order.node, order.life};
+            RC_ASSERT(sender_by_fence.try_emplace(order.fence, sender).first->second == sender);
+            RC_ASSERT(order.fence >= highest_fence);
+            highest_fence = order.fence;
         }
         for (const auto& [id, server] : fleet.servers) {
             RC_ASSERT(std::ranges::is_sorted(server.accepted_from));
         }
     }
 
+    /** No sequence of faults may break the fencing of orders or leave engines unreconciled. */
     void under_any_disturbance()
     {
-        const bool held = rc::check("orders", [] {
+        const bool passed = rc::check("orders", [] {
             support::core_fleet fleet(make_options(*rc::gen::inRange<std::uint64_t>(1, 1000)));
             fleet.order_delay = *rc::gen::element<duration>(milliseconds(5), seconds(15));
             begin(fleet, true);
@@ -108,11 +110,11 @@
             const int steps = *rc::gen::inRange(1, 16);
             for (int i = 0; i < steps; ++i) {
                 disturb(fleet);
-                for (int part = 0; part < 10; ++part) {
+                for (int interval = 0; interval < 10; ++interval) {
                     fleet.run_for(milliseconds(*rc::gen::element(20, 300, 1500)));
                     std::size_t holders = 0;
                     for (std::size_t n = 0; n < node_count; ++n)
-                        holders += holds_now(fleet, n) ? 1 : 0;
+                        holders += holds_lease_now(fleet, n) ? 1 : 0;
                     RC_ASSERT(holders <= 1U);
                 }
                 check_orders(fleet);
@@ -123,13 +125,15 @@
             set_versions(fleet, {"v3", "v4"});
             fleet.run_for(seconds(150));
             check_orders(fleet);
-            const std::set<std::string> wanted{"v3", "v4"};
+            const std::set<std::string> expected_versions{"v3", "v4"};
             for (const auto& [id, server] : fleet.servers)
-                RC_ASSERT(server.loaded == wanted);
+                RC_ASSERT(server.loaded == expected_versions);
         });
-        CPPUNIT_ASSERT(held);
+        CPPUNIT_ASSERT(passed);
     }
 
+    /** Concurrent loads must not exceed `loads_at_once`, nor orders be repeated without need;
+     * engines must be reconciled also after the platform is restored from a backup. */
     void a_calm_fleet_keeps_to_the_weight_stores_rate()
     {
         support::core_fleet fleet(make_options(5));
@@ -141,10 +145,10 @@
         for (const auto& [id, server] : fleet.servers)
             CPPUNIT_ASSERT(server.loaded.contains("v2"));
         CPPUNIT_ASSERT_EQUAL(server_count, fleet.orders_given.size());
-        // A platform that goes back to its backup shows a lower number; the engines know better.
+        // A platform restored from a backup shows a lower fencing number than the engines know.
         fleet.back_up();
         std::size_t holder = 0;
-        while (!holds_now(fleet, holder))
+        while (!holds_lease_now(fleet, holder))
             ++holder;
         fleet.pause(holder, seconds(40));
         fleet.run_for(seconds(30));
@@ -159,6 +163,7 @@
         }
     }
 
+    /** An engine without fencing must not get unload orders, since a late one would do harm. */
     void engines_without_fencing_are_told_to_load_only()
     {
         support::core_fleet fleet(make_options(6));
@@ -172,57 +177,61 @@
             CPPUNIT_ASSERT((server.loaded == std::set<std::string>{"v1", "v2"}));
     }
 
-    /** Two nodes that do not see each other, so that both want the lease; the index of its holder.
-     */
-    static std::size_t part_two_nodes(support::core_fleet& fleet)
+    /** Partitions two nodes, so that both try to acquire the lease. Returns the holder's index. */
+    static std::size_t partition_two_nodes(support::core_fleet& fleet)
     {
         begin(fleet, true);
         fleet.run_for(seconds(20));
         fleet.cut(0, 1);
         fleet.run_for(seconds(12));
-        const std::size_t holder = holds_now(fleet, 0) ? 0 : 1;
-        CPPUNIT_ASSERT(holds_now(fleet, holder));
+        const std::size_t holder = holds_lease_now(fleet, 0) ? 0 : 1;
+        CPPUNIT_ASSERT(holds_lease_now(fleet, holder));
         return holder;
     }
 
-    /** Steps through \p span and counts the moments with two holders; the other must take over. */
-    static void check_hand_over(support::core_fleet& fleet, std::size_t holder, duration span)
+    /** Checks that during \p span the nodes never hold the lease at the same time, and that
+     * afterwards the node other than \p holder holds it. */
+    static void check_handover(support::core_fleet& fleet, std::size_t holder, duration span)
     {
         const instant end = fleet.now() + span;
         while (fleet.now() < end) {
             fleet.run_for(milliseconds(50));
-            CPPUNIT_ASSERT(!(holds_now(fleet, 0) && holds_now(fleet, 1)));
+            CPPUNIT_ASSERT(!(holds_lease_now(fleet, 0) && holds_lease_now(fleet, 1)));
         }
-        CPPUNIT_ASSERT(holds_now(fleet, 1 - holder));
+        CPPUNIT_ASSERT(holds_lease_now(fleet, 1 - holder));
     }
 
+    /** Two VMs must not hold the lease at once when the holder loses the platform, at any phase of
+     * its renewals. */
     void a_holder_cut_from_the_platform_stops_before_another_starts()
     {
         for (int phase = 0; phase < 12; ++phase) {
             support::core_options options = make_options(9);
             options.nodes = 2;
             support::core_fleet fleet(options);
-            const std::size_t holder = part_two_nodes(fleet);
+            const std::size_t holder = partition_two_nodes(fleet);
             fleet.run_for(milliseconds(phase * 250));
             fleet.cut_platform(holder);
-            check_hand_over(fleet, holder, seconds(25));
+            check_handover(fleet, holder, seconds(25));
         }
     }
 
+    /** A pause between sending a renewal and its response must not extend the lease. */
     void a_pause_after_the_renewal_was_sent_counts()
     {
         support::core_options options = make_options(10);
         options.nodes = 2;
         support::core_fleet fleet(options);
-        const std::size_t holder = part_two_nodes(fleet);
+        const std::size_t holder = partition_two_nodes(fleet);
         const lease_row& lease = fleet.node_at(holder).data().lease;
         while (lease.call == 0 || !lease.writing)
             fleet.run_for(milliseconds(1));
         fleet.pause(holder, seconds(5));
         fleet.cut_platform(holder);
-        check_hand_over(fleet, holder, seconds(25));
+        check_handover(fleet, holder, seconds(25));
     }
 
+    /** A version must not be unloaded while requests run on it. */
     void a_version_in_use_is_not_unloaded()
     {
         support::core_options options = make_options(7);
@@ -244,7 +253,7 @@
         CPPUNIT_ASSERT((server.ran_on == std::set<std::string>{"v1"}));
     }
 
-    /** Half of an answer by one version and half by another would be nobody's answer. */
+    /** A resumed stream must not combine the output of two versions in one response. */
     void a_resumed_stream_keeps_its_version()
     {
         support::core_options options = make_options(8);
@@ -263,7 +272,7 @@
         fleet.run_for(seconds(20));
         const std::size_t request = fleet.submit(0, {});
         fleet.run_for(milliseconds(100));
-        set_versions(fleet, {"v1", "v2"}); // v2 serves now
+        set_versions(fleet, {"v1", "v2"}); // makes v2 the serving version
         for (auto& [id, server] : fleet.servers)
             server.crash_next = false;
         fleet.run_for(seconds(20));
