--- a/test/performance/decisions.cpp
+++ b/test/performance/decisions.cpp
@@ -1,6 +1,7 @@
 /** \file
- * Time of one request's decisions, from arrival to the end of its call, at 20 and 1,400 servers and
- * at 10 and 36,000 client accounts; and the memory of a configuration, a chat and an account.
+ * Time of the decisions on one request, from arrival to the end of its call, with 20 and 1,400
+ * servers and with 10 and 36,000 client accounts; the size of a configuration, the memory of a chat
+ * and an account, and the time to apply configuration changes.
  */
 #include <chrono>
 
@@ -14,7 +15,7 @@
 
 using namespace worksshift;
 
-/** Microseconds of this process for each request through one node that is entry and gate. */
+/** Wall-clock microseconds per request through one simulated node that is both entry and gate. */
 double time_requests(std::size_t servers, std::uint32_t accounts)
 {
     support::core_options options;
@@ -38,41 +39,41 @@
         fleet.submit(0, request);
         fleet.run_for(milliseconds(2));
     }
-    const std::chrono::duration<double, std::micro> spent =
+    const std::chrono::duration<double, std::micro> elapsed =
         std::chrono::steady_clock::now() - start;
-    return spent.count() / requests;
+    return elapsed.count() / requests;
 }
 
-/** Time in which a VM passes no token on, for each change of one account: as its own operator's VM,
- * which makes and writes it, and as any other VM, which takes it over. */
+/** Time for which a change of one account blocks the event loop, so that no tokens are relayed: on
+ * the VM that makes the plan and writes the change, and on any other VM, which applies it. */
 void time_changes(support::figures& out, const config_documents& documents)
 {
     config_state writer;
     config_state reader;
     offer_config(writer, documents);
     offer_config(reader, documents);
-    std::vector<double> written;
-    std::vector<double> taken;
+    std::vector<double> write_ms;
+    std::vector<double> apply_ms;
     for (int i = 0; i < 100; ++i) {
         const auto start = std::chrono::steady_clock::now();
         const nlohmann::json wanted{{"kind", "set_account"},
                                     {"client_account", "client-account-" + std::to_string(i * 7)},
                                     {"weight", 2 + i}};
         const plan item = make_plan(*writer.config, wanted, "p-" + std::to_string(i), "ops", 1);
-        const config_documents changed =
+        const config_documents changed_documents =
             write_changed_config(apply_plan(*writer.config, item, 1), *writer.config);
-        const auto sent = std::chrono::steady_clock::now();
-        offer_config(reader, changed);
+        const auto written_at = std::chrono::steady_clock::now();
+        offer_config(reader, changed_documents);
         const auto end = std::chrono::steady_clock::now();
-        offer_config(writer, changed);
-        written.push_back(std::chrono::duration<double, std::milli>(sent - start).count());
-        taken.push_back(std::chrono::duration<double, std::milli>(end - sent).count());
+        offer_config(writer, changed_documents);
+        write_ms.push_back(std::chrono::duration<double, std::milli>(written_at - start).count());
+        apply_ms.push_back(std::chrono::duration<double, std::milli>(end - written_at).count());
     }
     out.at_most("decisions.changes_taken", static_cast<double>(101 - reader.revision()), "missing",
                 0);
-    out.at_most("decisions.config_change_p50", support::percentile(taken, 0.5), "ms", 20);
-    out.note("decisions.config_change_worst", support::percentile(taken, 1), "ms");
-    out.note("decisions.plan_and_write_p50", support::percentile(written, 0.5), "ms");
+    out.at_most("decisions.config_change_p50", support::percentile(apply_ms, 0.5), "ms", 20);
+    out.note("decisions.config_change_worst", support::percentile(apply_ms, 1), "ms");
+    out.note("decisions.plan_and_write_p50", support::percentile(write_ms, 0.5), "ms");
 }
 
 } // namespace
@@ -81,7 +82,7 @@
 {
     start_log(log_level::error, "measure");
     support::figures out;
-    // Memory first: later parts would reuse what earlier ones gave back.
+    // Memory is measured first, since later allocations would reuse memory that was freed earlier.
     const double before = support::own_resident_kb();
     constexpr std::size_t chats = 200'000;
     chat_directory directory(chats, std::chrono::hours(12));
@@ -106,14 +107,14 @@
     const fleet_config parsed = parse_fleet_config(documents);
     out.note("decisions.memory_per_account",
              (support::own_resident_kb() - after_chats) * 1024 / accounts / 2, "B");
-    std::size_t largest = 0;
-    std::size_t whole = 0;
+    std::size_t largest_bytes = 0;
+    std::size_t total_bytes = 0;
     for (const auto& [name, content] : documents.shards) {
-        largest = std::max(largest, content.size());
-        whole += content.size();
+        largest_bytes = std::max(largest_bytes, content.size());
+        total_bytes += content.size();
     }
-    out.at_most("decisions.largest_shard", static_cast<double>(largest), "B", 1'000'000);
-    out.note("decisions.documents", static_cast<double>(whole), "B");
+    out.at_most("decisions.largest_shard", static_cast<double>(largest_bytes), "B", 1'000'000);
+    out.note("decisions.documents", static_cast<double>(total_bytes), "B");
     out.note("decisions.manifest", static_cast<double>(documents.manifest.size()), "B");
     const double small = time_requests(20, 10);
     const double many_servers = time_requests(1400, 10);
@@ -121,13 +122,13 @@
     out.note("decisions.20_servers_10_accounts", small, "us/request");
     out.note("decisions.1400_servers_10_accounts", many_servers, "us/request");
     out.note("decisions.20_servers_36000_accounts", many_accounts, "us/request");
-    // One node gates all servers here, 1,400 rather than the 3 of a node at that size.
+    // Here one node is the gate of all 1,400 servers; in a fleet of that size it would have 3.
     out.at_most("decisions.accounts_slope", many_accounts / small, "ratio", 1.5);
 
     const auto start = std::chrono::steady_clock::now();
     parse_fleet_config(documents);
-    const std::chrono::duration<double> spent = std::chrono::steady_clock::now() - start;
-    out.note("decisions.cpu_per_first_config", spent.count(), "s");
+    const std::chrono::duration<double> elapsed = std::chrono::steady_clock::now() - start;
+    out.note("decisions.cpu_per_first_config", elapsed.count(), "s");
     time_changes(out, documents);
     return parsed.accounts.size() == accounts ? out.exit_status() : 1;
 }
