--- a/src/claims.cpp
+++ b/src/claims.cpp
@@ -35,27 +35,27 @@
 }
 
 /** The reply to a claim of a key that is already claimed. */
-claim_reply reply_for_claimed_key(const claim_record& held, const claim_request& request)
+claim_reply reply_for_claimed_key(const claim_record& record, const claim_request& request)
 {
-    if (held.holder == request.id) return reply_to(request, claim_state::granted);
-    if (held.fingerprint != request.fingerprint) return reply_to(request, claim_state::mismatch);
-    if (!held.settled) return reply_to(request, claim_state::in_doubt);
-    return {request.id, claim_state::repeated, held.status, held.body};
+    if (record.holder == request.id) return reply_to(request, claim_state::granted);
+    if (record.fingerprint != request.fingerprint) return reply_to(request, claim_state::mismatch);
+    if (!record.settled) return reply_to(request, claim_state::in_doubt);
+    return {request.id, claim_state::repeated, record.status, record.body};
 }
 
 /** Applies an outcome: `not_run` releases the key, `done` records the response. */
-void apply_outcome(claim_records& records, const claim_settle& settle)
+void apply_outcome(claim_records& records, const claim_settle& report)
 {
-    const auto found = records.find(settle.key);
-    if (found == records.end() || found->second.holder != settle.id) return;
-    if (settle.result == outcome::not_run) {
+    const auto found = records.find(report.key);
+    if (found == records.end() || found->second.holder != report.id) return;
+    if (report.result == outcome::not_run) {
         records.erase(found);
         return;
     }
-    if (settle.result == outcome::done) {
+    if (report.result == outcome::done) {
         found->second.settled = true;
-        found->second.status = settle.status;
-        if (settle.body.size() <= recorded_body_at_most) found->second.body = settle.body;
+        found->second.status = report.status;
+        if (report.body.size() <= recorded_body_at_most) found->second.body = report.body;
     }
 }
 
@@ -95,8 +95,8 @@
                         const attempt_id& holder)
 {
     return std::ranges::any_of(bucket.queue, [&](const queued_claim& item) {
-        const auto* settle = std::get_if<claim_settle>(&item.what);
-        return settle != nullptr && settle->key == key && settle->id == holder;
+        const auto* report = std::get_if<claim_settle>(&item.what);
+        return report != nullptr && report->key == key && report->id == holder;
     });
 }
 
@@ -106,16 +106,16 @@
     std::erase_if(bucket.queue, [&](const queued_claim& item) {
         const auto* request = std::get_if<claim_request>(&item.what);
         if (request == nullptr) {
-            const auto& settle = std::get<claim_settle>(item.what);
-            const claim_slice* slice = find_live_slice(bucket, settle.key, unix_s);
-            return slice == nullptr || slice->records.at(settle.key).holder != settle.id;
+            const auto& report = std::get<claim_settle>(item.what);
+            const claim_slice* slice = find_live_slice(bucket, report.key, unix_s);
+            return slice == nullptr || slice->records.at(report.key).holder != report.id;
         }
         const claim_slice* slice = find_live_slice(bucket, request->key, unix_s);
         if (slice == nullptr) return false;
-        const claim_record& held = slice->records.at(request->key);
+        const claim_record& record = slice->records.at(request->key);
         // A caller that retries immediately gets the recorded response instead of `in_doubt`.
-        if (has_queued_outcome(bucket, request->key, held.holder)) return false;
-        t.send(item.entry, reply_for_claimed_key(held, *request));
+        if (has_queued_outcome(bucket, request->key, record.holder)) return false;
+        t.send(item.entry, reply_for_claimed_key(record, *request));
         return true;
     });
 }
@@ -138,8 +138,8 @@
 std::uint64_t first_outcome_slice(claim_bucket_row& bucket, std::uint64_t unix_s)
 {
     for (const queued_claim& item : bucket.queue) {
-        const auto* settle = std::get_if<claim_settle>(&item.what);
-        if (settle != nullptr) return find_live_slice(bucket, settle->key, unix_s)->number;
+        const auto* report = std::get_if<claim_settle>(&item.what);
+        if (report != nullptr) return find_live_slice(bucket, report->key, unix_s)->number;
     }
     return bucket.newest;
 }
@@ -169,12 +169,12 @@
             bucket.in_write.push_back(std::move(item));
             continue;
         }
-        const auto& settle = std::get<claim_settle>(item.what);
-        if (find_live_slice(bucket, settle.key, unix_s)->number != number) {
+        const auto& report = std::get<claim_settle>(item.what);
+        if (find_live_slice(bucket, report.key, unix_s)->number != number) {
             remaining.push_back(std::move(item));
             continue;
         }
-        apply_outcome(bucket.writing.records, settle);
+        apply_outcome(bucket.writing.records, report);
         bucket.in_write.push_back(std::move(item));
     }
     bucket.queue = std::move(remaining);
