--- a/src/config_writer.cpp
+++ b/src/config_writer.cpp
@@ -88,10 +88,10 @@
     }
     this->platform.run(
         {0, manifest_object, false, 0, {}},
-        [this, item](const object_result& result) { this->take_manifest(item, result); });
+        [this, item](const object_result& result) { this->handle_manifest(item, result); });
 }
 
-void config_writer::take_first_manifest(const job_ptr& item, const object_result& result)
+void config_writer::handle_initial_manifest(const job_ptr& item, const object_result& result)
 {
     if (result.status == object_status::missing) {
         this->write_shards(item);
@@ -102,14 +102,14 @@
     }
 }
 
-void config_writer::take_manifest(const job_ptr& item, const object_result& result)
+void config_writer::handle_manifest(const job_ptr& item, const object_result& result)
 {
     if (result.status == object_status::failed) {
         this->read_manifest(item);
         return;
     }
     if (item->plan_id.empty()) {
-        this->take_first_manifest(item, result);
+        this->handle_initial_manifest(item, result);
         return;
     }
     if (result.status != object_status::ok) {
--- a/src/config_writer.h
+++ b/src/config_writer.h
@@ -65,8 +65,8 @@
 
     void read_plan(const job_ptr& item);
     void read_manifest(const job_ptr& item);
-    void take_manifest(const job_ptr& item, const object_result& result);
-    void take_first_manifest(const job_ptr& item, const object_result& result);
+    void handle_manifest(const job_ptr& item, const object_result& result);
+    void handle_initial_manifest(const job_ptr& item, const object_result& result);
     void apply(const job_ptr& item, const config_documents& documents);
     void write_shards(const job_ptr& item);
     void write_next_shard(const job_ptr& item);
