--- a/src/fleet_lease.cpp
+++ b/src/fleet_lease.cpp
@@ -79,7 +79,7 @@
         return;
     }
     if (changed) {
-        if (lease.held) mark_lost(lease, "another VM took it");
+        if (lease.held) mark_lost(lease, "acquired by another VM");
         lease.version = result.version;
         lease.value = value;
         lease.seen_at = now;
@@ -105,7 +105,7 @@
         handle_read(lease, result, now);
         return;
     case object_status::conflict:
-        mark_lost(lease, "another write came first");
+        mark_lost(lease, "conflict with another write");
         lease.known = false;
         lease.next_at = now;
         return;
