--- a/src/route_requests.cpp
+++ b/src/route_requests.cpp
@@ -10,13 +10,13 @@
 namespace {
 
 constexpr std::uint16_t status_conflict = 409;
-constexpr std::uint16_t status_mismatch = 422;
-constexpr std::uint16_t status_too_many = 429;
+constexpr std::uint16_t status_unprocessable = 422;
+constexpr std::uint16_t status_too_many_requests = 429;
 constexpr std::uint16_t status_bad_gateway = 502;
 constexpr std::uint16_t status_unavailable = 503;
 constexpr std::uint16_t status_timeout = 504;
 constexpr std::uint32_t default_retry_after_ms = 1000;
-constexpr duration claim_resend_after = seconds(1);
+constexpr duration claim_resend_interval = seconds(1);
 
 request_row* find_by_attempt(tables& t, const attempt_id& id)
 {
@@ -26,8 +26,8 @@
     return request == t.requests.end() ? nullptr : &request->second;
 }
 
-/** The VM that keeps the claims of a key: the first in rank of its bucket among live gates. */
-vm_id claim_home(const tables& t, const std::string& key)
+/** The VM that stores the claims of a key: the live VM that ranks first for its claim bucket. */
+vm_id claim_store_vm(const tables& t, const std::string& key)
 {
     return home_of(t, claim_bucket(key) + 1);
 }
@@ -37,10 +37,10 @@
 {
     if (!request.claimed) return;
     claim_settle message{request.claim_holder, request.claim_key, result, status, body};
-    t.send(claim_home(t, request.claim_key), std::move(message));
+    t.send(claim_store_vm(t, request.claim_key), std::move(message));
 }
 
-/** Takes the row out; the request has had its final answer, or its caller is gone. */
+/** Removes the row of a request that has had its final response, or whose caller is gone. */
 void erase_request(tables& t, const request_row& request)
 {
     t.request_of.erase(request.attempt);
@@ -54,7 +54,8 @@
 void fail(tables& t, const request_row& request, fail_request answer)
 {
     answer.request = request.id;
-    // Once an attempt's outcome was unknown, a later refusal proves nothing about the request.
+    // After an attempt with an unknown outcome, a later refusal no longer proves that the request
+    // was not executed.
     if (request.may_have_run) answer.result = outcome::unknown;
     if (answer.result == outcome::not_run) refund_quota(t, request);
     settle_claim(t, request, answer.result, answer.status, {});
@@ -62,7 +63,7 @@
     erase_request(t, request);
 }
 
-fail_request not_run(std::uint16_t status, std::string code, std::string message)
+fail_request make_not_run_error(std::uint16_t status, std::string code, std::string message)
 {
     fail_request answer;
     answer.result = outcome::not_run;
@@ -93,8 +94,8 @@
     open.directed = request.directed;
     open.last_try = request.hops >= t.settings.hops_at_most;
     open.urgency = request.urgency;
-    const auto left = std::chrono::duration_cast<milliseconds>(request.deadline - now);
-    open.deadline_ms = static_cast<std::uint32_t>(std::max<std::int64_t>(1, left.count()));
+    const auto time_left = std::chrono::duration_cast<milliseconds>(request.deadline - now);
+    open.deadline_ms = static_cast<std::uint32_t>(std::max<std::int64_t>(1, time_left.count()));
     open.cost = request.cost;
     open.resume_from = resume_from;
     open.version = request.version;
@@ -107,7 +108,9 @@
     t.send(gate, std::move(open));
 }
 
-/** The first server to try: a chat's home; for others, any that has not been tried. */
+/** The next server to try: for the first attempt of a chat its home server, if that accepts work;
+ * otherwise the first in rank among the accepting servers that were not tried. If there is none,
+ * the home server for the first attempt and an empty id for later ones. */
 server_id choose_server(tables& t, const request_row& request, const service_row& service)
 {
     if (service.config.kind == service_kind::chat && request.tried.empty()) {
@@ -118,8 +121,8 @@
     const std::uint64_t key = service.config.kind == service_kind::chat
                                   ? static_cast<std::uint64_t>(request.chat)
                                   : t.random();
-    const server_id fresh = first_ranked(t, service, key, request.tried);
-    if (!fresh.empty()) return fresh;
+    const server_id untried = first_ranked(t, service, key, request.tried);
+    if (!untried.empty()) return untried;
     return request.tried.empty() ? home_server(service, request.chat) : server_id{};
 }
 
@@ -130,8 +133,9 @@
         service == t.services.end() ? server_id{} : choose_server(t, request, service->second);
     const vm_id gate = server.empty() ? vm_id{} : gate_of(t.servers.at(server));
     if (gate.empty()) {
-        fail_request answer = not_run(status_unavailable, "no_server",
-                                      "no server of " + request.service.text + " takes work");
+        fail_request answer =
+            make_not_run_error(status_unavailable, "no_server",
+                               "no server of " + request.service.text + " takes work");
         if (!request.last_peer.empty()) {
             answer.step = request.last_step;
             answer.peer = request.last_peer;
@@ -143,7 +147,7 @@
     send_attempt(t, request, server, gate, resume_from, now);
 }
 
-/** Claims the request's key, if it has one, before anything is sent. */
+/** Claims the request's idempotency key, if it has one, before the first attempt is sent. */
 void claim_and_send(tables& t, request_row& request, instant now)
 {
     if (request.claim_key.empty()) {
@@ -153,7 +157,7 @@
     request.claim_holder = t.next_attempt();
     const claim_request message{request.claim_holder, request.claim_key, request.fingerprint};
     t.claim_requests[request.claim_holder] = {request.id, message, now};
-    t.send(claim_home(t, request.claim_key), message);
+    t.send(claim_store_vm(t, request.claim_key), message);
 }
 
 void start_request(tables& t, request_row arrival, instant now)
@@ -162,12 +166,12 @@
     const std::uint64_t id = arrival.id;
     std::uint32_t& running = t.account_running[arrival.account];
     ++running;
-    const bool over =
+    const bool over_limit =
         account != nullptr && account->concurrency > 0 && running > account->concurrency;
     request_row& request = t.requests[id] = std::move(arrival);
-    if (over) {
-        fail_request answer = not_run(status_too_many, "account_limit",
-                                      "the account has too many requests in flight");
+    if (over_limit) {
+        fail_request answer = make_not_run_error(status_too_many_requests, "account_limit",
+                                                 "the account has too many requests in flight");
         answer.retry_after_ms = default_retry_after_ms;
         fail(t, request, std::move(answer));
         return;
@@ -179,17 +183,17 @@
     if (pay_quota(t, request, rate, now) == quota_state::paid) claim_and_send(t, request, now);
 }
 
-/** The account's rate did not allow it: final, and at once. */
+/** Ends a request that exceeds its account's token rate, without a retry. */
 void refuse_over_rate(tables& t, request_row& request, std::uint32_t retry_after_ms)
 {
     ++t.counters.over_account_rate;
-    fail_request answer =
-        not_run(status_too_many, "account_rate", "the account's tokens per minute are used up");
+    fail_request answer = make_not_run_error(status_too_many_requests, "account_rate",
+                                             "the account's tokens per minute are used up");
     answer.retry_after_ms = retry_after_ms;
     fail(t, request, std::move(answer));
 }
 
-void follow_quota(tables& t, const quota_outcome& outcome, instant now)
+void apply_quota_outcome(tables& t, const quota_outcome& outcome, instant now)
 {
     for (const std::uint64_t id : outcome.paid) {
         if (const auto row = t.requests.find(id); row != t.requests.end()) {
@@ -203,7 +207,7 @@
     }
 }
 
-void follow_claim(tables& t, const claim_reply& reply, instant now)
+void handle_claim_reply(tables& t, const claim_reply& reply, instant now)
 {
     const auto found = t.claim_requests.find(reply.id);
     if (found == t.claim_requests.end()) return;
@@ -211,10 +215,11 @@
     t.claim_requests.erase(found);
     const auto row = t.requests.find(pending.request);
     if (row == t.requests.end()) {
-        // The request ended meanwhile and nothing was sent: the key is free again.
+        // The request ended before the claim was granted and nothing was sent, so the key is
+        // released.
         if (reply.state == claim_state::granted) {
             const std::string& key = pending.message.key;
-            t.send(claim_home(t, key), claim_settle{reply.id, key, outcome::not_run, 0, {}});
+            t.send(claim_store_vm(t, key), claim_settle{reply.id, key, outcome::not_run, 0, {}});
         }
         return;
     }
@@ -229,21 +234,22 @@
         erase_request(t, request);
         return;
     case claim_state::in_doubt: {
-        fail_request answer = not_run(status_conflict, "in_doubt",
-                                      "an earlier request with this key was sent and its outcome "
-                                      "is not known; it will not be sent again");
+        fail_request answer =
+            make_not_run_error(status_conflict, "in_doubt",
+                               "an earlier request with this key was sent and its outcome "
+                               "is not known; it will not be sent again");
         answer.result = outcome::unknown;
         fail(t, request, std::move(answer));
         return;
     }
     case claim_state::mismatch:
         fail(t, request,
-             not_run(status_mismatch, "key_reused",
-                     "the idempotency key was used for a different request"));
+             make_not_run_error(status_unprocessable, "key_reused",
+                                "the idempotency key was used for a different request"));
         return;
     case claim_state::unavailable: {
-        fail_request answer = not_run(status_unavailable, "claims_unavailable",
-                                      "the key could not be claimed; nothing was sent");
+        fail_request answer = make_not_run_error(status_unavailable, "claims_unavailable",
+                                                 "the key could not be claimed; nothing was sent");
         answer.step = "claim";
         answer.peer = "platform";
         answer.retry_after_ms = default_retry_after_ms;
@@ -253,22 +259,25 @@
     }
 }
 
-fail_request final_refusal(const attempt_refused& refused)
+fail_request make_refusal_error(const attempt_refused& refused)
 {
     switch (refused.reason) {
     case refusal::queue_full:
     case refusal::over_bound:
-        return not_run(status_too_many, "overloaded", "no server has a free place in time");
+        return make_not_run_error(status_too_many_requests, "overloaded",
+                                  "no server has a free place in time");
     case refusal::deadline:
-        return not_run(status_timeout, "deadline", "the deadline passed before the request ran");
+        return make_not_run_error(status_timeout, "deadline",
+                                  "the deadline passed before the request ran");
     default:
-        return not_run(status_unavailable, "unavailable", "no server could take the request");
+        return make_not_run_error(status_unavailable, "unavailable",
+                                  "no server could take the request");
     }
 }
 
 void fail_refused(tables& t, request_row& request, const attempt_refused& refused)
 {
-    fail_request answer = final_refusal(refused);
+    fail_request answer = make_refusal_error(refused);
     answer.step = refused.step;
     answer.peer = refused.peer;
     answer.retry_after_ms =
@@ -276,13 +285,14 @@
     fail(t, request, std::move(answer));
 }
 
-void follow_refusal(tables& t, request_row& request, const attempt_refused& refused, instant now)
+void handle_refusal(tables& t, request_row& request, const attempt_refused& refused, instant now)
 {
     request.last_step = refused.step;
     request.last_peer = refused.peer;
-    const bool final = refused.reason == refusal::queue_full || refused.reason == refusal::deadline;
+    const bool is_final =
+        refused.reason == refusal::queue_full || refused.reason == refusal::deadline;
     ++request.hops;
-    if (final || request.hops > 2 * t.settings.hops_at_most || now >= request.deadline) {
+    if (is_final || request.hops > 2 * t.settings.hops_at_most || now >= request.deadline) {
         fail_refused(t, request, refused);
         return;
     }
@@ -304,10 +314,10 @@
         try_server(t, request, request.resume_from, now);
         return;
     }
-    const vm_id own_view = gate_of(next->second);
-    const vm_id gate = refused.next_gate.empty() ? own_view : refused.next_gate;
-    // A VM that is not the gate and names itself is between two views. Asking it again later would
-    // hold the request back, so another server is tried.
+    const vm_id known_gate = gate_of(next->second);
+    const vm_id gate = refused.next_gate.empty() ? known_gate : refused.next_gate;
+    // A VM that refuses as not being the gate but names itself is between two membership views.
+    // Waiting to ask it again would delay the request, so another server is tried.
     if (gate.empty() || (same_server && gate == request.gate)) {
         if (same_server) request.tried.push_back(request.server);
         try_server(t, request, request.resume_from, now);
@@ -327,8 +337,8 @@
     }
     request.may_have_run = true;
     const auto service = t.services.find(request.service);
-    retry_budget none;
-    retry_budget& budget = service == t.services.end() ? none : service->second.retries;
+    retry_budget empty_budget;
+    retry_budget& budget = service == t.services.end() ? empty_budget : service->second.retries;
     request.last_step = result.end.step;
     request.last_peer = result.end.peer;
     const next_step step = now >= request.deadline
@@ -387,23 +397,23 @@
 
 void follow_accounts(tables& t, const tick_time& time)
 {
-    follow_quota(t, follow_quotas(t, time), time.now);
+    apply_quota_outcome(t, follow_quotas(t, time), time.now);
 }
 
 void follow_claims(tables& t, const tick_time& time)
 {
     for (const claim_reply& reply : std::exchange(t.in.claim_replies, {})) {
-        follow_claim(t, reply, time.now);
+        handle_claim_reply(t, reply, time.now);
     }
-    // A claim carries its attempt id, so asking again, also of another home, claims it once.
+    // A claim is identified by its attempt id, so a resent claim counts once, also at another VM.
     for (auto& [id, pending] : t.claim_requests) {
-        if (time.now - pending.sent < claim_resend_after) continue;
+        if (time.now - pending.sent < claim_resend_interval) continue;
         pending.sent = time.now;
-        t.send(claim_home(t, pending.message.key), pending.message);
+        t.send(claim_store_vm(t, pending.message.key), pending.message);
     }
     std::erase_if(t.claim_requests, [&](const auto& entry) {
         return !t.requests.contains(entry.second.request) &&
-               time.now - entry.second.sent > claim_resend_after / 2;
+               time.now - entry.second.sent > claim_resend_interval / 2;
     });
 }
 
@@ -417,11 +427,11 @@
         refused.reason = refusal::connect_failed;
         refused.step = "link";
         refused.peer = request->gate.text;
-        follow_refusal(t, *request, refused, time.now);
+        handle_refusal(t, *request, refused, time.now);
     }
     for (const auto& [from, message] : std::exchange(t.in.refused, {})) {
         request_row* request = find_by_attempt(t, message.id);
-        if (request != nullptr) follow_refusal(t, *request, message, time.now);
+        if (request != nullptr) handle_refusal(t, *request, message, time.now);
     }
 }
 
@@ -439,20 +449,20 @@
         const auto found = t.requests.find(id);
         if (found == t.requests.end()) continue;
         cancel_request(t, found->second);
-        // A claim whose request was sent stays in doubt: it may have run.
+        // The claim of a request that was sent is not released, since the request may have run.
         const bool unsent = found->second.gate.empty();
         if (unsent) settle_claim(t, found->second, outcome::not_run, 0, {});
         t.out.emplace_back(drop_request{id});
         erase_request(t, found->second);
     }
-    std::vector<std::uint64_t> late;
+    std::vector<std::uint64_t> expired;
     for (const auto& [id, request] : t.requests) {
-        if (request.deadline <= time.now) late.push_back(id);
+        if (request.deadline <= time.now) expired.push_back(id);
     }
-    for (const std::uint64_t id : late) {
+    for (const std::uint64_t id : expired) {
         request_row& request = t.requests.at(id);
         cancel_request(t, request);
-        fail_request answer = not_run(status_timeout, "deadline", "the deadline passed");
+        fail_request answer = make_not_run_error(status_timeout, "deadline", "the deadline passed");
         answer.step = request.gate.empty() ? "claim" : "run";
         answer.peer = request.server.text;
         if (!request.gate.empty()) answer.result = outcome::unknown;
