--- a/src/route_requests.cpp
+++ b/src/route_requests.cpp
@@ -337,8 +337,8 @@
     }
     request.may_have_run = true;
     const auto service = t.services.find(request.service);
-    retry_budget empty_budget;
-    retry_budget& budget = service == t.services.end() ? empty_budget : service->second.retries;
+    retry_budget default_budget;
+    retry_budget& budget = service == t.services.end() ? default_budget : service->second.retries;
     request.last_step = result.end.step;
     request.last_peer = result.end.peer;
     const next_step step = now >= request.deadline
