--- a/src/admit_attempts.cpp
+++ b/src/admit_attempts.cpp
@@ -9,17 +9,17 @@
 
 namespace {
 
-constexpr double rate_smoothing = 0.3;
+constexpr double rate_smoothing = 0.3; ///< weight of the newest sample
 constexpr duration rate_window = milliseconds(500);
-/** A wait is only worth while when it is expected to end well before the deadline. */
-constexpr double fair_chance = 0.8;
-constexpr double shortest_retry_after_ms = 200;
-constexpr double longest_retry_after_ms = 60'000;
+/** Share of the time to the deadline that a request may wait, so that time is left to run it. */
+constexpr double max_wait_share = 0.8;
+constexpr double min_retry_after_ms = 200;
+constexpr double max_retry_after_ms = 60'000;
 
-/** What stands in the way of sending a request to a server now. */
+/** Why a request cannot be sent to a server now. */
 enum class obstacle : std::uint8_t { none, bound, limit, unavailable };
 
-/** The version that the gate's engine would run a request on. */
+/** The model version on which the gate's engine would run a request. */
 version_choice version_for(const tables& t, const gate_row& gate, const std::string& continued)
 {
     const auto service = t.services.find(gate.service);
@@ -32,7 +32,7 @@
     server.load.running = static_cast<std::uint32_t>(gate.running.size()) + gate.foreign;
     server.load.cost = gate.cost;
     if (gate.foreign > 0) {
-        // The cost of another gate's requests is not known; they are taken to be like our own.
+        // The cost of requests from another gate is unknown; the mean of this gate's is assumed.
         const double mean = gate.running.empty() ? default_answer_tokens
                                                  : static_cast<double>(gate.cost) /
                                                        static_cast<double>(gate.running.size());
@@ -81,7 +81,7 @@
     t.send(entry, std::move(message));
 }
 
-/** Refuses with the server to try instead, which is counted as having the request already. */
+/** Refuses an attempt and names the server to try instead, whose load then counts the request. */
 void redirect(tables& t, const vm_id& entry, const open_attempt& open, refusal reason,
               const server_id& next)
 {
@@ -101,8 +101,8 @@
     return account == nullptr ? 1 : account->weight;
 }
 
-void start(tables& t, gate_row& gate, server_row& server, const vm_id& entry,
-           std::shared_ptr<const open_attempt> open, instant now)
+void start_attempt(tables& t, gate_row& gate, server_row& server, const vm_id& entry,
+                   std::shared_ptr<const open_attempt> open, instant now)
 {
     if (gate.running.empty()) {
         gate.drained_since = now;
@@ -118,7 +118,8 @@
     t.out.emplace_back(start_call{server.config, entry, std::move(open), version});
 }
 
-/** Expected time until a request of this account would run, from the measured drain rate. */
+/** Expected time until a request of this account would start, from the measured drain rate; zero
+ * if no rate is measured yet. */
 duration expected_wait(const gate_row& gate, const open_attempt& open, double weight, instant now)
 {
     const double ahead = gate.queue.cost_ahead(open.account, weight, open.cost, now) + open.cost;
@@ -131,8 +132,7 @@
 {
     const double wait =
         gate.drain_rate <= 0 ? 1000 : 1000 * (gate.queue.total_cost() + 1) / gate.drain_rate;
-    return static_cast<std::uint32_t>(
-        std::clamp(wait, shortest_retry_after_ms, longest_retry_after_ms));
+    return static_cast<std::uint32_t>(std::clamp(wait, min_retry_after_ms, max_retry_after_ms));
 }
 
 void refuse_full(tables& t, const gate_row& gate, const vm_id& entry, const attempt_id& id)
@@ -142,7 +142,7 @@
     refuse(t, entry, std::move(message));
 }
 
-void forget_waiting(tables& t, gate_row& gate, const attempt_id& id)
+void remove_waiting(tables& t, gate_row& gate, const attempt_id& id)
 {
     gate.opened.erase(id);
     gate.entries.erase(id);
@@ -153,43 +153,45 @@
              const std::shared_ptr<const open_attempt>& open, instant now)
 {
     const double weight = account_weight(t, open->account);
-    const duration left = milliseconds(open->deadline_ms);
-    const duration patience =
-        std::min(t.settings.longest_wait, std::chrono::duration_cast<duration>(left * fair_chance));
-    if (expected_wait(gate, *open, weight, now) > patience) {
+    const duration time_left = milliseconds(open->deadline_ms);
+    const duration max_wait = std::min(
+        t.settings.longest_wait, std::chrono::duration_cast<duration>(time_left * max_wait_share));
+    if (expected_wait(gate, *open, weight, now) > max_wait) {
         refuse_full(t, gate, entry, open->id);
         return;
     }
     const waiting_attempt item{open->id,      open->account,  open->cost, weight,
-                               open->urgency, now + patience, now};
+                               open->urgency, now + max_wait, now};
     gate.opened[open->id] = open;
     gate.entries[open->id] = entry;
     t.attempt_server[open->id] = gate.server;
     ++t.counters.queued;
     if (const auto shed = gate.queue.push(item)) {
         refuse_full(t, gate, gate.entries.at(shed->id), shed->id);
-        forget_waiting(t, gate, shed->id);
+        remove_waiting(t, gate, shed->id);
     }
 }
 
-/** Where the chat's cache is, if that is another server that can take the request. */
-std::optional<server_id> find_warm(tables& t, const service_row& service, const open_attempt& open,
-                                   instant now)
+/** The server that holds the chat's prompt cache; std::nullopt if it is unknown, is the one that
+ * was asked for, or cannot accept the request. */
+std::optional<server_id> find_cached_server(tables& t, const service_row& service,
+                                            const open_attempt& open, instant now)
 {
     const auto known = t.chats.find(open.service, open.chat, now);
     if (!known || *known == open.server) return std::nullopt;
     const auto found = t.servers.find(*known);
     if (found == t.servers.end() || found->second.service != open.service) return std::nullopt;
     const server_row& server = found->second;
-    const bool takes = !server.config.draining && server.load.accepting &&
-                       server.load.running < server.config.limit;
-    if (!takes || !below_bound(t, service, server, open.cost)) return std::nullopt;
+    const bool accepts = !server.config.draining && server.load.accepting &&
+                         server.load.running < server.config.limit;
+    if (!accepts || !below_bound(t, service, server, open.cost)) return std::nullopt;
     return known;
 }
 
-/** For a new chat, a server with less load than its home, or one that ramps up. */
-std::optional<server_id> find_better_start(tables& t, const service_row& service,
-                                           const server_row& home, const open_attempt& open)
+/** A better server for a new chat than its home: the first in rank, typically one that is still
+ * ramping up, or a less loaded one. std::nullopt if there is none. */
+std::optional<server_id> find_better_first_server(tables& t, const service_row& service,
+                                                  const server_row& home, const open_attempt& open)
 {
     const auto key = static_cast<std::uint64_t>(open.chat);
     const server_id first = first_ranked(t, service, key, {});
@@ -198,39 +200,41 @@
         return first;
     }
     if (!t.settings.balance_new_chats) return std::nullopt;
-    const std::vector<server_id> without{open.server};
-    const auto other = find_alternate(t, service, open.cost, without, false);
+    const std::vector<server_id> excluded{open.server};
+    const auto other = find_alternate(t, service, open.cost, excluded, false);
     if (!other || t.servers.at(*other).load.cost >= home.load.cost) return std::nullopt;
     return other;
 }
 
-void remember(tables& t, const open_attempt& open, const server_id& server, instant now)
+void record_chat_server(tables& t, const open_attempt& open, const server_id& server, instant now)
 {
     if (t.settings.remember_chats && open.chat != chat_key{}) {
         t.chats.record(open.service, open.chat, server, now);
     }
 }
 
-/** Sends the attempt to the server where the chat is warm or should start. True if it did. */
+/** Redirects the attempt to the server that has the chat's cache or should start the chat. Returns
+ * whether it did. */
 bool redirect_chat(tables& t, const service_row& service, const server_row& home, const vm_id& from,
                    const open_attempt& open, instant now)
 {
     if (open.directed || open.last_try || !t.settings.remember_chats) return false;
-    if (const auto warm = find_warm(t, service, open, now)) {
-        remember(t, open, *warm, now);
-        redirect(t, from, open, refusal::warm_elsewhere, *warm);
+    if (const auto cached = find_cached_server(t, service, open, now)) {
+        record_chat_server(t, open, *cached, now);
+        redirect(t, from, open, refusal::warm_elsewhere, *cached);
         return true;
     }
     if (open.returning || t.chats.find(open.service, open.chat, now)) return false;
-    if (const auto other = find_better_start(t, service, home, open)) {
-        remember(t, open, *other, now);
+    if (const auto other = find_better_first_server(t, service, home, open)) {
+        record_chat_server(t, open, *other, now);
         redirect(t, from, open, refusal::over_bound, *other);
         return true;
     }
     return false;
 }
 
-void open_one(tables& t, const vm_id& from, std::shared_ptr<const open_attempt> open, instant now)
+void admit_attempt(tables& t, const vm_id& from, std::shared_ptr<const open_attempt> open,
+                   instant now)
 {
     const auto found = t.servers.find(open->server);
     if (found == t.servers.end() || found->second.service != open->service) {
@@ -257,29 +261,30 @@
     }
     gate.queue.charge(open->account, account_weight(t, open->account), open->cost, now);
     const bool heavy = gate.queue.heavy(open->account, now);
-    // A stream goes on by the version that began it; its server may not have that any more.
-    const obstacle stop = version_for(t, gate, open->version).available
-                              ? find_obstacle(t, gate, server, open->cost, heavy, now)
-                              : obstacle::unavailable;
-    if (stop == obstacle::none && gate.queue.empty()) {
-        remember(t, *open, open->server, now);
-        start(t, gate, server, from, std::move(open), now);
+    // A stream is resumed on the model version that began it, which the server may have unloaded.
+    const obstacle blocked_by = version_for(t, gate, open->version).available
+                                    ? find_obstacle(t, gate, server, open->cost, heavy, now)
+                                    : obstacle::unavailable;
+    if (blocked_by == obstacle::none && gate.queue.empty()) {
+        record_chat_server(t, *open, open->server, now);
+        start_attempt(t, gate, server, from, std::move(open), now);
         return;
     }
-    std::vector<server_id> without = open->tried;
-    without.push_back(open->server);
+    std::vector<server_id> excluded = open->tried;
+    excluded.push_back(open->server);
     if (!open->last_try) {
-        auto next = find_alternate(t, service, open->cost, without, heavy);
-        if (!next && stop != obstacle::bound) next = find_least_loaded(t, service, without, heavy);
+        auto next = find_alternate(t, service, open->cost, excluded, heavy);
+        if (!next && blocked_by != obstacle::bound)
+            next = find_least_loaded(t, service, excluded, heavy);
         if (next) {
             const refusal reason =
-                stop == obstacle::unavailable ? refusal::draining : refusal::over_bound;
-            remember(t, *open, *next, now);
+                blocked_by == obstacle::unavailable ? refusal::draining : refusal::over_bound;
+            record_chat_server(t, *open, *next, now);
             redirect(t, from, *open, reason, *next);
             return;
         }
     }
-    if (stop == obstacle::unavailable) {
+    if (blocked_by == obstacle::unavailable) {
         attempt_refused message =
             make_refusal(open->id, refusal::draining, "admit", open->server.text);
         message.retry_after_ms = retry_after(gate);
@@ -289,7 +294,7 @@
     enqueue(t, gate, from, open, now);
 }
 
-void measure_drain(gate_row& gate, std::uint32_t cost, instant now)
+void update_drain_rate(gate_row& gate, std::uint32_t cost, instant now)
 {
     gate.drained_cost += cost;
     const duration span = now - gate.drained_since;
@@ -301,8 +306,9 @@
     gate.drained_cost = 0;
 }
 
-/** Breakers may eject only a share of a service's servers: when all fail, the fault is ours or the
- * requests', and ejecting them all would refuse everything. */
+/** Whether one more server may be ejected. Breakers may eject only a share of a service's servers:
+ * if all fail, the cause is likely the fleet or the requests, and ejecting all would refuse every
+ * request. */
 bool may_eject(const tables& t, const service_row& service)
 {
     const auto ejected = std::ranges::count_if(service.servers, [&](const server_id& id) {
@@ -313,7 +319,7 @@
            std::max(1.0, t.settings.ejected_share * static_cast<double>(service.servers.size()));
 }
 
-void feed_breaker(const tables& t, gate_row& gate, const call_ended& call, instant now)
+void update_breaker(const tables& t, gate_row& gate, const call_ended& call, instant now)
 {
     if (call.result == outcome::done) {
         gate.health.on_success();
@@ -338,31 +344,31 @@
     gate.running.erase(running);
     gate.cost -= attempt.cost;
     t.attempt_server.erase(server_found);
-    measure_drain(gate, attempt.cost, now);
-    feed_breaker(t, gate, call, now);
+    update_drain_rate(gate, attempt.cost, now);
+    update_breaker(t, gate, call, now);
     if (const auto row = t.servers.find(gate.server); row != t.servers.end()) {
         sync_load(t, gate, row->second, now);
     }
-    if (call.result != outcome::not_run) return; // the call itself sent the end of its answer
+    if (call.result != outcome::not_run) return; // the call itself reported its end to the entry VM
     attempt_refused message = make_refusal(
         call.id, call.step == "connect" ? refusal::connect_failed : refusal::server_refused,
         call.step, gate.server.text);
     refuse(t, attempt.entry, std::move(message));
 }
 
-void cancel_one(tables& t, const attempt_id& id)
+void cancel_by_id(tables& t, const attempt_id& id)
 {
     const auto found = t.attempt_server.find(id);
     if (found == t.attempt_server.end()) return;
     gate_row& gate = t.gates.at(found->second);
     if (gate.queue.erase(id)) {
-        forget_waiting(t, gate, id);
+        remove_waiting(t, gate, id);
         return;
     }
     t.out.emplace_back(cancel_call{id});
 }
 
-/** The next request of an account that has fewer running than it reserved. */
+/** The next request of an account that has fewer requests running than it has reserved. */
 std::optional<waiting_attempt> pop_reserved(const tables& t, gate_row& gate)
 {
     for (const account_config* account : t.config->accounts.reserved()) {
@@ -376,9 +382,9 @@
 
 void run_queue(tables& t, gate_row& gate, server_row& server, instant now)
 {
-    for (const waiting_attempt& late : gate.queue.take_expired(now)) {
-        refuse_full(t, gate, gate.entries.at(late.id), late.id);
-        forget_waiting(t, gate, late.id);
+    for (const waiting_attempt& expired : gate.queue.take_expired(now)) {
+        refuse_full(t, gate, gate.entries.at(expired.id), expired.id);
+        remove_waiting(t, gate, expired.id);
     }
     while (!gate.queue.empty()) {
         const auto free_for = [&](bool heavy) {
@@ -390,14 +396,15 @@
         if (!item) return;
         const auto open = gate.opened.at(item->id);
         const vm_id entry = gate.entries.at(item->id);
-        forget_waiting(t, gate, item->id);
-        remember(t, *open, open->server, now);
-        start(t, gate, server, entry, open, now);
+        remove_waiting(t, gate, item->id);
+        record_chat_server(t, *open, open->server, now);
+        start_attempt(t, gate, server, entry, open, now);
     }
 }
 
-/** This VM is no longer the gate, or the server takes no work: what waits goes elsewhere. */
-void dissolve_queue(tables& t, gate_row& gate, const server_row* server)
+/** Refuses all queued attempts, so that they are sent elsewhere: this VM is no longer the gate, or
+ * the server accepts no requests. */
+void refuse_all_waiting(tables& t, gate_row& gate, const server_row* server)
 {
     for (const waiting_attempt& item : gate.queue.take_all()) {
         attempt_refused message =
@@ -407,7 +414,7 @@
             message.next_gate = gate_of(*server);
         }
         refuse(t, gate.entries.at(item.id), std::move(message));
-        forget_waiting(t, gate, item.id);
+        remove_waiting(t, gate, item.id);
     }
 }
 
@@ -443,7 +450,7 @@
 void cancel_attempts(tables& t)
 {
     for (const auto& [from, message] : std::exchange(t.in.cancelled, {}))
-        cancel_one(t, message.id);
+        cancel_by_id(t, message.id);
     for (const vm_id& lost : t.in.lost_peers) {
         std::vector<attempt_id> orphans;
         for (const auto& [server, gate] : t.gates) {
@@ -455,14 +462,14 @@
             }
         }
         for (const attempt_id& id : orphans)
-            cancel_one(t, id);
+            cancel_by_id(t, id);
     }
 }
 
 void open_attempts(tables& t, const tick_time& time)
 {
     for (auto& [from, message] : std::exchange(t.in.opened, {})) {
-        open_one(t, from, std::make_shared<const open_attempt>(std::move(message)), time.now);
+        admit_attempt(t, from, std::make_shared<const open_attempt>(std::move(message)), time.now);
     }
 }
 
@@ -472,7 +479,7 @@
         const auto found = t.servers.find(id);
         server_row* server = found == t.servers.end() ? nullptr : &found->second;
         if (server == nullptr || !gate.first || server->config.draining || t.leaving) {
-            dissolve_queue(t, gate, server);
+            refuse_all_waiting(t, gate, server);
             if (server != nullptr && gate.first) sync_load(t, gate, *server, time.now);
             continue;
         }
--- a/src/admit_attempts.h
+++ b/src/admit_attempts.h
@@ -1,5 +1,6 @@
 /** \file
- * Systems of the gate role: exact counts, admission, the queue, and the calls of servers.
+ * Systems of the gate role. The gate of a server is the one VM that admits requests to it: it knows
+ * exactly what it has in flight there, queues what does not fit, and calls the server.
  */
 #pragma once
 
@@ -7,19 +8,21 @@
 
 namespace worksshift {
 
-/** Takes the servers' own load reports in: what runs there that this gate did not send. */
+/** Applies the servers' own load reports, which show requests that another VM sent there, and the
+ * load summaries of other gates. */
 void take_load_reports(tables& t);
 
-/** Takes ended calls off the counts, feeds the breakers, and tells the entries. */
+/** Removes ended calls from the counts, updates the circuit breakers, and reports refusals to the
+ * entry VMs. */
 void finish_calls(tables& t, const tick_time& time);
 
-/** Cancels attempts that their entry gave up, or whose entry is gone. */
+/** Cancels attempts that their entry VM abandoned, and those whose entry VM is gone. */
 void cancel_attempts(tables& t);
 
 /** Admits, queues, redirects or refuses each new attempt. */
 void open_attempts(tables& t, const tick_time& time);
 
-/** Refuses what waited too long and sends what now fits. */
+/** Refuses queued attempts that waited too long and starts those that now fit. */
 void run_queues(tables& t, const tick_time& time);
 
 } // namespace worksshift
