--- a/src/assign_gates.cpp
+++ b/src/assign_gates.cpp
@@ -10,9 +10,9 @@
 
 namespace {
 
-constexpr std::size_t records_per_message = 500;
+constexpr std::size_t max_records_per_message = 500;
 
-/** A VM that may be a gate, as far as ranking is concerned. */
+/** What ranking needs of a VM that may be a gate. */
 struct candidate {
     vm_id vm;
     std::uint64_t hash = 0;
@@ -27,7 +27,7 @@
         candidates.push_back({t.self, t.self.hash(), members.self().data_centre, true});
     }
     for (const auto& [vm, row] : members.members()) {
-        // One that announced that it leaves admits nothing more: it is out of the ranking.
+        // A VM that announced that it is leaving admits nothing more, so it is not ranked.
         if (row.info.state == member_state::leaving) continue;
         candidates.push_back({vm, vm.hash(), row.info.data_centre, row.live()});
     }
@@ -36,17 +36,17 @@
 
 std::vector<candidate> rank(const server_row& server, std::span<const candidate> candidates)
 {
-    std::vector<candidate> near;
-    std::ranges::copy_if(candidates, std::back_inserter(near), [&](const candidate& item) {
-        return item.data_centre == server.config.data_centre;
-    });
+    std::vector<candidate> in_data_centre;
+    std::ranges::copy_if(
+        candidates, std::back_inserter(in_data_centre),
+        [&](const candidate& item) { return item.data_centre == server.config.data_centre; });
     // With no VM in the server's data centre, any VM may be the gate.
-    if (std::ranges::none_of(near, &candidate::live))
-        near.assign(candidates.begin(), candidates.end());
+    if (std::ranges::none_of(in_data_centre, &candidate::live))
+        in_data_centre.assign(candidates.begin(), candidates.end());
     const std::uint64_t key = server.config.id.hash();
-    std::ranges::sort(near, std::greater{},
+    std::ranges::sort(in_data_centre, std::greater{},
                       [key](const candidate& item) { return rendezvous_weight(key, item.hash); });
-    return near;
+    return in_data_centre;
 }
 
 void rank_server(server_row& server, std::span<const candidate> candidates,
@@ -62,7 +62,7 @@
     }
 }
 
-/** The next live VM in rank after this one. */
+/** The first live VM of \p after, the VMs that rank below this one; null if there is none. */
 const member* find_successor(std::span<const vm_id> after, const membership& members)
 {
     for (const vm_id& vm : after) {
@@ -72,8 +72,10 @@
     return nullptr;
 }
 
-/** Notes when the lease began, and says whether what others left running is counted since. */
-bool note_lease(gate_row& gate, const gate_claim_view& view, bool reports, instant now)
+/** Records when the lease began. Returns whether the requests that other VMs left running have been
+ * counted since: by a load report, or for servers without reports after `uncounted_wait`. */
+bool update_lease_start(gate_row& gate, const gate_claim_view& view, bool has_load_reports,
+                        instant now)
 {
     const bool leased = !view.has_successor || view.since_lease < lease_time;
     if (!leased) {
@@ -81,12 +83,12 @@
         return false;
     }
     if (gate.leased_since == instant{}) gate.leased_since = now;
-    return reports ? gate.reported_at > gate.leased_since
-                   : now - gate.leased_since >= uncounted_wait;
+    return has_load_reports ? gate.reported_at > gate.leased_since
+                            : now - gate.leased_since >= uncounted_wait;
 }
 
-gate_claim_view view_claim(const gate_row& gate, std::span<const vm_id> ranked, const vm_id& self,
-                           const membership& members, instant now)
+gate_claim_view make_claim_view(const gate_row& gate, std::span<const vm_id> ranked,
+                                const vm_id& self, const membership& members, instant now)
 {
     gate_claim_view view;
     const auto own = std::ranges::find(ranked, self);
@@ -153,9 +155,10 @@
             continue;
         }
         const std::vector<vm_id>& ranked = assignment.ranked.at(id);
-        gate_claim_view view = view_claim(gate, ranked, t.self, members, time.now);
-        const bool reports = t.services.at(server.service).config.kind == service_kind::chat;
-        view.counted = note_lease(gate, view, reports, time.now);
+        gate_claim_view view = make_claim_view(gate, ranked, t.self, members, time.now);
+        const bool has_load_reports =
+            t.services.at(server.service).config.kind == service_kind::chat;
+        view.counted = update_lease_start(gate, view, has_load_reports, time.now);
         gate.share = gate_share(view);
         const auto own = std::ranges::find(ranked, t.self);
         if (const member* next = find_successor(std::span(own + 1, ranked.end()), members)) {
@@ -163,7 +166,7 @@
         }
     }
     members.set_lease_targets({targets.begin(), targets.end()});
-    // A row without work whose server another VM gates, or nobody has any more, can go.
+    // Remove idle rows of servers that have another gate or are no longer configured.
     std::erase_if(t.gates, [&](const auto& entry) {
         const gate_row& gate = entry.second;
         const bool idle = gate.running.empty() && gate.queue.empty();
@@ -180,16 +183,16 @@
         const auto server = t.servers.find(home_server(service->second, chat));
         return server == t.servers.end() ? vm_id{} : gate_of(server->second);
     };
-    const auto elsewhere = [&](const service_id& service, chat_key chat) {
+    const auto is_gated_elsewhere = [&](const service_id& service, chat_key chat) {
         const vm_id gate = home_gate(service, chat);
         return !gate.empty() && gate != t.self;
     };
-    for (chat_record& record : t.chats.extract_if(elsewhere, time.now)) {
+    for (chat_record& record : t.chats.extract_if(is_gated_elsewhere, time.now)) {
         moved[home_gate(record.service, record.chat)].push_back(std::move(record));
     }
     for (const auto& [vm, records] : moved) {
-        for (std::size_t i = 0; i < records.size(); i += records_per_message) {
-            const auto end = std::min(records.size(), i + records_per_message);
+        for (std::size_t i = 0; i < records.size(); i += max_records_per_message) {
+            const auto end = std::min(records.size(), i + max_records_per_message);
             chat_records message;
             message.records.assign(records.begin() + static_cast<std::ptrdiff_t>(i),
                                    records.begin() + static_cast<std::ptrdiff_t>(end));
--- a/src/assign_gates.h
+++ b/src/assign_gates.h
@@ -1,6 +1,6 @@
 /** \file
- * System: works out which VM is the gate of each server, and this VM's share of the limit of those
- * that it may admit to (gate_share.h). Systems that depend on it hand chats and attempts over.
+ * System: determines which VM is the gate of each server, and the share of a server's limit that
+ * this VM may admit (gate_share.h). When a gate changes, its chat records are sent to the new one.
  */
 #pragma once
 
@@ -9,30 +9,33 @@
 
 namespace worksshift {
 
-/** Members of the server table's rank that are kept per server. */
+/** Number of VMs in rank order that the server table stores per server. */
 constexpr std::size_t gates_per_server = 4;
 
-/** Remembers what the last assignment was made from, to skip the work when nothing changed. */
+/** The inputs of the last assignment, so that it is only redone when they change, and its result.
+ */
 struct gate_assignment {
     std::uint64_t view_version = 0;
     std::uint64_t revision = 0;
-    /** All that are not gone, live or not, first in rank first, for each server. */
+    /** For each server, all VMs that were not removed from the membership, live or not, in rank
+     * order. */
     std::unordered_map<server_id, std::vector<vm_id>> ranked;
-    std::vector<server_id> own; ///< servers that this VM gates, or gated and has work of
+    std::vector<server_id> own; ///< servers whose gate this VM is, or was and still has work of
 };
 
-/** Ranks the VMs for every server when the members or the configuration changed. Returns whether
- * they did. */
+/** Ranks the VMs for every server if the members or the configuration changed. Returns whether they
+ * did. */
 bool assign_gates(tables& t, gate_assignment& assignment, const membership& members);
 
-/** Sets this VM's share of each server it gates or may gate, and asks for the leases it needs. */
+/** Updates this VM's share of each server whose gate it is or was, and requests the leases it
+ * needs. */
 void renew_shares(tables& t, const gate_assignment& assignment, membership& members,
                   const tick_time& time);
 
-/** Sends chat records whose home server another VM gates now to that VM. */
+/** Sends chat records to the VM that became the gate of their home server. */
 void hand_over_chats(tables& t, const tick_time& time);
 
-/** Takes records in that other VMs handed over. */
+/** Stores the chat records that other VMs sent. */
 void take_chats(tables& t, const tick_time& time);
 
 } // namespace worksshift
