--- a/src/fair_queue.cpp
+++ b/src/fair_queue.cpp
@@ -24,12 +24,13 @@
     const auto newest =
         std::find_if(this->items.rbegin(), this->items.rend(),
                      [&](const auto& item) { return item.second.account == largest->first; });
-    // Its place in virtual time is given back, so that shedding does not push the account further.
+    // The virtual time of the shed request is given back, so that shedding does not delay the
+    // account's later requests.
     largest->second.last_finish -= newest->second.cost / newest->second.weight;
     return this->take(std::prev(newest.base()));
 }
 
-double fair_queue::demand::faded(instant now) const
+double fair_queue::demand::decayed_amount(instant now) const
 {
     const std::chrono::duration<double> passed = now - this->at;
     const std::chrono::duration<double> scale = demand_fades_in;
@@ -41,28 +42,28 @@
 {
     demand& row = this->demands[account];
     this->total.weight += weight - (row.at == instant{} ? 0 : row.weight);
-    row = {row.faded(now) + cost, weight, now};
-    this->total.amount = this->total.faded(now) + cost;
+    row = {row.decayed_amount(now) + cost, weight, now};
+    this->total.amount = this->total.decayed_amount(now) + cost;
     this->total.at = now;
-    if (this->demands.size() >= this->forget_at) this->forget_idle(now);
+    if (this->demands.size() >= this->cleanup_threshold) this->remove_idle_demands(now);
 }
 
-void fair_queue::forget_idle(instant now)
+void fair_queue::remove_idle_demands(instant now)
 {
     std::erase_if(this->demands, [&](const auto& entry) {
-        const bool idle = entry.second.faded(now) < demand_forgotten_below;
+        const bool idle = entry.second.decayed_amount(now) < demand_forgotten_below;
         if (idle) this->total.weight -= entry.second.weight;
         return idle;
     });
-    this->forget_at = std::max<std::size_t>(64, 2 * this->demands.size());
+    this->cleanup_threshold = std::max<std::size_t>(64, 2 * this->demands.size());
 }
 
 bool fair_queue::heavy(const client_account_id& account, instant now) const
 {
     const auto row = this->demands.find(account);
     if (row == this->demands.end()) return false;
-    const double share = this->total.faded(now) * row->second.weight / this->total.weight;
-    return row->second.faded(now) > heavy_above * share;
+    const double share = this->total.decayed_amount(now) * row->second.weight / this->total.weight;
+    return row->second.decayed_amount(now) > heavy_above * share;
 }
 
 fair_queue::item_map::iterator fair_queue::find_light(instant now)
@@ -71,7 +72,7 @@
         this->items, [&](const auto& item) { return !this->heavy(item.second.account, now); });
 }
 
-waiting_attempt fair_queue::take_turn(item_map::iterator item)
+waiting_attempt fair_queue::take_in_turn(item_map::iterator item)
 {
     const double start = item->first.finish - item->second.cost / item->second.weight;
     this->virtual_time = std::max(this->virtual_time, start);
@@ -84,14 +85,14 @@
     const auto first = this->items.begin();
     const auto light = this->find_light(now);
     const bool in_turn = light != this->items.end() && light->first.urgency == first->first.urgency;
-    return this->take_turn(in_turn ? light : first);
+    return this->take_in_turn(in_turn ? light : first);
 }
 
 std::optional<waiting_attempt> fair_queue::pop_light(instant now)
 {
     const auto light = this->find_light(now);
     if (light == this->items.end()) return std::nullopt;
-    return this->take_turn(light);
+    return this->take_in_turn(light);
 }
 
 std::optional<waiting_attempt> fair_queue::pop_of(const client_account_id& account)
@@ -160,7 +161,8 @@
     this->items.erase(item);
     const auto row = this->flows.find(request.account);
     row->second.waiting_cost -= request.cost;
-    // A flow outlives its queue while it is ahead of virtual time; an idle queue starts anew.
+    // An empty flow is kept while its finish time is ahead of virtual time, so that its account
+    // does not gain by emptying its queue. An empty queue resets all flows.
     if (--row->second.count == 0 && row->second.last_finish <= this->virtual_time) {
         this->flows.erase(row);
     }
--- a/src/fair_queue.h
+++ b/src/fair_queue.h
@@ -1,16 +1,18 @@
 /** \file
- * The queue of one server's gate: fair between client accounts by weight, in order of priority,
- * bounded in length.
+ * The queue of one server's gate: bounded in length, ordered by priority, and fair between client
+ * accounts by weight.
  *
- * Accounts that lately asked for clearly more than their weighted share of all that was asked of
- * the server are heavy, and run only what the others leave. Since the others ask for no more than
- * their shares, heavy accounts still get theirs. What is asked tells a surge far better than what
- * was run: a surge that is held back runs little more than the others do. Fair queueing alone was
- * not enough: it lets a surge take all idle time, and an account within its share then queues
- * behind its own small bursts (docs/design/fairness.md has the figures). Within each group,
- * start-time fair queueing: each request gets a virtual finish time, its account's last one plus
- * cost over weight, and the lowest runs first. When the queue is full, the account with the most
- * waiting work loses its newest request, so a surge sheds its own.
+ * An account is heavy if its recent demand is clearly above its weighted share of all demand on the
+ * server. Heavy accounts only get capacity that the others leave unused. Since the others demand no
+ * more than their shares, heavy accounts still get theirs. Demand identifies a surge far better
+ * than executed work, since a throttled surge executes little more than other accounts do. Fair
+ * queueing alone was not enough: it lets a surge take all idle time, and an account within its
+ * share then queues behind its own small bursts (docs/design/fairness.md has the figures).
+ *
+ * Within the heavy accounts and within the others, requests run in the order of start-time fair
+ * queueing: each request gets a virtual finish time, its account's last one plus cost over weight,
+ * and the lowest runs first. When the queue is full, the account with the most waiting work per
+ * weight loses its newest request, so a surge sheds its own requests.
  */
 #pragma once
 
@@ -24,22 +26,22 @@
 
 namespace worksshift {
 
-/** A request that waits at a gate. */
+/** A request that is queued at a gate. */
 struct waiting_attempt {
     attempt_id id;
     client_account_id account;
     std::uint32_t cost = 1; ///< tokens
     double weight = 1;
     priority urgency = priority::interactive;
-    instant deadline{};
-    instant since{};
+    instant deadline{}; ///< latest start
+    instant since{};    ///< when it was queued
 };
 
-/** An account is heavy above this multiple of its share. */
+/** An account is heavy if its demand is above this multiple of its share. */
 constexpr double heavy_above = 1.5;
-/** Time in which past demand fades to 1/e. */
+/** Time constant with which past demand decays to 1/e. */
 constexpr duration demand_fades_in = seconds(20);
-/** Demand in tokens below which an account is forgotten. */
+/** Demand in tokens below which an account is no longer tracked. */
 constexpr double demand_forgotten_below = 1;
 
 class fair_queue {
@@ -48,25 +50,27 @@
 
     /** Adds a request. Returns the one that was shed for it, which may be the request itself. */
     std::optional<waiting_attempt> push(const waiting_attempt& request);
-    /** Takes the next request, interactive ones first. */
+    /** Removes and returns the next request, interactive ones first; std::nullopt if empty. */
     std::optional<waiting_attempt> pop(instant now);
-    /** Takes the next request of an account that is not heavy. */
+    /** Removes and returns the next request of an account that is not heavy; std::nullopt if none.
+     */
     std::optional<waiting_attempt> pop_light(instant now);
-    /** Records that \p account asked for a request to be run. */
+    /** Adds a request's cost, in tokens, to the demand of \p account. */
     void charge(const client_account_id& account, double weight, std::uint32_t cost, instant now);
     [[nodiscard]] bool heavy(const client_account_id& account, instant now) const;
-    /** Takes the next request of \p account, whatever its turn; for reserved capacity. */
+    /** Removes and returns the next request of \p account regardless of its turn, for reserved
+     * capacity; std::nullopt if there is none. */
     std::optional<waiting_attempt> pop_of(const client_account_id& account);
-    /** Takes out all requests whose deadline is not after \p now. */
+    /** Removes and returns all requests whose deadline is not after \p now. */
     std::vector<waiting_attempt> take_expired(instant now);
-    /** Takes out all requests. */
+    /** Removes and returns all requests. */
     std::vector<waiting_attempt> take_all();
     bool erase(const attempt_id& id);
 
     [[nodiscard]] std::size_t size() const { return this->items.size(); }
     [[nodiscard]] bool empty() const { return this->items.empty(); }
-    /** Work in tokens that would run before a new request of this account, weight and cost: the
-     * other accounts' queues count up to the same weighted amount as this account's own. */
+    /** Work in tokens that would run before a new request of this account, weight and cost. The
+     * queues of other accounts count up to the same amount per weight as this account's own. */
     [[nodiscard]] double cost_ahead(const client_account_id& account, double weight, double cost,
                                     instant now) const;
     [[nodiscard]] double total_cost() const;
@@ -84,27 +88,28 @@
         double weight = 1;
         std::size_t count = 0;
     };
-    /** What was asked for lately, in tokens, as of `at`. */
+    /** Recent demand in tokens, decayed up to `at`. */
     struct demand {
         double amount = 0;
         double weight = 1;
         instant at{};
 
-        [[nodiscard]] double faded(instant now) const;
+        /** The amount in tokens, decayed up to \p now. */
+        [[nodiscard]] double decayed_amount(instant now) const;
     };
     using item_map = std::map<order, waiting_attempt>;
 
     waiting_attempt take(item_map::iterator item);
-    waiting_attempt take_turn(item_map::iterator item);
+    waiting_attempt take_in_turn(item_map::iterator item);
     item_map::iterator find_light(instant now);
-    void forget_idle(instant now);
+    void remove_idle_demands(instant now);
 
     std::size_t capacity;
     item_map items;
     std::map<client_account_id, flow> flows;
     std::map<client_account_id, demand> demands;
-    demand total;               ///< of all accounts; its weight is the sum of theirs
-    std::size_t forget_at = 64; ///< number of accounts at which idle ones are looked for
+    demand total;                       ///< of all accounts; its weight is the sum of theirs
+    std::size_t cleanup_threshold = 64; ///< number of accounts at which idle ones are removed
     double virtual_time = 0;
     std::uint64_t arrivals = 0;
 };
