--- a/src/share_loads.cpp
+++ b/src/share_loads.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-/** The other VMs that gate a server of this service. */
+/** The other VMs that are the gate of a server of this service. */
 std::set<vm_id> other_gates(const tables& t, const service_row& service)
 {
     std::set<vm_id> vms;
--- a/src/share_loads.h
+++ b/src/share_loads.h
@@ -1,7 +1,7 @@
 /** \file
- * System: tells the gates of a service's other servers how loaded the servers are that this VM
- * gates. Only those gates decide on that service, so the traffic grows with the servers of a
- * service and not with the fleet.
+ * System: sends load summaries of the servers whose gate this VM is to the gates of the other
+ * servers of the same service. Only those gates place requests of that service, so the traffic
+ * grows with the number of servers of a service and not with the fleet.
  */
 #pragma once
 
@@ -11,11 +11,12 @@
 namespace worksshift {
 
 constexpr std::size_t loads_per_datagram = 12;
-/** Rounds are further apart the more receivers there are, so that a VM sends at most 30 a second:
- * about 5 KB/s of the 12 that it may spend on control. */
+/** Minimum interval between rounds per receiver, so that a VM sends at most 30 messages a second:
+ * about 5 KB/s of the 12 KB/s that it may use for control traffic. */
 constexpr duration load_pause_per_receiver = milliseconds(33);
 
-/** Sends the summaries that are due. \p next is when the next round is. */
+/** Sends the load summaries if a round is due. \p next is the time of the next round, and updated.
+ */
 void share_loads(const tables& t, membership& members, instant& next, const tick_time& time);
 
 } // namespace worksshift
