--- a/src/answer_relay.cpp
+++ b/src/answer_relay.cpp
@@ -68,7 +68,7 @@
             item.status, item.body,        item.version};
 }
 
-attempt_result answer_relay::break_off(row& item, const char* detail)
+attempt_result answer_relay::fail_attempt(row& item, const char* detail)
 {
     return finish(
         item, {item.attempt, item.next_sequence, outcome::unknown, "relay", item.vm.text, detail});
@@ -79,10 +79,10 @@
     row* item = this->find(head.id);
     if (item == nullptr) return std::nullopt;
     if (item->head_passed) {
-        // A resumed answer goes on under the head that the caller has.
+        // A resumed response continues under the head that the caller already has.
         const bool same = head.status == item->status && head.version == item->version;
         if (same) return std::nullopt;
-        return break_off(*item, "the resumed answer has another status or version");
+        return fail_attempt(*item, "the resumed answer has another status or version");
     }
     item->head_passed = true;
     item->status = head.status;
@@ -96,7 +96,7 @@
     row* item = this->find(data.id);
     if (item == nullptr) return std::nullopt;
     if (data.sequence != item->next_sequence || !item->head_passed) {
-        return break_off(*item, "a frame of the answer is missing");
+        return fail_attempt(*item, "a frame of the answer is missing");
     }
     ++item->next_sequence;
     if (item->stream) item->tokens_passed += count_tokens(data.bytes);
@@ -111,7 +111,7 @@
     if (item == nullptr) return std::nullopt;
     if (ended.result == outcome::done &&
         (ended.sequence != item->next_sequence || !item->head_passed)) {
-        return break_off(*item, "the end came before the whole answer");
+        return fail_attempt(*item, "the end came before the whole answer");
     }
     return finish(*item, ended);
 }
@@ -120,7 +120,7 @@
 {
     std::vector<attempt_result> results;
     for (auto& [request, item] : this->rows) {
-        if (item.vm == vm && !item.over) results.push_back(break_off(item, "the link broke"));
+        if (item.vm == vm && !item.over) results.push_back(fail_attempt(item, "the link broke"));
     }
     return results;
 }
