--- a/src/server_calls.cpp
+++ b/src/server_calls.cpp
@@ -12,13 +12,13 @@
 namespace {
 
 constexpr duration connect_timeout = seconds(2);
-constexpr std::size_t pooled_per_server = 64;
-constexpr duration pooled_at_most = seconds(20);
+constexpr std::size_t max_idle_connections_per_server = 64;
+constexpr duration max_connection_idle_time = seconds(20);
 constexpr int status_no_content = 204;
 constexpr int status_not_modified = 304;
-/** A server that refuses without having run anything says so with this header. */
+/** Response header by which a server states that it refused the request without executing it. */
 constexpr const char* not_run_header = "X-Not-Run";
-/** The version of its model that an engine is to run the request on. */
+/** Request header with the model version on which the engine must run the request. */
 constexpr const char* model_version_header = "X-Model-Version";
 
 evhttp_cmd_type parse_method(const std::string& method)
@@ -37,22 +37,22 @@
     server_calls* owner = nullptr;
     start_call order;
     event_ptr<evhttp_connection> connection;
-    evhttp_request* request = nullptr;  ///< owned by the connection
-    evbuffer_cb_entry* watch = nullptr; ///< on the connection's output
+    evhttp_request* request = nullptr;            ///< owned by the connection
+    evbuffer_cb_entry* output_callback = nullptr; ///< on the connection's output
     instant started{};
-    instant heard{};
-    bool bytes_handed = false; ///< something went to the connection's output
+    instant last_received{};    ///< when the last bytes came, or reading was resumed
+    bool bytes_written = false; ///< some bytes were written to the connection's output buffer
     bool head_sent = false;
-    bool refused = false; ///< the server's own statement that it ran nothing
+    bool refused = false; ///< the server stated that it did not execute the request
     bool stream = false;
     bool length_known = false;
-    bool end_seen = false;
+    bool end_marker_seen = false;
     bool paused = false;
     bool over = false;
     bool reusable = false;
     std::uint32_t sequence = 0;
     std::uint32_t window = data_window;
-    std::string pending; ///< read, but not whole events yet, or beyond the window
+    std::string pending; ///< read but not sent: incomplete events, or data beyond the window
 };
 
 server_calls::server_calls(event_base* base, duration idle_timeout)
@@ -62,14 +62,15 @@
 
 server_calls::~server_calls()
 {
-    // A request that is still on its connection ends with it; its callbacks must not run any more.
+    // A request that is still on its connection is freed with it, and its callbacks must do
+    // nothing.
     for (auto& [id, item] : this->calls)
         item->over = true;
 }
 
-event_ptr<evhttp_connection> server_calls::take_connection(const server_config& server)
+event_ptr<evhttp_connection> server_calls::get_connection(const server_config& server)
 {
-    std::vector<pooled>& pool = this->idle[server.id];
+    std::vector<pooled_connection>& pool = this->idle[server.id];
     if (!pool.empty()) {
         event_ptr<evhttp_connection> connection = std::move(pool.back().connection);
         pool.pop_back();
@@ -109,45 +110,45 @@
     item->owner = this;
     item->order = order;
     item->started = started;
-    item->heard = started;
-    item->connection = this->take_connection(order.server);
+    item->last_received = started;
+    item->connection = this->get_connection(order.server);
 
     const auto done = [](evhttp_request* answer, void* context) {
         auto* ended = static_cast<call*>(context);
         ended->request = nullptr;
-        ended->owner->take_end(*ended, answer);
+        ended->owner->handle_end(*ended, answer);
     };
     const auto head = [](evhttp_request* answer, void* context) {
         auto* target = static_cast<call*>(context);
-        if (!target->over) target->owner->take_head(*target, answer);
+        if (!target->over) target->owner->handle_head(*target, answer);
         return 0;
     };
     const auto data = [](evhttp_request* answer, void* context) {
         auto* target = static_cast<call*>(context);
-        if (!target->over) target->owner->take_data(*target, answer);
+        if (!target->over) target->owner->handle_data(*target, answer);
     };
     const auto handed = [](evbuffer*, const evbuffer_cb_info* info, void* context) {
-        if (info->n_added > 0) static_cast<call*>(context)->bytes_handed = true;
+        if (info->n_added > 0) static_cast<call*>(context)->bytes_written = true;
     };
     item->request = evhttp_request_new(done, item);
     evhttp_request_set_header_cb(item->request, head);
     evhttp_request_set_chunked_cb(item->request, data);
     bufferevent* socket = evhttp_connection_get_bufferevent(item->connection.get());
-    item->watch = evbuffer_add_cb(bufferevent_get_output(socket), handed, item);
+    item->output_callback = evbuffer_add_cb(bufferevent_get_output(socket), handed, item);
     this->write_request(*item, item->request);
     const open_attempt& open = *order.request;
     if (evhttp_make_request(item->connection.get(), item->request, parse_method(open.method),
                             open.path.c_str()) != 0) {
         item->request = nullptr;
-        this->take_end(*item, nullptr);
+        this->handle_end(*item, nullptr);
     }
 }
 
-void server_calls::take_head(call& item, evhttp_request* answer)
+void server_calls::handle_head(call& item, evhttp_request* answer)
 {
     const int status = evhttp_request_get_response_code(answer);
     const evkeyvalq* headers = evhttp_request_get_input_headers(answer);
-    item.heard = this->now;
+    item.last_received = this->now;
     if (evhttp_find_header(headers, not_run_header) != nullptr) {
         item.refused = true;
         return;
@@ -170,16 +171,17 @@
     this->on_frame.emit(item.order.entry, std::move(message));
 }
 
-void server_calls::take_data(call& item, evhttp_request* answer)
+void server_calls::handle_data(call& item, evhttp_request* answer)
 {
-    item.heard = std::chrono::steady_clock::now();
+    item.last_received = std::chrono::steady_clock::now();
     if (item.refused) return;
     evbuffer* input = evhttp_request_get_input_buffer(answer);
     item.pending += read_all(input);
     this->flush(item);
 }
 
-/** Sends what the window allows: whole events of a stream, any bytes of another answer. */
+/** Sends as much as the window allows: complete events of a stream, any bytes of other responses.
+ */
 void server_calls::flush(call& item)
 {
     while (!item.pending.empty() && item.window > 0) {
@@ -199,7 +201,7 @@
         message.sequence = item.sequence++;
         message.bytes = item.pending.substr(0, length);
         item.pending.erase(0, length);
-        if (item.stream) item.end_seen = message.bytes.ends_with(stream_end);
+        if (item.stream) item.end_marker_seen = message.bytes.ends_with(stream_end);
         item.window -= std::min<std::uint32_t>(item.window, static_cast<std::uint32_t>(length));
         this->on_frame.emit(item.order.entry, std::move(message));
     }
@@ -210,18 +212,18 @@
         if (pause) {
             bufferevent_disable(socket, EV_READ);
         } else {
-            item.heard = std::chrono::steady_clock::now();
+            item.last_received = std::chrono::steady_clock::now();
             bufferevent_enable(socket, EV_READ);
         }
     }
 }
 
-void server_calls::take_end(call& item, evhttp_request* answer)
+void server_calls::handle_end(call& item, evhttp_request* answer)
 {
     if (item.over) return;
     const bool answered = answer != nullptr && evhttp_request_get_response_code(answer) != 0;
     if (!answered) {
-        const bool sent = item.bytes_handed;
+        const bool sent = item.bytes_written;
         this->end(item, sent ? outcome::unknown : outcome::not_run, true, sent ? "read" : "connect",
                   sent ? "the server closed the connection" : "no connection to the server");
         return;
@@ -231,7 +233,7 @@
         this->end(item, outcome::not_run, false, "server", "the server refused it unrun");
         return;
     }
-    // What is beyond the window is sent all the same: it is read already.
+    // Data beyond the window is sent as well, since it was already read.
     item.window =
         std::max<std::uint32_t>(item.window, static_cast<std::uint32_t>(item.pending.size() + 1));
     this->flush(item);
@@ -239,7 +241,7 @@
         this->end(item, outcome::unknown, true, "read", "the answer has no length");
         return;
     }
-    if (item.stream && (!item.end_seen || !item.pending.empty())) {
+    if (item.stream && (!item.end_marker_seen || !item.pending.empty())) {
         this->end(item, outcome::unknown, true, "read", "the stream has no end marker");
         return;
     }
@@ -268,7 +270,7 @@
     if (found == this->calls.end()) return;
     call& item = *found->second;
     item.over = true;
-    const bool sent = item.bytes_handed;
+    const bool sent = item.bytes_written;
     this->on_ended.emit({id, sent ? outcome::unknown : outcome::not_run, false, "cancel", ""});
     this->finished.push_back(std::move(found->second));
     this->calls.erase(found);
@@ -286,30 +288,31 @@
 void server_calls::sweep(instant time)
 {
     this->now = time;
-    std::vector<call*> late;
+    std::vector<call*> timed_out;
     for (auto& [id, item] : this->calls) {
-        const bool unconnected = !item->bytes_handed && time - item->started > connect_timeout;
-        const bool silent =
-            item->bytes_handed && !item->paused && time - item->heard > this->idle_timeout;
-        if (unconnected || silent) late.push_back(item.get());
+        const bool unconnected = !item->bytes_written && time - item->started > connect_timeout;
+        const bool unresponsive =
+            item->bytes_written && !item->paused && time - item->last_received > this->idle_timeout;
+        if (unconnected || unresponsive) timed_out.push_back(item.get());
     }
-    for (call* item : late) {
-        const bool sent = item->bytes_handed;
+    for (call* item : timed_out) {
+        const bool sent = item->bytes_written;
         this->end(*item, sent ? outcome::unknown : outcome::not_run, true,
                   sent ? "read" : "connect", sent ? "the server is silent" : "no connection");
     }
     for (std::unique_ptr<call>& item : this->finished) {
         bufferevent* socket = evhttp_connection_get_bufferevent(item->connection.get());
-        evbuffer_remove_cb_entry(bufferevent_get_output(socket), item->watch);
-        std::vector<pooled>& pool = this->idle[item->order.server.id];
-        if (item->reusable && pool.size() < pooled_per_server) {
+        evbuffer_remove_cb_entry(bufferevent_get_output(socket), item->output_callback);
+        std::vector<pooled_connection>& pool = this->idle[item->order.server.id];
+        if (item->reusable && pool.size() < max_idle_connections_per_server) {
             pool.push_back({std::move(item->connection), time});
         }
     }
     this->finished.clear();
     for (auto& [server, pool] : this->idle) {
-        std::erase_if(pool,
-                      [&](const pooled& entry) { return time - entry.since > pooled_at_most; });
+        std::erase_if(pool, [&](const pooled_connection& entry) {
+            return time - entry.idle_since > max_connection_idle_time;
+        });
     }
 }
 
--- a/src/server_calls.h
+++ b/src/server_calls.h
@@ -1,11 +1,12 @@
 /** \file
- * The gate's data path: calls of servers, by evhttp, whose answers go to the entry as frames.
+ * The data path of the gate: calls servers through evhttp and sends their responses to the entry VM
+ * as frames.
  *
- * Whether a request can have reached the server is decided by whether a byte was handed to the
- * connection's output, so a failure before that is a proof of `not_run`. An answer is whole when
- * its announced length or its last chunk was read, and for a stream when the end marker was.
- * Reading stops while the entry's window is full, so a slow caller slows the server and not this
- * VM.
+ * A request may have reached the server once a byte of it was written to the connection's output
+ * buffer; a failure before that proves `not_run`. A response is complete when its Content-Length or
+ * its final chunk was read, and for a stream when its end marker was read. Reading pauses while the
+ * entry's flow-control window is full, so a slow caller slows down the server and does not fill the
+ * memory of this VM.
  */
 #pragma once
 
@@ -37,37 +38,37 @@
     void start(const start_call& order, instant now);
     void cancel(const attempt_id& id);
     void credit(const data_credit& credit);
-    /** Ends calls that got no connection or no byte in time, and frees what is over. */
+    /** Ends calls that got no connection or no byte in time, and frees ended calls. */
     void sweep(instant now);
 
     [[nodiscard]] std::size_t size() const { return this->calls.size(); }
 
-    /** A frame for the entry. */
+    /** A frame for the entry VM. */
     sigc::signal<void(const vm_id&, link_message)> on_frame;
     sigc::signal<void(call_ended)> on_ended;
 
 private:
     struct call;
-    struct pooled {
+    struct pooled_connection {
         event_ptr<evhttp_connection> connection;
-        instant since{};
+        instant idle_since{}; ///< when it became idle
     };
 
-    event_ptr<evhttp_connection> take_connection(const server_config& server);
+    event_ptr<evhttp_connection> get_connection(const server_config& server);
     void write_request(call& item, evhttp_request* request) const;
     void end(call& item, outcome result, bool server_fault, const char* step,
              const std::string& detail);
-    void take_head(call& item, evhttp_request* answer);
-    void take_data(call& item, evhttp_request* answer);
+    void handle_head(call& item, evhttp_request* answer);
+    void handle_data(call& item, evhttp_request* answer);
     void flush(call& item);
-    void take_end(call& item, evhttp_request* answer);
+    void handle_end(call& item, evhttp_request* answer);
 
     event_base* base;
     duration idle_timeout;
     instant now{};
     std::unordered_map<attempt_id, std::unique_ptr<call>> calls;
     std::vector<std::unique_ptr<call>> finished; ///< freed in the next sweep
-    std::unordered_map<server_id, std::vector<pooled>> idle;
+    std::unordered_map<server_id, std::vector<pooled_connection>> idle;
 };
 
 } // namespace worksshift
