--- a/src/placement.cpp
+++ b/src/placement.cpp
@@ -10,12 +10,12 @@
 
 namespace {
 
-bool usable(const server_row& server)
+bool accepts_requests(const server_row& server)
 {
     return server.load.accepting && !server.config.draining;
 }
 
-bool has_place(const server_row& server, bool heavy)
+bool has_free_slot(const server_row& server, bool heavy)
 {
     const std::uint32_t limit = server.config.limit;
     return server.load.running < limit - (heavy ? spare_places(limit) : 0);
@@ -97,7 +97,7 @@
     std::uint64_t best_weight = 0;
     for (std::size_t i = 0; i < service.servers.size(); ++i) {
         const server_id& id = service.servers[i];
-        if (!usable(t.servers.at(id)) || contains(without, id)) continue;
+        if (!accepts_requests(t.servers.at(id)) || contains(without, id)) continue;
         const std::uint64_t weight = rendezvous_weight(key, service.hashes[i]);
         if (best.empty() || weight > best_weight) {
             best = id;
@@ -114,7 +114,7 @@
     for (const server_id& id : service.servers) {
         const server_row& server = t.servers.at(id);
         total += static_cast<double>(server.load.cost);
-        if (usable(server)) ++count;
+        if (accepts_requests(server)) ++count;
     }
     return total / static_cast<double>(std::max<std::size_t>(1, count));
 }
@@ -129,12 +129,12 @@
 std::optional<server_id> find_alternate(tables& t, const service_row& service, std::uint32_t cost,
                                         std::span<const server_id> without, bool heavy)
 {
-    const double most = service.config.bound * mean_load(t, service, cost);
+    const double max_load = service.config.bound * mean_load(t, service, cost);
     std::vector<const server_row*> candidates;
     for (const server_id& id : service.servers) {
         const server_row& server = t.servers.at(id);
-        const bool fits = usable(server) && has_place(server, heavy) &&
-                          static_cast<double>(server.load.cost) < most;
+        const bool fits = accepts_requests(server) && has_free_slot(server, heavy) &&
+                          static_cast<double>(server.load.cost) < max_load;
         if (fits && !contains(without, id)) candidates.push_back(&server);
     }
     std::vector<const server_row*> drawn;
@@ -151,8 +151,8 @@
     const server_row* least = nullptr;
     for (const server_id& id : service.servers) {
         const server_row& server = t.servers.at(id);
-        if (!usable(server) || contains(without, id)) continue;
-        if (!has_place(server, heavy)) continue;
+        if (!accepts_requests(server) || contains(without, id)) continue;
+        if (!has_free_slot(server, heavy)) continue;
         if (least == nullptr || server.load.cost < least->load.cost) least = &server;
     }
     if (least == nullptr) return std::nullopt;
--- a/src/placement.h
+++ b/src/placement.h
@@ -1,9 +1,9 @@
 /** \file
- * Which server a request should go to: the chat's home, the mean load, and the server to try
- * instead of one that is above its bound.
+ * Selects the server for a request: the home server of a chat, or another one if that is above its
+ * load bound, which is a multiple of the mean load.
  *
- * Load is counted in tokens of work in flight: the prompt tokens at `prefill_weight`, since a batch
- * computes them far faster than it generates, plus the tokens of the answer.
+ * Load is measured in tokens of work in flight: prompt tokens weighted with `prefill_weight`, since
+ * a batch prefills them far faster than it generates tokens, plus the tokens of the response.
  */
 #pragma once
 
@@ -16,27 +16,31 @@
 namespace worksshift {
 
 constexpr double prefill_weight = 0.1;
-constexpr std::uint32_t default_answer_tokens = 256; ///< when the request does not say
-constexpr std::uint32_t plain_cost = 100;            ///< of a call of a plain service
-constexpr std::size_t characters_per_token = 4;      ///< to estimate a prompt's tokens
+constexpr std::uint32_t default_answer_tokens = 256; ///< if the request sets no max_tokens
+constexpr std::uint32_t plain_cost = 100;       ///< tokens of work, of a call of a plain service
+constexpr std::size_t characters_per_token = 4; ///< to estimate a prompt's tokens
 
 /** The load of a chat request in tokens of work. */
 std::uint32_t chat_cost(std::size_t prompt_characters, std::uint32_t answer_tokens);
 
-/** Builds the rows of a configuration; keeps the load of servers that stay. */
+/** Builds the tables of a configuration; servers and services that remain keep their state. */
 void load_config(tables& t, std::shared_ptr<const fleet_config> config, std::uint64_t unix_s);
 
-/** Sorts each service's servers into mature and ramping ones anew. */
+/** Updates which servers of each service are mature: neither ramping up after they were added, nor
+ * draining. */
 void refresh_ramps(tables& t, std::uint64_t unix_s);
 
-/** The chat's home server: the first in rank among the mature ones. Empty without servers. */
+/** The chat's home server: the first in rendezvous rank among the mature ones, or among all if none
+ * is mature. Empty if the service has no servers. */
 server_id home_server(const service_row& service, chat_key chat);
 
-/** The first in rank among all servers for which \p usable holds; empty if there is none. */
+/** The first in rank among the servers that accept requests and are not in \p without; empty if
+ * there is none. */
 server_id first_ranked(const tables& t, const service_row& service, std::uint64_t key,
                        std::span<const server_id> without);
 
-/** The mean load of the service's servers in tokens, counting \p extra as running too. */
+/** The mean load in tokens of the service's accepting servers, with \p extra tokens added to the
+ * total. */
 double mean_load(const tables& t, const service_row& service, double extra);
 
 /** Whether one more request keeps the server within its bound: its load, before the request is
@@ -45,28 +49,29 @@
 bool below_bound(const tables& t, const service_row& service, const server_row& server,
                  std::uint32_t cost);
 
-/** Places of a server that heavy accounts (fair_queue.h) leave free, so that others find one at
- * once during a surge. */
+/** Slots of a server that heavy accounts (fair_queue.h) leave free, so that requests of others
+ * start at once during a surge. */
 constexpr std::uint32_t spare_places(std::uint32_t limit)
 {
-    constexpr std::uint32_t one_in = 16;
-    return (limit + one_in - 1) / one_in;
+    constexpr std::uint32_t slots_per_spare = 16;
+    return (limit + slots_per_spare - 1) / slots_per_spare;
 }
 
-/** A server below its bound and limit, the less loaded of two drawn at random, or none. For a heavy
- * account the limit leaves the spare places out. */
+/** The less loaded of two random servers below their bound and limit; std::nullopt if there is
+ * none. For a heavy account the limit excludes the spare slots. */
 std::optional<server_id> find_alternate(tables& t, const service_row& service, std::uint32_t cost,
                                         std::span<const server_id> without, bool heavy);
 
-/** The least loaded server that accepts work and is below its limit, whatever the bound. */
+/** The least loaded server that accepts requests and is below its limit, regardless of the bound;
+ * std::nullopt if there is none. */
 std::optional<server_id> find_least_loaded(const tables& t, const service_row& service,
                                            std::span<const server_id> without, bool heavy);
 
-/** Counts a request as running at a server that another VM gates, until its next load summary
- * comes. Without it all gates would pick the same idle server in between. */
+/** Counts a request as running at a server with another gate until that gate's next load summary
+ * arrives. Without this, all gates would pick the same idle server in between. */
 void count_ahead(server_row& server, std::uint32_t cost);
 
-/** The gate of a server in this VM's view; empty if no VM can be. */
+/** The gate of a server in this VM's membership view; empty if there is none. */
 vm_id gate_of(const server_row& server);
 
 } // namespace worksshift
