--- a/src/chat_directory.cpp
+++ b/src/chat_directory.cpp
@@ -7,7 +7,7 @@
 {
     const key name{service.hash(), chat};
     if (const auto found = this->index.find(name); found != this->index.end()) {
-        // A record that was handed over late must not replace a newer one.
+        // A record that another VM sent late must not replace a newer one.
         if (found->second->used > at) return;
         this->by_use.erase(found->second);
         this->index.erase(found);
--- a/src/chat_directory.h
+++ b/src/chat_directory.h
@@ -1,8 +1,8 @@
 /** \file
- * Where each chat's prompt cache is, kept by the gate of the chat's home server.
+ * The server that holds each chat's prompt cache. The gate of the chat's home server stores it.
  *
- * Bounded in entries and in age; the least recently used goes first. An entry is a hint: when it is
- * lost, the chat goes to its home server and at worst is computed anew once.
+ * Bounded in entries and age, with eviction of the least recently used. An entry is a hint: if it
+ * is lost, the chat goes to its home server, and at worst its prompt is prefilled once more.
  */
 #pragma once
 
@@ -21,17 +21,19 @@
 public:
     chat_directory(std::size_t capacity, duration max_age) : capacity(capacity), max_age(max_age) {}
 
-    /** Records that the chat's newest turn went to \p server at \p at. */
+    /** Records that a turn of the chat went to \p server at \p at, unless a later one is recorded.
+     */
     void record(const service_id& service, chat_key chat, const server_id& server, instant at);
-    /** The server of the chat's newest turn, if it is still remembered. */
+    /** The server of the chat's latest turn; std::nullopt if there is no entry below the maximum
+     * age. */
     [[nodiscard]] std::optional<server_id> find(const service_id& service, chat_key chat,
                                                 instant now) const;
     void forget(const service_id& service, chat_key chat);
-    /** Drops entries past their age. */
+    /** Removes entries above the maximum age. */
     void expire(instant now);
     [[nodiscard]] std::size_t size() const { return this->index.size(); }
 
-    /** Takes out the entries for which \p moved holds; they are another VM's now. */
+    /** Removes and returns the entries for which \p moved holds, to be sent to another VM. */
     template <class Predicate>
     std::vector<chat_record> extract_if(Predicate moved, instant now);
 
