--- a/src/breaker.h
+++ b/src/breaker.h
@@ -1,6 +1,7 @@
 /** \file
- * Circuit breaker of one server, driven by outcomes. It opens after consecutive failures, for a
- * time that doubles up to a limit, and then lets one request through as a trial.
+ * Circuit breaker of one server, driven by the outcomes of its calls. It opens after consecutive
+ * failures for a time that doubles up to a maximum, then is half open: one trial request is
+ * allowed, whose outcome closes the breaker or opens it again.
  */
 #pragma once
 
@@ -19,37 +20,39 @@
     /** Whether a request may be sent now. While half open, only one at a time. */
     [[nodiscard]] bool allows(instant now) const
     {
-        return !this->open || (now >= this->until && !this->trial);
+        return !this->open || (now >= this->open_until && !this->trial_in_flight);
     }
 
     void on_sent(instant now)
     {
-        if (this->open && now >= this->until) this->trial = true;
+        if (this->open && now >= this->open_until) this->trial_in_flight = true;
     }
 
     void on_success() { *this = breaker{}; }
 
-    /** \p may_open is false while too many servers of the service are ejected already. */
+    /** \p may_open: false while too many servers of the service are already ejected. */
     void on_failure(instant now, bool may_open)
     {
         ++this->failures;
-        if (this->trial || (!this->open && this->failures >= failures_to_open && may_open)) {
+        if (this->trial_in_flight ||
+            (!this->open && this->failures >= failures_to_open && may_open)) {
             this->open = true;
-            this->until = now + this->pause;
-            this->pause = std::min(this->pause * 2, longest_pause);
+            this->open_until = now + this->next_pause;
+            this->next_pause = std::min(this->next_pause * 2, longest_pause);
         }
-        this->trial = false;
+        this->trial_in_flight = false;
     }
 
-    /** The trial ended without saying anything about the server, as when its caller went away. */
-    void on_neutral() { this->trial = false; }
+    /** A request ended without evidence about the server, for instance because its caller
+     * disconnected; another trial is allowed. */
+    void on_neutral() { this->trial_in_flight = false; }
 
 private:
     bool open = false;
-    bool trial = false;
+    bool trial_in_flight = false;
     int failures = 0;
-    instant until{};
-    duration pause = first_pause;
+    instant open_until{}; ///< when the breaker becomes half open
+    duration next_pause = first_pause;
 };
 
 } // namespace worksshift
