--- a/src/home.h
+++ b/src/home.h
@@ -1,6 +1,6 @@
 /** \file
- * The home of a key: the one live VM that keeps what belongs to it, such as a bucket of claims or a
- * client account's budget. All VMs with the same view of the members name the same home.
+ * The home of a key: the one live VM that stores the state of the key, such as a bucket of claims
+ * or a client account's budget. All VMs with the same membership view select the same home.
  */
 #pragma once
 
@@ -9,7 +9,7 @@
 
 namespace worksshift {
 
-/** The live VM that is first in rank for the key; this VM when it knows of none. */
+/** The live VM that ranks first for the key by rendezvous hash; this VM if no live VM is known. */
 inline vm_id home_of(const tables& t, std::uint64_t key)
 {
     return t.homes.empty() ? t.self : t.homes[rendezvous_first(key, t.home_hashes)];
