--- a/src/chat_directory.h
+++ b/src/chat_directory.h
@@ -1,5 +1,6 @@
 /** \file
- * The server that holds each chat's prompt cache. The gate of the chat's home server stores it.
+ * Maps each chat to the server that holds its prompt cache. Entries are stored by the gate of the
+ * chat's home server.
  *
  * Bounded in entries and age, with eviction of the least recently used. An entry is a hint: if it
  * is lost, the chat goes to its home server, and at worst its prompt is prefilled once more.
--- a/src/placement.h
+++ b/src/placement.h
@@ -23,7 +23,8 @@
 /** The load of a chat request in tokens of work. */
 std::uint32_t chat_cost(std::size_t prompt_characters, std::uint32_t answer_tokens);
 
-/** Builds the tables of a configuration; servers and services that remain keep their state. */
+/** Builds the tables of a configuration. Servers that remain keep their load, and services their
+ * retry budget. */
 void load_config(tables& t, std::shared_ptr<const fleet_config> config, std::uint64_t unix_s);
 
 /** Updates which servers of each service are mature: neither ramping up after they were added, nor
@@ -39,8 +40,8 @@
 server_id first_ranked(const tables& t, const service_row& service, std::uint64_t key,
                        std::span<const server_id> without);
 
-/** The mean load in tokens of the service's accepting servers, with \p extra tokens added to the
- * total. */
+/** The load of all servers of the service plus \p extra, in tokens, divided by the number of
+ * servers that accept requests. */
 double mean_load(const tables& t, const service_row& service, double extra);
 
 /** Whether one more request keeps the server within its bound: its load, before the request is
