--- a/src/account_quota.cpp
+++ b/src/account_quota.cpp
@@ -10,16 +10,16 @@
 namespace {
 
 constexpr double seconds_per_minute = 60;
-constexpr duration resend_after = milliseconds(150);
-constexpr std::uint32_t sends_at_most = 2;
-constexpr duration idle_after = seconds(60);
-constexpr double ahead_s = 0.5; ///< of the entry's own recent use
-constexpr double recent_smoothing_s = 2;
-constexpr double shortest_retry_after_ms = 200;
-constexpr double longest_retry_after_ms = 60'000;
+constexpr duration resend_interval = milliseconds(150);
+constexpr std::uint32_t max_sends = 2;
+constexpr duration idle_retention = seconds(60);
+constexpr double prefetch_s = 0.5; ///< prefetch, of this entry VM's recent use
+constexpr double use_smoothing_s = 2;
+constexpr double min_retry_after_ms = 200;
+constexpr double max_retry_after_ms = 60'000;
 constexpr std::uint32_t own_share_retry_after_ms = 1000;
 
-double rate_of(const tables& t, const client_account_id& id)
+double tokens_per_second_of(const tables& t, const client_account_id& id)
 {
     const account_config* account = t.config->accounts.find(id);
     if (account == nullptr) return 0;
@@ -31,60 +31,63 @@
     return std::chrono::duration<double>(span).count();
 }
 
-void note_use(quota_balance& balance, std::uint64_t tokens, instant now)
+void record_use(quota_balance& balance, std::uint64_t tokens, instant now)
 {
     const double passed = seconds_of(now - balance.used_at);
-    balance.recent = balance.recent * std::exp(-passed / recent_smoothing_s) +
-                     static_cast<double>(tokens) / recent_smoothing_s;
+    balance.recent = balance.recent * std::exp(-passed / use_smoothing_s) +
+                     static_cast<double>(tokens) / use_smoothing_s;
     balance.used_at = now;
 }
 
-std::uint64_t cost_of(const tables& t, std::uint64_t request)
+std::uint64_t cost_of_request(const tables& t, std::uint64_t request)
 {
     const auto row = t.requests.find(request);
     return row == t.requests.end() ? 0 : row->second.cost;
 }
 
-void send_ask(tables& t, const client_account_id& account, quota_balance& balance, instant now)
+void send_quota_request(tables& t, const client_account_id& account, quota_balance& balance,
+                        instant now)
 {
     balance.asked_at = now;
     ++balance.sends;
-    const std::uint64_t least = balance.waiting.empty() ? 1 : cost_of(t, balance.waiting.front());
+    const std::uint64_t least =
+        balance.waiting.empty() ? 1 : cost_of_request(t, balance.waiting.front());
     t.send(home_of(t, account.hash()),
            quota_request{account, balance.number, balance.asked_tokens, least});
 }
 
-/** Asks for all that waits, and ahead for what is likely to come before the next ask. */
-void ask(tables& t, const client_account_id& account, quota_balance& balance, instant now)
+/** Requests the cost of all waiting requests, and prefetches for those expected before the next
+ * quota request. */
+void request_quota(tables& t, const client_account_id& account, quota_balance& balance, instant now)
 {
     if (balance.asked) return;
-    std::uint64_t wanted = static_cast<std::uint64_t>(balance.recent * ahead_s);
+    std::uint64_t wanted = static_cast<std::uint64_t>(balance.recent * prefetch_s);
     for (const std::uint64_t request : balance.waiting)
-        wanted += cost_of(t, request);
+        wanted += cost_of_request(t, request);
     balance.asked = true;
     balance.asked_tokens = std::max<std::uint64_t>(1, wanted);
     balance.sends = 0;
     ++balance.number;
-    send_ask(t, account, balance, now);
+    send_quota_request(t, account, balance, now);
 }
 
-void pay(quota_balance& balance, request_row& request, instant now)
+void pay_request(quota_balance& balance, request_row& request, instant now)
 {
     balance.tokens -= request.cost;
     request.quota_paid = request.cost;
-    note_use(balance, request.cost, now);
+    record_use(balance, request.cost, now);
 }
 
-/** Lets requests go on in order, as far as the balance reaches. */
+/** Pays waiting requests in order, as far as the balance allows. */
 void pay_waiting(tables& t, quota_balance& balance, instant now, quota_outcome& outcome)
 {
     while (!balance.waiting.empty()) {
         const auto row = t.requests.find(balance.waiting.front());
-        const bool gone = row == t.requests.end();
-        if (!gone && balance.tokens < row->second.cost) return;
+        const bool ended = row == t.requests.end();
+        if (!ended && balance.tokens < row->second.cost) return;
         balance.waiting.erase(balance.waiting.begin());
-        if (gone) continue;
-        pay(balance, row->second, now);
+        if (ended) continue;
+        pay_request(balance, row->second, now);
         outcome.paid.push_back(row->first);
     }
 }
@@ -97,7 +100,7 @@
     }
 }
 
-void take_reply(tables& t, const quota_reply& reply, instant now, quota_outcome& outcome)
+void handle_reply(tables& t, const quota_reply& reply, instant now, quota_outcome& outcome)
 {
     const auto found = t.quotas.balances.find(reply.account);
     if (found == t.quotas.balances.end()) return;
@@ -110,11 +113,13 @@
     if (reply.tokens < balance.asked_tokens) {
         refuse_waiting(t, balance, reply.retry_after_ms, outcome);
     } else {
-        ask(t, reply.account, balance, now); // more came since the ask was sent
+        request_quota(t, reply.account, balance,
+                      now); // more arrived after the quota request was sent
     }
 }
 
-/** No home answers: this entry's even share of the rate since it last went on alone. */
+/** The home does not reply: grants an even share of the rate, for the time since the last such
+ * grant but at most `quota_burst_s`. */
 void grant_own_share(tables& t, const client_account_id& account, quota_balance& balance,
                      instant now, quota_outcome& outcome)
 {
@@ -122,18 +127,20 @@
     const double entries = std::max<double>(1, static_cast<double>(t.homes.size()));
     const double passed = std::min(quota_burst_s, seconds_of(now - balance.own_share_at));
     balance.own_share_at = now;
-    balance.tokens += static_cast<std::uint64_t>(rate_of(t, account) / entries * passed);
+    balance.tokens +=
+        static_cast<std::uint64_t>(tokens_per_second_of(t, account) / entries * passed);
     pay_waiting(t, balance, now, outcome);
     refuse_waiting(t, balance, own_share_retry_after_ms, outcome);
 }
 
 void fill(quota_bucket& bucket, double rate, instant now)
 {
-    const double most = rate * quota_burst_s;
+    const double capacity = rate * quota_burst_s;
     if (bucket.filled_at == instant{}) {
-        bucket.tokens = most;
+        bucket.tokens = capacity;
     } else {
-        bucket.tokens = std::min(most, bucket.tokens + rate * seconds_of(now - bucket.filled_at));
+        bucket.tokens =
+            std::min(capacity, bucket.tokens + rate * seconds_of(now - bucket.filled_at));
     }
     bucket.filled_at = now;
 }
@@ -142,15 +149,15 @@
 {
     quota_reply reply{request.account, request.number, 0, 0};
     if (bucket.tokens > 0) {
-        const auto whole = static_cast<std::uint64_t>(bucket.tokens);
-        reply.tokens =
-            std::min(request.tokens, std::max(whole, std::max<std::uint64_t>(1, request.least)));
+        const auto whole_tokens = static_cast<std::uint64_t>(bucket.tokens);
+        reply.tokens = std::min(request.tokens,
+                                std::max(whole_tokens, std::max<std::uint64_t>(1, request.least)));
         bucket.tokens -= static_cast<double>(reply.tokens);
     }
     const double wait_ms =
-        rate <= 0 ? longest_retry_after_ms : 1000 * (1 - std::min(0.0, bucket.tokens)) / rate;
-    reply.retry_after_ms = static_cast<std::uint32_t>(
-        std::clamp(wait_ms, shortest_retry_after_ms, longest_retry_after_ms));
+        rate <= 0 ? max_retry_after_ms : 1000 * (1 - std::min(0.0, bucket.tokens)) / rate;
+    reply.retry_after_ms =
+        static_cast<std::uint32_t>(std::clamp(wait_ms, min_retry_after_ms, max_retry_after_ms));
     return reply;
 }
 
@@ -162,13 +169,13 @@
     quota_balance& balance = t.quotas.balances[request.account];
     if (balance.used_at == instant{}) balance.used_at = now;
     if (balance.waiting.empty() && balance.tokens >= request.cost) {
-        pay(balance, request, now);
-        const auto low = static_cast<std::uint64_t>(balance.recent * ahead_s / 2);
-        if (balance.tokens < low) ask(t, request.account, balance, now);
+        pay_request(balance, request, now);
+        const auto low = static_cast<std::uint64_t>(balance.recent * prefetch_s / 2);
+        if (balance.tokens < low) request_quota(t, request.account, balance, now);
         return quota_state::paid;
     }
     balance.waiting.push_back(request.id);
-    ask(t, request.account, balance, now);
+    request_quota(t, request.account, balance, now);
     return quota_state::waits;
 }
 
@@ -182,14 +189,14 @@
 void grant_quotas(tables& t, const tick_time& time)
 {
     for (const auto& [from, request] : std::exchange(t.in.quota_requests, {})) {
-        const double rate = rate_of(t, request.account);
+        const double rate = tokens_per_second_of(t, request.account);
         quota_bucket& bucket = t.quotas.buckets[request.account];
         fill(bucket, rate, time.now);
         t.send(from, grant(bucket, request, rate));
     }
-    // A bucket that nobody asked for is full by then, as a new one would be.
+    // An unused bucket is full after this time, as a new one would be.
     std::erase_if(t.quotas.buckets, [&](const auto& entry) {
-        return entry.second.tokens >= 0 && time.now - entry.second.filled_at > idle_after;
+        return entry.second.tokens >= 0 && time.now - entry.second.filled_at > idle_retention;
     });
 }
 
@@ -197,18 +204,18 @@
 {
     quota_outcome outcome;
     for (const auto& [from, reply] : std::exchange(t.in.quota_replies, {})) {
-        take_reply(t, reply, time.now, outcome);
+        handle_reply(t, reply, time.now, outcome);
     }
     for (auto& [account, balance] : t.quotas.balances) {
-        if (!balance.asked || time.now - balance.asked_at < resend_after) continue;
-        if (balance.sends < sends_at_most) {
-            send_ask(t, account, balance, time.now);
+        if (!balance.asked || time.now - balance.asked_at < resend_interval) continue;
+        if (balance.sends < max_sends) {
+            send_quota_request(t, account, balance, time.now);
         } else {
             grant_own_share(t, account, balance, time.now, outcome);
         }
     }
     std::erase_if(t.quotas.balances, [&](const auto& entry) {
-        return entry.second.waiting.empty() && time.now - entry.second.used_at > idle_after;
+        return entry.second.waiting.empty() && time.now - entry.second.used_at > idle_retention;
     });
     return outcome;
 }
--- a/src/account_quota.h
+++ b/src/account_quota.h
@@ -1,16 +1,18 @@
 /** \file
- * Systems: a client account's tokens per minute hold over the whole fleet, with no central counter.
+ * Systems that enforce a client account's tokens per minute over the whole fleet, without a central
+ * counter.
  *
- * Each account with a rate has a home (home.h) that keeps its budget: a bucket that fills at the
- * account's rate and holds `quota_burst_s` seconds of it. An entry asks the home for what its
- * waiting requests cost and a little ahead, so that a steady caller does not wait for the answer.
- * A grant needs a budget above zero and may take it below, so a request larger than the bucket
- * passes and those after it wait for it to fill again; what is not granted is refused at once with
- * the time after which the budget is above zero.
+ * Each account with a rate limit has a home VM (home.h) with its token bucket, which fills at the
+ * account's rate and holds up to `quota_burst_s` seconds of it. An entry VM requests the cost of
+ * its waiting requests from the home, plus a small prefetch so that a steady caller does not wait
+ * for the reply. A grant needs a bucket level above zero and may take it below, so a request larger
+ * than the bucket passes, and later ones are refused until the bucket fills again. What is not
+ * granted is refused at once, with the time after which the level is above zero.
  *
- * What can go wrong is bounded. A home that moves starts with a full bucket: `quota_burst_s`
- * seconds of the rate more, each time. An entry that gets no answer grants itself its even share of
- * the rate, so all entries that cannot reach the home pass no more than the rate together.
+ * The error under failures is bounded. If the home moves, the new one starts with a full bucket, so
+ * each move adds up to `quota_burst_s` seconds of the rate. An entry VM that gets no reply grants
+ * itself an even share of the rate, so all entries that cannot reach the home together pass no more
+ * than the rate.
  */
 #pragma once
 
@@ -24,24 +26,25 @@
 
 constexpr double quota_burst_s = 10;
 
-/** An account's budget, at its home. */
+/** An account's token bucket, at its home VM. */
 struct quota_bucket {
-    double tokens = 0; ///< below zero after a large request
-    instant filled_at{};
+    double tokens = 0;   ///< negative after a large request
+    instant filled_at{}; ///< the epoch: never
 };
 
-/** What an entry holds of an account's budget. */
+/** The tokens of an account that were granted to an entry VM and not used yet, and its pending
+ * request for more. */
 struct quota_balance {
     std::uint64_t tokens = 0;
-    std::vector<std::uint64_t> waiting; ///< requests, in order of arrival
-    std::uint64_t number = 0;           ///< of the ask under way, or of the newest
-    bool asked = false;
+    std::vector<std::uint64_t> waiting; ///< ids of requests, in order of arrival
+    std::uint64_t number = 0;           ///< of the latest quota request
+    bool asked = false;                 ///< a quota request is in flight
     std::uint64_t asked_tokens = 0;
     instant asked_at{};
-    std::uint32_t sends = 0; ///< of the ask under way
+    std::uint32_t sends = 0; ///< of the quota request in flight
     instant used_at{};
-    double recent = 0;      ///< tokens a second that this entry used lately
-    instant own_share_at{}; ///< up to when this entry granted itself its share
+    double recent = 0;      ///< tokens per second, smoothed, used by this entry VM
+    instant own_share_at{}; ///< time up to which this entry VM granted itself its share
 };
 
 struct quota_tables {
@@ -53,18 +56,18 @@
 struct tick_time;
 struct request_row;
 
-/** Pays for a request out of the entry's balance, or lets it wait for the home's answer. */
+/** Whether a request was paid from the entry VM's balance or waits for the home's reply. */
 enum class quota_state : std::uint8_t { paid, waits };
 quota_state pay_quota(tables& t, request_row& request, std::uint64_t tokens_per_minute,
                       instant now);
 
-/** Gives back what a request paid that never ran. */
+/** Returns the payment of a request that was not executed to the balance. */
 void refund_quota(tables& t, const request_row& request);
 
-/** Home's role: answers the entries. */
+/** Home role: replies to the quota requests of entry VMs. */
 void grant_quotas(tables& t, const tick_time& time);
 
-/** Requests that may go on, and those that are refused. */
+/** Requests that may continue, and those that are refused. */
 struct quota_outcome {
     struct refusal {
         std::uint64_t request = 0;
@@ -74,7 +77,8 @@
     std::vector<refusal> refused;
 };
 
-/** Entry's role: takes the answers in, and asks again or goes on alone where none came. */
+/** Entry role: handles the home's replies. Where none came in time, resends the quota request, then
+ * falls back to this VM's own share. */
 quota_outcome follow_quotas(tables& t, const tick_time& time);
 
 } // namespace worksshift
