--- a/src/account_table.cpp
+++ b/src/account_table.cpp
@@ -22,7 +22,7 @@
 
 bool holds(const account_bucket& bucket, const account_config* account)
 {
-    // std::less orders pointers of different arrays, too.
+    // std::less, unlike <, also orders pointers into different arrays.
     const std::less<const account_config*> before;
     const account_config* first = bucket.accounts.data();
     return !before(account, first) && before(account, first + bucket.accounts.size());
@@ -34,18 +34,18 @@
                                [&](const auto& bucket) { return holds(*bucket, account); });
 }
 
-/** The entry whose account fits among those of the same hash; null when there is none. */
+/** The account that satisfies \p matches among those of the same hash; null if there is none. */
 template <class Entries, class Fits>
-const account_config* look_up(const Entries& index, std::uint64_t hash, Fits fits)
+const account_config* look_up(const Entries& index, std::uint64_t hash, Fits matches)
 {
     const auto same =
         std::ranges::equal_range(index, hash, {}, [](const auto& item) { return item.hash; });
     const auto found =
-        std::ranges::find_if(same, [&](const auto& item) { return fits(*item.account); });
+        std::ranges::find_if(same, [&](const auto& item) { return matches(*item.account); });
     return found == same.end() ? nullptr : found->account;
 }
 
-/** Merges the accounts' entries into a sorted index. */
+/** Adds entries for the accounts of \p fresh to an index, and keeps it sorted by hash. */
 template <class Entries, class Hash>
 void merge(Entries& index, std::span<const account_table::bucket_ptr> fresh, Hash hash)
 {
@@ -59,7 +59,8 @@
     std::inplace_merge(index.begin(), index.begin() + old_size, index.end(), by_hash);
 }
 
-/** Entries of one name have one hash, so doubled names stand side by side. */
+/** Throws if a name occurs twice. Equal names have equal hashes, so duplicates are in one run of
+ * entries. */
 template <class Entries, class Name>
 void check_distinct(const Entries& index, Name name, const char* path)
 {
@@ -102,16 +103,16 @@
 
 void account_table::use_buckets(std::span<const bucket_ptr> wanted)
 {
-    const std::unordered_set<bucket_ptr> had(this->all.begin(), this->all.end());
-    const std::unordered_set<bucket_ptr> want(wanted.begin(), wanted.end());
+    const std::unordered_set<bucket_ptr> old_buckets(this->all.begin(), this->all.end());
+    const std::unordered_set<bucket_ptr> new_buckets(wanted.begin(), wanted.end());
     std::vector<bucket_ptr> gone;
     std::vector<bucket_ptr> fresh;
     std::ranges::copy_if(this->all, std::back_inserter(gone),
-                         [&](const bucket_ptr& bucket) { return !want.contains(bucket); });
+                         [&](const bucket_ptr& bucket) { return !new_buckets.contains(bucket); });
     std::ranges::copy_if(wanted, std::back_inserter(fresh),
-                         [&](const bucket_ptr& bucket) { return !had.contains(bucket); });
-    this->leave_out(gone);
-    this->take_in(fresh);
+                         [&](const bucket_ptr& bucket) { return !old_buckets.contains(bucket); });
+    this->remove_from_indices(gone);
+    this->add_to_indices(fresh);
     this->all.assign(wanted.begin(), wanted.end());
 }
 
@@ -162,30 +163,30 @@
     this->use_buckets(wanted);
 }
 
-void account_table::leave_out(std::span<const bucket_ptr> gone)
+void account_table::remove_from_indices(std::span<const bucket_ptr> gone)
 {
     if (gone.empty()) return;
     if (gone.size() == this->all.size()) {
         this->by_id.clear();
         this->by_key.clear();
-        this->reserving.clear();
+        this->accounts_with_reservation.clear();
         return;
     }
     const auto left_out = [&](const entry& item) { return in_any(gone, item.account); };
     std::erase_if(this->by_id, left_out);
     std::erase_if(this->by_key, left_out);
-    std::erase_if(this->reserving,
+    std::erase_if(this->accounts_with_reservation,
                   [&](const account_config* account) { return in_any(gone, account); });
 }
 
-void account_table::take_in(std::span<const bucket_ptr> fresh)
+void account_table::add_to_indices(std::span<const bucket_ptr> fresh)
 {
     if (fresh.empty()) return;
     merge(this->by_id, fresh, id_hash);
     merge(this->by_key, fresh, key_hash);
     for (const bucket_ptr& bucket : fresh) {
         for (const account_config& account : bucket->accounts) {
-            if (account.reserved > 0) this->reserving.push_back(&account);
+            if (account.reserved > 0) this->accounts_with_reservation.push_back(&account);
         }
     }
     check_distinct(
