--- a/src/account_quota.cpp
+++ b/src/account_quota.cpp
@@ -13,7 +13,7 @@
 constexpr duration resend_interval = milliseconds(150);
 constexpr std::uint32_t max_sends = 2;
 constexpr duration idle_retention = seconds(60);
-constexpr double prefetch_s = 0.5; ///< prefetch, of this entry VM's recent use
+constexpr double prefetch_s = 0.5; ///< of this entry VM's recent use
 constexpr double use_smoothing_s = 2;
 constexpr double min_retry_after_ms = 200;
 constexpr double max_retry_after_ms = 60'000;
@@ -113,8 +113,8 @@
     if (reply.tokens < balance.asked_tokens) {
         refuse_waiting(t, balance, reply.retry_after_ms, outcome);
     } else {
-        request_quota(t, reply.account, balance,
-                      now); // more arrived after the quota request was sent
+        // More requests arrived after the quota request was sent.
+        request_quota(t, reply.account, balance, now);
     }
 }
 
