--- a/src/caller_front.cpp
+++ b/src/caller_front.cpp
@@ -14,7 +14,7 @@
 
 namespace {
 
-constexpr ev_ssize_t header_bytes_at_most = ev_ssize_t{64} * 1024;
+constexpr ev_ssize_t max_request_header_bytes = ev_ssize_t{64} * 1024;
 constexpr int milliseconds_per_second = 1000;
 
 const char* method_name(evhttp_cmd_type method)
@@ -69,9 +69,9 @@
     evkeyvalq* headers = evhttp_request_get_output_headers(request);
     evhttp_add_header(headers, "X-Worksshift-Outcome", outcome_name(failure.result));
     if (failure.retry_after_ms > 0) {
-        const auto whole =
+        const auto retry_after_s =
             (failure.retry_after_ms + milliseconds_per_second - 1) / milliseconds_per_second;
-        evhttp_add_header(headers, "Retry-After", std::to_string(whole).c_str());
+        evhttp_add_header(headers, "Retry-After", std::to_string(retry_after_s).c_str());
         evhttp_add_header(headers, "Retry-After-Ms",
                           std::to_string(failure.retry_after_ms).c_str());
     }
@@ -79,7 +79,7 @@
               body.dump(-1, ' ', false, nlohmann::json::error_handler_t::replace) + "\n");
 }
 
-void send_bad(evhttp_request* request, const bad_request& bad)
+void send_bad_request(evhttp_request* request, const bad_request& bad)
 {
     fail_request failure;
     failure.status = bad.status;
@@ -92,7 +92,7 @@
 
 } // namespace
 
-/** A caller that waits for its answer. */
+/** A caller whose request has not ended. */
 struct caller_front::caller {
     caller_front* owner = nullptr;
     std::uint64_t id = 0;
@@ -104,22 +104,23 @@
     service_id service;
     client_account_id account;
     instant started{};
-    instant last_piece{};
-    metrics::series* between_pieces = nullptr; ///< looked up once, since each token adds to it
+    instant last_chunk_at{};
+    metrics::series* between_pieces = nullptr; ///< cached, since each token is recorded
 };
 
 caller_front::caller_front(event_base* base, const settings& options, metrics& numbers)
     : base(base), options(options), numbers(numbers), server(evhttp_new(base))
 {
-    evhttp_set_max_headers_size(this->server.get(), header_bytes_at_most);
-    // evhttp's own limit answers without our headers, so ours is checked first.
+    evhttp_set_max_headers_size(this->server.get(), max_request_header_bytes);
+    // evhttp's own error lacks the headers of send_error, so its limit is above the one that
+    // handle_http_request checks.
     evhttp_set_max_body_size(this->server.get(), 2 * static_cast<ev_ssize_t>(options.body_at_most));
     evhttp_set_timeout(this->server.get(), static_cast<int>(options.idle_timeout_s));
     evhttp_set_allowed_methods(this->server.get(), EVHTTP_REQ_GET | EVHTTP_REQ_HEAD |
                                                        EVHTTP_REQ_PUT | EVHTTP_REQ_DELETE |
                                                        EVHTTP_REQ_POST | EVHTTP_REQ_PATCH);
     const auto handle = [](evhttp_request* request, void* self) {
-        static_cast<caller_front*>(self)->take(request);
+        static_cast<caller_front*>(self)->handle_http_request(request);
     };
     evhttp_set_gencb(this->server.get(), handle, this);
     this->socket = evhttp_bind_socket_with_handle(this->server.get(), options.front.address.c_str(),
@@ -151,7 +152,7 @@
     return found == this->callers.end() ? nullptr : found->second.get();
 }
 
-void caller_front::take(evhttp_request* request)
+void caller_front::handle_http_request(evhttp_request* request)
 {
     raw_request raw;
     raw.method = method_name(evhttp_request_get_command(request));
@@ -167,11 +168,11 @@
         const std::string extra = this->extra_metrics ? this->extra_metrics() : std::string();
         send_text(request, 200, "text/plain; version=0.0.4", this->numbers.text() + extra);
     } else if (request->major == 1 && request->minor == 0) {
-        // Without chunks an answer that breaks off would look like a whole one.
-        send_bad(request, {505, "http_version", "HTTP/1.1 is needed"});
+        // HTTP/1.0 has no chunked encoding, so a broken response would look complete.
+        send_bad_request(request, {505, "http_version", "HTTP/1.1 is needed"});
     } else if (evbuffer_get_length(evhttp_request_get_input_buffer(request)) >
                this->options.body_at_most) {
-        send_bad(request, {413, "body_too_large", "the body is over the limit"});
+        send_bad_request(request, {413, "body_too_large", "the body is over the limit"});
     } else if (this->config == nullptr) {
         fail_request failure;
         failure.code = "no_configuration";
@@ -184,14 +185,14 @@
         this->send_models(request, raw);
     } else {
         raw.body = read_all(evhttp_request_get_input_buffer(request));
-        this->take_call(request, raw);
+        this->handle_api_request(request, raw);
     }
 }
 
 void caller_front::send_models(evhttp_request* request, const raw_request& raw)
 {
     if (raw.method != "GET") {
-        send_bad(request, {405, "wrong_method", "use GET"});
+        send_bad_request(request, {405, "wrong_method", "use GET"});
         return;
     }
     nlohmann::json list = nlohmann::json::array();
@@ -203,13 +204,13 @@
     send_text(request, 200, "application/json", body.dump() + "\n");
 }
 
-void caller_front::take_call(evhttp_request* request, const raw_request& raw)
+void caller_front::handle_api_request(evhttp_request* request, const raw_request& raw)
 {
     const instant now = std::chrono::steady_clock::now();
     auto parsed = parse_request(raw, *this->config, now, this->options.default_deadline_ms);
     if (const auto* bad = std::get_if<bad_request>(&parsed)) {
         this->numbers.count("worksshift_bad_requests_total");
-        send_bad(request, *bad);
+        send_bad_request(request, *bad);
         return;
     }
     accepted_request accepted{std::move(std::get<parsed_request>(parsed).row),
@@ -228,8 +229,8 @@
     this->callers[item->id] = std::move(owned);
 
     const auto closed = [](evhttp_connection*, void* context) {
-        auto* left = static_cast<caller*>(context);
-        left->owner->gone(*left);
+        auto* disconnected = static_cast<caller*>(context);
+        disconnected->owner->handle_closed(*disconnected);
     };
     evhttp_connection_set_closecb(item->connection, closed, item);
     bufferevent* socket = evhttp_connection_get_bufferevent(item->connection);
@@ -241,10 +242,10 @@
         }
     };
     item->drained = evbuffer_add_cb(bufferevent_get_output(socket), drained, item);
-    // evhttp does not read while a request is served, so it would not notice that the caller left.
+    // evhttp does not read while a request is served, so it does not notice a disconnect.
     const auto hung_up = [](evutil_socket_t, short, void* context) {
-        auto* left = static_cast<caller*>(context);
-        left->owner->abort(*left);
+        auto* disconnected = static_cast<caller*>(context);
+        disconnected->owner->handle_disconnect(*disconnected);
     };
     item->closed.reset(event_new(this->base, bufferevent_getfd(socket), EV_CLOSED, hung_up, item));
     event_add(item->closed.get(), nullptr);
@@ -260,9 +261,9 @@
     caller* item = this->find(request);
     if (item == nullptr || item->head_sent) return;
     item->head_sent = true;
-    item->last_piece = std::chrono::steady_clock::now();
+    item->last_chunk_at = std::chrono::steady_clock::now();
     this->numbers.observe(latency::first_byte, item->service, item->account,
-                          item->last_piece - item->started);
+                          item->last_chunk_at - item->started);
     evkeyvalq* out = evhttp_request_get_output_headers(item->request);
     for (const header& extra : headers) {
         evhttp_add_header(out, extra.name.c_str(), extra.value.c_str());
@@ -275,15 +276,16 @@
     caller* item = this->find(request);
     if (item == nullptr) return;
     const instant now = std::chrono::steady_clock::now();
-    item->between_pieces->add(now - item->last_piece);
-    item->last_piece = now;
-    event_ptr<evbuffer> piece(evbuffer_new());
-    evbuffer_add(piece.get(), bytes.data(), bytes.size());
-    evhttp_send_reply_chunk(item->request, piece.get());
+    item->between_pieces->add(now - item->last_chunk_at);
+    item->last_chunk_at = now;
+    event_ptr<evbuffer> chunk(evbuffer_new());
+    evbuffer_add(chunk.get(), bytes.data(), bytes.size());
+    evhttp_send_reply_chunk(item->request, chunk.get());
     write_now(evhttp_connection_get_bufferevent(item->connection));
 }
 
-/** Takes our hooks off the connection, which lives on for the caller's next request. */
+/** Removes this request's callbacks from the connection, which stays open for the caller's next
+ * request. */
 void caller_front::detach(caller& item)
 {
     item.closed.reset();
@@ -337,14 +339,13 @@
     this->callers.erase(recorded.request);
 }
 
-/** The connection is being freed by evhttp. */
-void caller_front::gone(caller& item)
+/** Close callback: evhttp is freeing the connection. */
+void caller_front::handle_closed(caller& item)
 {
     item.closed.reset();
     bufferevent* socket = evhttp_connection_get_bufferevent(item.connection);
     evbuffer_remove_cb_entry(bufferevent_get_output(socket), item.drained);
-    // evhttp takes a request that is still served off a connection that failed, and leaves it to
-    // us.
+    // evhttp detaches an unfinished request from a failed connection; it must then be freed here.
     if (evhttp_request_get_connection(item.request) == nullptr) evhttp_request_free(item.request);
     const std::uint64_t id = item.id;
     this->callers.erase(id);
@@ -352,8 +353,8 @@
     this->on_gone.emit(id);
 }
 
-/** The caller hung up. */
-void caller_front::abort(caller& item)
+/** The caller closed the connection while its request was served. */
+void caller_front::handle_disconnect(caller& item)
 {
     evhttp_connection* connection = item.connection;
     const std::uint64_t id = item.id;
--- a/src/caller_front.h
+++ b/src/caller_front.h
@@ -1,9 +1,10 @@
 /** \file
- * The HTTP front towards callers, by evhttp: reads requests, writes answers and final errors.
+ * The HTTP front end for callers, through evhttp: reads requests, writes responses and final
+ * errors.
  *
- * An answer that broke never ends like a whole one: its connection is closed without the last chunk
- * or before the announced length. An answer that had not begun is replaced by a JSON error with the
- * header `X-Worksshift-Outcome`.
+ * A broken response never looks complete: its connection is closed without the final chunk or
+ * before Content-Length bytes were sent. If no part of the response was sent yet, the caller gets a
+ * JSON error with the header `X-Worksshift-Outcome` instead.
  */
 #pragma once
 
@@ -20,7 +21,7 @@
 
 namespace worksshift {
 
-/** A caller's request that passed the checks. */
+/** A caller's request that passed validation. */
 struct accepted_request {
     request_row row;
     bool stream = false;
@@ -39,15 +40,16 @@
     {
         this->config = std::move(config);
     }
-    /** `/healthz` fails from now on, so that the balancer moves on. */
+    /** Makes `/healthz` fail, so that the load balancer stops sending requests to this VM. */
     void set_leaving() { this->leaving = true; }
-    /** Accepts no further connections. */
+    /** Stops accepting connections. */
     void close();
 
     void send_head(std::uint64_t request, std::uint16_t status, std::span<const header> headers);
     void send_data(std::uint64_t request, std::string_view bytes);
     void complete(std::uint64_t request);
-    /** Must not be called from within a callback of the caller's own connection. */
+    /** Ends a request with an error. Must not be called from a callback of the caller's connection,
+     * since it may free that connection. */
     void fail(const fail_request& failure);
     void replay(const replay_request& recorded);
 
@@ -55,21 +57,21 @@
 
     sigc::signal<void(const accepted_request&)> on_request;
     sigc::signal<void(std::uint64_t)> on_gone;
-    /** The caller took this many bytes more. */
+    /** This many more bytes were written to the caller's socket: request, bytes. */
     sigc::signal<void(std::uint64_t, std::uint32_t)> on_drained;
-    /** The text of /metrics beyond our own numbers. */
+    /** Text to append to the response of /metrics. */
     std::function<std::string()> extra_metrics;
 
 private:
     struct caller;
 
-    void take(evhttp_request* request);
-    void take_call(evhttp_request* request, const raw_request& raw);
+    void handle_http_request(evhttp_request* request);
+    void handle_api_request(evhttp_request* request, const raw_request& raw);
     void send_models(evhttp_request* request, const raw_request& raw);
     caller* find(std::uint64_t id);
     void detach(caller& item);
-    void gone(caller& item);
-    void abort(caller& item);
+    void handle_closed(caller& item);
+    void handle_disconnect(caller& item);
 
     event_base* base;
     const settings& options;
