--- a/src/parse_request.cpp
+++ b/src/parse_request.cpp
@@ -19,18 +19,18 @@
 
 constexpr std::string_view chat_path = "/v1/chat/completions";
 constexpr std::string_view bearer = "Bearer ";
-constexpr std::size_t idempotency_key_at_most = 200;
-constexpr std::uint32_t deadline_at_most_ms = 3'600'000;
-constexpr std::uint64_t answer_tokens_at_most = 1'000'000;
+constexpr std::size_t max_idempotency_key_bytes = 200;
+constexpr std::uint32_t max_deadline_ms = 3'600'000;
+constexpr std::uint64_t max_answer_tokens = 1'000'000;
 
-/** Thrown and caught within this file. */
-struct refusal_of_request {
+/** Thrown by refuse() and caught in parse_request(); does not leave this file. */
+struct request_error {
     bad_request why;
 };
 
 [[noreturn]] void refuse(std::uint16_t status, std::string code, std::string message)
 {
-    throw refusal_of_request{{status, std::move(code), std::move(message)}};
+    throw request_error{{status, std::move(code), std::move(message)}};
 }
 
 const account_config& find_account(const raw_request& raw, const fleet_config& config)
@@ -43,7 +43,8 @@
     return *account;
 }
 
-/** The first system message and the first user message stay the same in all turns of a chat. */
+/** Identifies a chat without an id by its messages up to the first one of the user, which are the
+ * same in all turns of a chat. */
 std::uint64_t hash_stable_prefix(const json& messages)
 {
     std::string prefix;
@@ -54,7 +55,7 @@
     return hash_of(prefix);
 }
 
-/** A body as JSON with a list of messages, each an object with a role. */
+/** Parses a body as JSON with a list of messages, each an object with a role. */
 json parse_chat(const std::string& body)
 {
     json value = json::parse(body, nullptr, false);
@@ -76,7 +77,7 @@
     const auto found = value.find("max_tokens");
     if (found == value.end() || found->is_null()) return default_answer_tokens;
     const bool fits = found->is_number_unsigned() && found->get<std::uint64_t>() >= 1 &&
-                      found->get<std::uint64_t>() <= answer_tokens_at_most;
+                      found->get<std::uint64_t>() <= max_answer_tokens;
     if (!fits) refuse(400, "invalid_body", "max_tokens must be a whole number from 1 to 1000000");
     return found->get<std::uint32_t>();
 }
@@ -102,9 +103,11 @@
     row.service = service->id;
     const json& messages = value["messages"];
     const std::string_view chat_id = find_header(raw.headers, "X-Chat-Id");
-    const std::uint64_t own = chat_id.empty() ? hash_stable_prefix(messages) : hash_of(chat_id);
-    // Chats of different accounts never share a cache, whatever ids they choose.
-    const std::array key{row.account.hash(), service->id.hash(), own};
+    const std::uint64_t chat_hash =
+        chat_id.empty() ? hash_stable_prefix(messages) : hash_of(chat_id);
+    // The account is part of the key, so chats of different accounts never share a cache entry,
+    // even if they choose the same id.
+    const std::array key{row.account.hash(), service->id.hash(), chat_hash};
     row.chat = chat_key{XXH3_64bits(key.data(), sizeof key)};
     row.returning = std::ranges::any_of(
         messages, [](const json& message) { return message["role"] == "assistant"; });
@@ -139,12 +142,12 @@
     std::uint32_t value = 0;
     const auto [end, fault] = std::from_chars(text.data(), text.data() + text.size(), value);
     const bool fits = fault == std::errc{} && end == text.data() + text.size() && value > 0 &&
-                      value <= deadline_at_most_ms;
+                      value <= max_deadline_ms;
     if (!fits) refuse(400, "invalid_header", "X-Deadline-Ms must be from 1 to 3600000");
     return value;
 }
 
-void read_marks(const raw_request& raw, request_row& row)
+void read_option_headers(const raw_request& raw, request_row& row)
 {
     const std::string_view urgency = find_header(raw.headers, "X-Priority");
     if (!urgency.empty() && urgency != "interactive" && urgency != "batch") {
@@ -158,17 +161,17 @@
     if (mark == "true") row.idempotent = false;
     if (mark == "false") row.idempotent = true;
     const std::string_view key = find_header(raw.headers, "Idempotency-Key");
-    if (key.size() > idempotency_key_at_most) {
+    if (key.size() > max_idempotency_key_bytes) {
         refuse(400, "invalid_header", "Idempotency-Key is longer than 200 characters");
     }
-    // Only a request that may not be repeated needs a claim.
+    // Only a request that must not be repeated needs a claim.
     if (!key.empty() && !row.idempotent) {
         row.claim_key = row.account.text + "/" + std::string(key);
         row.fingerprint = hash_of(raw.method + "\n" + raw.path + "\n" + raw.body);
     }
 }
 
-/** What is passed on. Headers by which we tell engines what to do are not the caller's to set. */
+/** The headers that are forwarded. Callers must not set the headers that instruct engines. */
 std::vector<header> select_headers(const raw_request& raw)
 {
     constexpr std::array dropped{"authorization",  "idempotency-key", "x-deadline-ms",
@@ -219,11 +222,11 @@
             read_plain(raw, config, result);
         }
         result.row.deadline = now + milliseconds(read_deadline(raw, default_deadline_ms));
-        read_marks(raw, result.row);
+        read_option_headers(raw, result.row);
         result.row.payload = std::make_shared<const request_payload>(
             request_payload{raw.method, raw.path, select_headers(raw), raw.body});
         return result;
-    } catch (const refusal_of_request& refused) {
+    } catch (const request_error& refused) {
         return refused.why;
     } catch (const json::exception& fault) {
         return bad_request{400, "invalid_body", fault.what()};
