--- a/test/correctness/chat_returns_whole.cpp
+++ b/test/correctness/chat_returns_whole.cpp
@@ -1,6 +1,7 @@
 /** \file
- * One caller's chat through separate processes: a streamed and a whole answer, byte for byte, from
- * every router, and a second turn that finds its cache.
+ * Chats through a fleet of separate processes. Guards against responses that lose or change bytes
+ * on their way through any router, streamed or not, and against a repeated prompt that misses the
+ * prompt cache.
  */
 #include <cppunit/extensions/HelperMacros.h>
 
@@ -28,12 +29,12 @@
             CPPUNIT_ASSERT_EQUAL(200, whole.status);
             CPPUNIT_ASSERT(whole.whole);
         }
-        std::size_t reused = 0;
+        std::size_t reused_tokens = 0;
         for (std::size_t i = 0; i < fleet.engines.size(); ++i) {
-            reused += fleet.engine_stats(i)["reused_tokens"].get<std::size_t>();
+            reused_tokens += fleet.engine_stats(i)["reused_tokens"].get<std::size_t>();
         }
-        // The second request of each chat has the same prompt and must find it cached.
-        CPPUNIT_ASSERT(reused > 0);
+        // The second request of each chat has the same prompt, which must be cached.
+        CPPUNIT_ASSERT(reused_tokens > 0);
         for (const support::router& item : fleet.routers)
             item.process.signal(SIGTERM);
         for (support::router& item : fleet.routers) {
