--- a/test/correctness/dead_gate_is_passed_over_at_once.cpp
+++ b/test/correctness/dead_gate_is_passed_over_at_once.cpp
@@ -1,6 +1,6 @@
 /** \file
- * A request whose gate just died, and whose connection is refused, goes to another server at once
- * and not at its deadline.
+ * Guards against requests that wait until their deadline for a gate that just died. Connections to
+ * it are refused, so they must be sent to another server at once.
  */
 #include <cppunit/extensions/HelperMacros.h>
 
@@ -25,8 +25,8 @@
         support::core_fleet fleet(options);
         fleet.run_for(seconds(12));
         fleet.kill(3);
-        // Half of them come when the links are known to be broken, and may not be sent twice: only
-        // the proof that nothing left this VM lets them go elsewhere.
+        // The first half arrives when the links are known to be broken, and is not idempotent.
+        // These requests may be sent elsewhere only because no byte of them left this VM.
         for (std::uint64_t chat = 21; chat <= 40; ++chat) {
             support::core_request request;
             request.chat = chat;
