--- a/test/error/bad_requests_are_refused.cpp
+++ b/test/error/bad_requests_are_refused.cpp
@@ -1,6 +1,6 @@
 /** \file
- * Bad input of callers: each is refused with a clear error that says `not_run`, and a request
- * beside it is served as ever.
+ * Invalid input from callers. Guards against invalid requests that are executed or get an unclear
+ * error, and against broken or idle connections that disturb valid requests.
  */
 #include <array>
 
@@ -24,7 +24,7 @@
     CPPUNIT_TEST_SUITE_END();
 
 public:
-    static support::fleet_options small()
+    static support::fleet_options small_fleet()
     {
         support::fleet_options options;
         options.routers = 1;
@@ -44,12 +44,12 @@
 
     void each_has_its_error()
     {
-        support::fleet fleet(small());
+        support::fleet fleet(small_fleet());
         fleet.start();
         const std::uint16_t port = fleet.routers[0].front;
         const std::string path = "/v1/chat/completions";
-        const std::string good = support::chat_body("hello", 5, true).dump();
-        const worksshift::header key{"Authorization", "Bearer key-0"};
+        const std::string valid_body = support::chat_body("hello", 5, true).dump();
+        const worksshift::header authorization{"Authorization", "Bearer key-0"};
         struct bad_case {
             std::string method;
             std::string path;
@@ -59,33 +59,52 @@
             std::string code;
         };
         const std::array cases{
-            bad_case{"POST", path, {}, good, 401, "no_key"},
-            bad_case{"POST", path, {{"Authorization", "Bearer nobody"}}, good, 401, "unknown_key"},
-            bad_case{"GET", path, {key}, "", 405, "wrong_method"},
-            bad_case{"POST", path, {key}, "{\"model\":", 400, "invalid_json"},
-            bad_case{"POST", path, {key}, "[1,2]", 400, "invalid_body"},
+            bad_case{"POST", path, {}, valid_body, 401, "no_key"},
             bad_case{
-                "POST", path, {key}, R"({"model":"assist","messages":[]})", 400, "invalid_body"},
-            bad_case{
-                "POST", path, {key}, R"({"model":"assist","messages":[5]})", 400, "invalid_body"},
+                "POST", path, {{"Authorization", "Bearer nobody"}}, valid_body, 401, "unknown_key"},
+            bad_case{"GET", path, {authorization}, "", 405, "wrong_method"},
+            bad_case{"POST", path, {authorization}, "{\"model\":", 400, "invalid_json"},
+            bad_case{"POST", path, {authorization}, "[1,2]", 400, "invalid_body"},
+            bad_case{"POST",
+                     path,
+                     {authorization},
+                     R"({"model":"assist","messages":[]})",
+                     400,
+                     "invalid_body"},
             bad_case{"POST",
                      path,
-                     {key},
+                     {authorization},
+                     R"({"model":"assist","messages":[5]})",
+                     400,
+                     "invalid_body"},
+            bad_case{"POST",
+                     path,
+                     {authorization},
                      R"({"model":"none","messages":[{"role":"user","content":"x"}]})",
                      404,
                      "unknown_model"},
             bad_case{"POST",
                      path,
-                     {key},
+                     {authorization},
                      R"({"model":"assist","max_tokens":-1,"messages":[{"role":"user"}]})",
                      400,
                      "invalid_body"},
-            bad_case{"POST", path, {key, {"X-Deadline-Ms", "soon"}}, good, 400, "invalid_header"},
-            bad_case{"POST", path, {key, {"X-Priority", "first"}}, good, 400, "invalid_header"},
-            bad_case{"GET", "/nowhere", {key}, "", 404, "unknown_path"},
             bad_case{"POST",
                      path,
-                     {key},
+                     {authorization, {"X-Deadline-Ms", "soon"}},
+                     valid_body,
+                     400,
+                     "invalid_header"},
+            bad_case{"POST",
+                     path,
+                     {authorization, {"X-Priority", "first"}},
+                     valid_body,
+                     400,
+                     "invalid_header"},
+            bad_case{"GET", "/nowhere", {authorization}, "", 404, "unknown_path"},
+            bad_case{"POST",
+                     path,
+                     {authorization},
                      std::string(std::size_t{80} * 1024, 'x'),
                      413,
                      "body_too_large"},
@@ -103,16 +122,17 @@
         const reply models = support::http(port, "GET", "/v1/models");
         CPPUNIT_ASSERT_EQUAL(std::string("assist"),
                              models.json()["data"][0]["id"].get<std::string>());
-        std::size_t runs = 0;
+        std::size_t executed = 0;
         for (std::size_t i = 0; i < 2; ++i)
-            runs += fleet.engine_stats(i)["requests"].get<std::size_t>();
-        CPPUNIT_ASSERT_EQUAL(std::size_t{1}, runs);
+            executed += fleet.engine_stats(i)["requests"].get<std::size_t>();
+        CPPUNIT_ASSERT_EQUAL(std::size_t{1}, executed);
     }
 
-    /** A caller that sets what we tell engines would get a part of an answer that looks whole. */
+    /** A caller that sets the headers that instruct engines would get a part of a response that
+     * looks complete. */
     void headers_towards_engines_are_ours()
     {
-        support::fleet fleet(small());
+        support::fleet fleet(small_fleet());
         fleet.start();
         const reply answer = fleet.chat(
             0, "a", "from the middle", 5, true,
@@ -123,10 +143,11 @@
 
     void broken_and_idle_connections()
     {
-        support::fleet fleet(small());
+        support::fleet fleet(small_fleet());
         fleet.start();
         const std::uint16_t port = fleet.routers[0].front;
-        // A header that never ends, one over the limit, a body cut short, a slow sender, noise.
+        // A header without an end, one over the limit, a truncated body, invalid bytes, and
+        // HTTP/1.0.
         support::send_raw(port, "POST /v1/chat/completions HTTP/1.1\r\nX: y", 100);
         support::send_raw(port, "GET / HTTP/1.1\r\nX: " + std::string(200'000, 'a') + "\r\n\r\n",
                           300);
@@ -134,12 +155,12 @@
             port, "POST /v1/chat/completions HTTP/1.1\r\nContent-Length: 500\r\n\r\n{", 100);
         support::send_raw(port, std::string("\x00\x01\xff garbage \r\n\r\n", 16), 100);
         support::send_raw(port, "GET /healthz HTTP/1.0\r\n\r\n", 200);
-        const reply old = support::parse_reply(support::send_raw(
+        const reply unauthorized = support::parse_reply(support::send_raw(
             port,
             "POST /v1/chat/completions HTTP/1.1\r\nContent-Length: 0\r\nConnection: close\r\n\r\n",
             1000));
-        CPPUNIT_ASSERT_EQUAL(401, old.status);
-        // Many idle connections, of which each is closed in its time.
+        CPPUNIT_ASSERT_EQUAL(401, unauthorized.status);
+        // Many idle connections, each of which is closed after the idle timeout.
         std::vector<int> sockets;
         sockaddr_in target{};
         target.sin_family = AF_INET;
