--- a/test/error/bad_servers_are_survived.cpp
+++ b/test/error/bad_servers_are_survived.cpp
@@ -1,7 +1,7 @@
 /** \file
- * Engines that answer garbage, close early, break off, stay silent, send too much or refuse: the
- * caller gets the whole answer of another try, or an error that does not pass for one, and a plain
- * request that may not be repeated runs once.
+ * Engines that send garbage, close early, break off, send nothing, send too much or refuse. Guards
+ * against a broken response that looks complete to the caller, instead of the complete response of
+ * a retry or a clear error, and against a non-idempotent request that is executed twice.
  */
 #include <cppunit/extensions/HelperMacros.h>
 
@@ -52,7 +52,8 @@
             set_fault(fleet, mode);
             const reply faulty = fleet.chat(0, "chat " + mode, "text " + mode, 12);
             const std::string expected = support::expected_stream("text " + mode, 12);
-            // All three engines fail once and a request has three tries, so it may fail, openly.
+            // All three engines fail once and a request has three tries, so it may fail with an
+            // error.
             if (faulty.status == 200 && faulty.whole && mode != "too_much") {
                 CPPUNIT_ASSERT_EQUAL_MESSAGE(mode, expected, faulty.body);
             } else if (faulty.status != 200) {
@@ -70,7 +71,7 @@
                 20000);
             CPPUNIT_ASSERT_MESSAGE(mode, served);
         }
-        // One engine that breaks off after some tokens: the stream is resumed by another.
+        // One engine breaks off after some tokens: another one resumes the stream.
         support::fleet::wait_for([&] { return fleet.settled(2); }, 15000);
         std::size_t resumed = 0;
         for (int i = 0; i < 6; ++i) {
@@ -107,7 +108,7 @@
         for (const support::endpoint& desk : fleet.services) {
             support::http(desk.port, "POST", "/fault?mode=close&count=0");
         }
-        // With a key, the same ticket sent again and again through both routers runs once.
+        // With a key, a ticket that is sent repeatedly through both routers is executed once.
         const worksshift::header claim{"Idempotency-Key", "ticket-c"};
         for (std::size_t i = 0; i < 6; ++i) {
             const reply again = support::http(fleet.routers[i % 2].front, "POST", "/desk/tickets",
@@ -118,7 +119,7 @@
         }
         const reply reused = support::http(port, "POST", "/desk/tickets", {key, claim}, "ticket D");
         CPPUNIT_ASSERT_EQUAL(422, reused.status);
-        // With the platform down a key cannot be claimed, and nothing is sent.
+        // While the platform is down a key cannot be claimed, so nothing is sent.
         fleet.set_faults({{"down", true}});
         const reply refused = support::http(port, "POST", "/desk/tickets",
                                             {key, {"Idempotency-Key", "ticket-e"}}, "ticket E");
