--- a/test/fuzz/queue_matches_oracle.cpp
+++ b/test/fuzz/queue_matches_oracle.cpp
@@ -1,6 +1,7 @@
 /** \file
- * The fair queue against a simple oracle: whatever is pushed, popped, shed, expired or erased, each
- * request leaves exactly once, the length keeps its bound, and interactive requests go first.
+ * The fair queue against a simple oracle, under random pushes, pops, expiry and erasure. Guards
+ * against requests that leave the queue twice or never, a queue longer than its capacity, and batch
+ * requests that precede interactive ones.
  */
 #include <algorithm>
 #include <map>
@@ -25,12 +26,12 @@
 public:
     void each_leaves_once()
     {
-        const bool held = rc::check("each request leaves once", [] {
+        const bool property_holds = rc::check("each request leaves once", [] {
             fair_queue queue(capacity);
-            std::map<std::uint64_t, priority> inside;
+            std::map<std::uint64_t, priority> queued;
             std::uint64_t next = 0;
-            const auto leave = [&](const waiting_attempt& item) {
-                RC_ASSERT(inside.erase(item.id.sequence) == 1);
+            const auto remove_once = [&](const waiting_attempt& item) {
+                RC_ASSERT(queued.erase(item.id.sequence) == 1);
             };
             const auto steps = *rc::gen::container<std::vector<int>>(rc::gen::inRange(0, 10));
             for (const int step : steps) {
@@ -43,31 +44,31 @@
                     item.weight = *rc::gen::inRange(1, 4);
                     item.urgency = *rc::gen::element(priority::interactive, priority::batch);
                     item.deadline = instant{} + seconds(*rc::gen::inRange(0, 10));
-                    inside[item.id.sequence] = item.urgency;
-                    if (const auto shed = queue.push(item)) leave(*shed);
+                    queued[item.id.sequence] = item.urgency;
+                    if (const auto shed = queue.push(item)) remove_once(*shed);
                 } else if (step < 8) {
                     const auto item = queue.pop(instant{} + seconds(20));
-                    RC_ASSERT(item.has_value() == !inside.empty());
+                    RC_ASSERT(item.has_value() == !queued.empty());
                     if (!item) continue;
-                    leave(*item);
+                    remove_once(*item);
                     queue.charge(item->account, item->weight, item->cost, instant{} + seconds(20));
-                    const bool passed_over = std::ranges::any_of(
-                        inside, [&](const auto& entry) { return entry.second < item->urgency; });
-                    RC_ASSERT(!passed_over);
+                    const bool overtaken = std::ranges::any_of(
+                        queued, [&](const auto& entry) { return entry.second < item->urgency; });
+                    RC_ASSERT(!overtaken);
                 } else if (step == 8) {
                     for (const auto& item : queue.take_expired(instant{} + seconds(5))) {
                         RC_ASSERT(item.deadline <= instant{} + seconds(5));
-                        leave(item);
+                        remove_once(item);
                     }
-                } else if (!inside.empty()) {
-                    RC_ASSERT(queue.erase({1, inside.begin()->first}));
-                    inside.erase(inside.begin());
+                } else if (!queued.empty()) {
+                    RC_ASSERT(queue.erase({1, queued.begin()->first}));
+                    queued.erase(queued.begin());
                 }
-                RC_ASSERT(queue.size() == inside.size());
+                RC_ASSERT(queue.size() == queued.size());
                 RC_ASSERT(queue.size() <= capacity);
             }
         });
-        CPPUNIT_ASSERT(held);
+        CPPUNIT_ASSERT(property_holds);
     }
 };
 
