--- a/test/fuzz/gates_that_disagree_share_the_limit.cpp
+++ b/test/fuzz/gates_that_disagree_share_the_limit.cpp
@@ -1,6 +1,7 @@
 /** \file
- * VMs that disagree about who a server's gate is (cuts, pauses of up to 30 s, restarts, joins)
- * never run more at it together than gate_share.h states, while the load is far above the limit.
+ * Guards against VMs that disagree about which is a server's gate, after partitions, pauses of up
+ * to 30 s, restarts and joins, and together run more requests there than gate_share.h allows. The
+ * load is far above the limit.
  */
 #include <cppunit/extensions/HelperMacros.h>
 #include <rapidcheck.h>
@@ -13,10 +14,10 @@
 
 constexpr std::size_t node_count = 5;
 constexpr std::uint32_t limit = 16;
-constexpr std::uint32_t worst_case = limit + limit / 4;
+constexpr std::uint32_t max_running = limit + limit / 4;
 
-/** Offers far more than the server can take, through every node, for a time. */
-void press(support::core_fleet& fleet, duration span)
+/** Submits far more requests than the server's limit, through every node, for \p span. */
+void overload(support::core_fleet& fleet, duration span)
 {
     constexpr auto step = milliseconds(200);
     for (duration passed{}; passed < span; passed += step) {
@@ -31,23 +32,23 @@
             }
         }
         fleet.run_for(step);
-        RC_ASSERT(fleet.servers["server-0"].peak <= worst_case);
+        RC_ASSERT(fleet.servers["server-0"].peak <= max_running);
     }
 }
 
-void disturb(support::core_fleet& fleet, std::size_t node, std::size_t other, int what)
+void disturb(support::core_fleet& fleet, std::size_t node, std::size_t other, int kind)
 {
-    if (what == 0) fleet.restart(node);
-    if (what == 1 && fleet.up(node)) fleet.pause(node, seconds(30));
-    if (what == 2 && fleet.up(node)) fleet.pause(node, seconds(5));
-    if (what == 3) fleet.cut(node, other);
-    if (what == 4) {
-        // Cut off from all others.
+    if (kind == 0) fleet.restart(node);
+    if (kind == 1 && fleet.up(node)) fleet.pause(node, seconds(30));
+    if (kind == 2 && fleet.up(node)) fleet.pause(node, seconds(5));
+    if (kind == 3) fleet.cut(node, other);
+    if (kind == 4) {
+        // Partitioned from all others.
         for (std::size_t i = 0; i < fleet.size(); ++i)
             fleet.cut(node, i);
     }
-    if (what == 5) fleet.heal();
-    if (what == 6) fleet.kill(node);
+    if (kind == 5) fleet.heal();
+    if (kind == 6) fleet.kill(node);
 }
 
 class gates_that_disagree_share_the_limit : public CppUnit::TestFixture {
@@ -58,7 +59,7 @@
 public:
     void under_any_disturbance()
     {
-        const bool held = rc::check("the worst case holds", [] {
+        const bool property_holds = rc::check("the worst case holds", [] {
             support::core_options options;
             options.nodes = node_count;
             options.servers = 1;
@@ -69,14 +70,14 @@
             fleet.run_for(seconds(12));
             const int steps = *rc::gen::inRange(1, 6);
             for (int i = 0; i < steps; ++i) {
-                press(fleet, milliseconds(*rc::gen::element(1000, 3000)));
+                overload(fleet, milliseconds(*rc::gen::element(1000, 3000)));
                 const auto node = *rc::gen::inRange<std::size_t>(0, node_count);
                 const auto other = *rc::gen::inRange<std::size_t>(0, node_count);
                 disturb(fleet, node, other, *rc::gen::inRange(0, 7));
-                press(fleet, seconds(*rc::gen::element(2, 9)));
+                overload(fleet, seconds(*rc::gen::element(2, 9)));
             }
         });
-        CPPUNIT_ASSERT(held);
+        CPPUNIT_ASSERT(property_holds);
     }
 };
 
