--- a/test/fuzz/relay_takes_frames_in_order.cpp
+++ b/test/fuzz/relay_takes_frames_in_order.cpp
@@ -1,6 +1,7 @@
 /** \file
- * The answer relay under frames that are lost, doubled, reordered and of abandoned attempts: what
- * the caller has is always a beginning of the answer, and `done` only comes with the whole of it.
+ * The answer relay under frames that are lost, duplicated, reordered or of abandoned attempts.
+ * Guards against bytes passed to the caller that are not a prefix of the response, and against
+ * `done` before the complete response was passed.
  */
 #include <algorithm>
 
@@ -20,7 +21,7 @@
     return "data: " + std::to_string(index) + "\n\n";
 }
 
-/** All frames of an attempt whose answer starts at token \p first. */
+/** All frames of an attempt whose response starts at token \p first. */
 std::vector<frame> make_frames(const attempt_id& id, std::uint32_t first, std::uint32_t tokens)
 {
     std::vector<frame> frames{attempt_head{id, {"e"}, 200, {}, {}}};
@@ -35,7 +36,7 @@
     return frames;
 }
 
-/** Loses, doubles and swaps some frames. */
+/** Drops, duplicates and swaps some frames. */
 std::vector<frame> disturb(std::vector<frame> frames)
 {
     const int faults = *rc::gen::inRange(0, 3);
@@ -58,22 +59,22 @@
 public:
     void whatever_arrives()
     {
-        const bool held = rc::check("only a beginning is passed", [] {
+        const bool property_holds = rc::check("only a beginning is passed", [] {
             const auto tokens = *rc::gen::inRange<std::uint32_t>(1, 12);
-            std::string whole;
+            std::string complete;
             for (std::uint32_t i = 0; i < tokens; ++i)
-                whole += token(i);
+                complete += token(i);
             answer_relay relay;
             std::string passed;
             relay.on_data.connect([&](std::uint64_t, std::string_view bytes) { passed += bytes; });
-            std::vector<frame> late;
-            std::uint32_t reached = 0;
+            std::vector<frame> abandoned_frames;
+            std::uint32_t resume_from = 0;
             for (std::uint64_t attempt = 1; attempt <= 3; ++attempt) {
                 const attempt_id id{1, attempt};
                 relay.bind(1, id, {"vm"}, true);
-                std::vector<frame> frames = disturb(make_frames(id, reached, tokens));
-                // Frames of attempts that were given up arrive among those of the current one.
-                for (const frame& item : late) {
+                std::vector<frame> frames = disturb(make_frames(id, resume_from, tokens));
+                // Frames of abandoned attempts arrive among those of the current one.
+                for (const frame& item : abandoned_frames) {
                     const auto at = *rc::gen::inRange<std::size_t>(0, frames.size() + 1);
                     frames.insert(frames.begin() + static_cast<std::ptrdiff_t>(at), item);
                 }
@@ -85,19 +86,20 @@
                         RC_ASSERT(!result);
                         result = one;
                     }
-                    RC_ASSERT(whole.starts_with(passed));
+                    RC_ASSERT(complete.starts_with(passed));
                 }
                 if (result && result->end.result == outcome::done) {
-                    RC_ASSERT(passed == whole);
+                    RC_ASSERT(passed == complete);
                     return;
                 }
-                if (!result) return; // its end was lost: the deadline ends the request
+                if (!result)
+                    return; // its end frame was lost; in a node the deadline ends the request
                 RC_ASSERT(result->tokens_passed == count_tokens(passed));
-                reached = result->tokens_passed;
-                late = make_frames(id, 0, tokens);
+                resume_from = result->tokens_passed;
+                abandoned_frames = make_frames(id, 0, tokens);
             }
         });
-        CPPUNIT_ASSERT(held);
+        CPPUNIT_ASSERT(property_holds);
     }
 };
 
