--- a/test/fuzz/requests_keep_promises.cpp
+++ b/test/fuzz/requests_keep_promises.cpp
@@ -1,12 +1,14 @@
 /** \file
- * Stateful test of whole fleets' decisions against a simple oracle: requests, non-idempotent ones
- * with and without keys, and faults two at once: nodes killed, paused, restarted and stopped, links
- * broken and cut, servers that crash, refuse and vanish, and the platform down or losing answers.
+ * Stateful test of the decisions of fleets against a simple oracle. Commands send requests,
+ * non-idempotent ones with and without keys, and inject faults, several at once: nodes are killed,
+ * paused, restarted and stopped, links broken and partitioned, servers crash, refuse and disappear,
+ * and the platform is down or loses responses.
  *
- * The oracle knows only what callers were told and what servers counted:
- * a whole answer is the request's own, to the byte; `not_run` never ran; a non-idempotent request
- * ran at most once, and all requests of one idempotency key together at most once; each request
- * ends exactly once; no server runs more than the stated worst case.
+ * The oracle uses only what callers received and what servers counted. Guards against: a response
+ * reported as complete that is not the request's own, to the byte; `not_run` for a request that was
+ * executed; a non-idempotent request, or all requests of one idempotency key together, executed
+ * more than once; a request that ends twice or never; a server with more requests running than the
+ * stated worst case.
  */
 #include <algorithm>
 #include <cstdlib>
@@ -30,7 +32,7 @@
 constexpr std::size_t server_count = 4;
 constexpr std::uint32_t server_limit = 4;
 /** gate_share.h: two or more gates that disagree admit less than 1.25 times the limit. */
-constexpr std::uint32_t worst_case = server_limit + server_limit / 4;
+constexpr std::uint32_t max_running = server_limit + server_limit / 4;
 
 core_options make_options(bool plain)
 {
@@ -47,7 +49,7 @@
     return options;
 }
 
-/** The oracle's own state is what it needs to choose commands. */
+/** The model state, which only serves to generate commands. */
 struct model {
     std::size_t requests = 0;
     std::size_t dead = 0;
@@ -82,7 +84,7 @@
     for (const auto& [key, runs] : runs_by_key)
         RC_ASSERT(runs <= 1U);
     for (const auto& [id, server] : fleet.servers)
-        RC_ASSERT(server.peak <= worst_case);
+        RC_ASSERT(server.peak <= max_running);
 }
 
 struct send_request : command {
@@ -128,12 +130,12 @@
 struct disturb_node : command {
     std::size_t node = *rc::gen::inRange<std::size_t>(0, node_count);
     std::size_t other = *rc::gen::inRange<std::size_t>(0, node_count);
-    int what = *rc::gen::inRange(0, 7);
+    int fault = *rc::gen::inRange(0, 7);
 
     void run(const model& /*state*/, system_under_test& system) const override
     {
         core_fleet& fleet = system.fleet;
-        switch (this->what) {
+        switch (this->fault) {
         case 0:
             fleet.kill(this->node);
             break;
@@ -161,37 +163,37 @@
     }
     void show(std::ostream& out) const override
     {
-        out << "disturb(" << this->node << ", " << this->other << ", " << this->what << ")";
+        out << "disturb(" << this->node << ", " << this->other << ", " << this->fault << ")";
     }
 };
 
 struct disturb_server : command {
     std::size_t server = *rc::gen::inRange<std::size_t>(0, server_count);
-    int what = *rc::gen::inRange(0, 4);
+    int fault = *rc::gen::inRange(0, 4);
 
     void run(const model& /*state*/, system_under_test& system) const override
     {
         support::core_server& row = system.fleet.servers["server-" + std::to_string(this->server)];
-        if (this->what == 0) row.crash_next = true;
-        if (this->what == 1) row.refuse_next = true;
-        if (this->what >= 2) row.up = !row.up;
+        if (this->fault == 0) row.crash_next = true;
+        if (this->fault == 1) row.refuse_next = true;
+        if (this->fault >= 2) row.up = !row.up;
     }
     void show(std::ostream& out) const override
     {
-        out << "disturb_server(" << this->server << ", " << this->what << ")";
+        out << "disturb_server(" << this->server << ", " << this->fault << ")";
     }
 };
 
 struct disturb_platform : command {
-    int what = *rc::gen::inRange(0, 3);
+    int fault = *rc::gen::inRange(0, 3);
 
     void run(const model& /*state*/, system_under_test& system) const override
     {
-        if (this->what == 0) system.fleet.set_platform(false);
-        if (this->what == 1) system.fleet.set_platform(true);
-        if (this->what == 2) system.fleet.lose_next_write_answers(2);
+        if (this->fault == 0) system.fleet.set_platform(false);
+        if (this->fault == 1) system.fleet.set_platform(true);
+        if (this->fault == 2) system.fleet.lose_next_write_answers(2);
     }
-    void show(std::ostream& out) const override { out << "platform(" << this->what << ")"; }
+    void show(std::ostream& out) const override { out << "platform(" << this->fault << ")"; }
 };
 
 struct pass_time : command {
@@ -213,7 +215,8 @@
     void show(std::ostream& out) const override { out << "heal"; }
 };
 
-/** Everything heals; every request at a live node must then come to an end, and leave nothing. */
+/** Ends all faults, after which every request must end exactly once and leave no state at live
+ * nodes. */
 void check_all_ended(system_under_test& system)
 {
     system.fleet.heal();
@@ -264,9 +267,9 @@
         CPPUNIT_ASSERT(rc::check("plain services", [] { run_session(true); }));
     }
 
-    /** The node resumes while it leaves: it starts and refuses the request in the same turn in
-     * which it learns that the caller went. Drawn once; the answer's row was left in the test's
-     * fleet. */
+    /** Guards against a response row that is left over when a paused node resumes while it is
+     * leaving: in the same tick it starts and refuses the request and learns that its caller
+     * disconnected. */
     void of_a_caller_that_a_paused_node_never_saw()
     {
         CPPUNIT_ASSERT(rc::check("paused node", [] {
