--- a/test/fuzz/account_rate_spans_the_fleet.cpp
+++ b/test/fuzz/account_rate_spans_the_fleet.cpp
@@ -1,7 +1,7 @@
 /** \file
- * An account's tokens per minute over all entries together, while homes die, are cut off and come
- * back: never more than the bound that account_quota.h states, close to the rate when calm, each
- * refusal at once and with the time to come back, and nobody else is touched.
+ * An account's tokens per minute over all entry VMs, while home VMs die, are partitioned and
+ * return. Guards against use above the bound that account_quota.h states or far from the rate
+ * without faults, refusals that are late or lack a retry time, and effects on other accounts.
  */
 #include <cppunit/extensions/HelperMacros.h>
 #include <rapidcheck.h>
@@ -38,7 +38,7 @@
         return options;
     }
 
-    static void limit_account(support::core_fleet& fleet)
+    static void set_account_rate(support::core_fleet& fleet)
     {
         fleet.change_config([](fleet_config& config) {
             account_config account = *config.accounts.find({"acc-1"});
@@ -48,10 +48,11 @@
         fleet.run_for(seconds(12));
     }
 
-    /** Offers the limited account's requests at a multiple of its rate, and a few of another's. */
-    static void offer(support::core_fleet& fleet, int seconds_long, double multiple)
+    /** Submits requests of the limited account at a multiple of its rate, and a few of another one.
+     */
+    static void submit_load(support::core_fleet& fleet, int seconds_long, double multiple)
     {
-        const auto pause = std::chrono::duration_cast<duration>(
+        const auto interval = std::chrono::duration_cast<duration>(
             std::chrono::duration<double>(cost / (rate * multiple)));
         const instant end = fleet.now() + seconds(seconds_long);
         for (std::uint64_t i = 0; fleet.now() < end; ++i) {
@@ -60,11 +61,11 @@
             request.chat = 1 + i;
             request.cost = cost;
             if (fleet.up(i % node_count)) fleet.submit(i % node_count, request);
-            fleet.run_for(pause);
+            fleet.run_for(interval);
         }
     }
 
-    static double tokens_of(const support::core_fleet& fleet)
+    static double executed_tokens(const support::core_fleet& fleet)
     {
         double sum = 0;
         for (const auto& result : fleet.results) {
@@ -76,10 +77,10 @@
     void close_to_the_rate_when_calm()
     {
         support::core_fleet fleet(make_options(3));
-        limit_account(fleet);
-        offer(fleet, 60, 5);
+        set_account_rate(fleet);
+        submit_load(fleet, 60, 5);
         fleet.run_for(seconds(5));
-        const double used = tokens_of(fleet);
+        const double used = executed_tokens(fleet);
         CPPUNIT_ASSERT(used <= rate * (60 + quota_burst_s) + node_count * rate);
         CPPUNIT_ASSERT(used >= 0.9 * rate * 60);
         std::size_t refused = 0;
@@ -96,7 +97,7 @@
     void a_request_larger_than_the_budget_passes()
     {
         support::core_fleet fleet(make_options(4));
-        limit_account(fleet);
+        set_account_rate(fleet);
         support::core_request request;
         request.account = "acc-1";
         request.cost = static_cast<std::uint32_t>(3 * quota_burst_s * rate);
@@ -114,12 +115,13 @@
     void what_did_not_run_costs_nothing()
     {
         support::core_fleet fleet(make_options(5));
-        limit_account(fleet);
+        set_account_rate(fleet);
         for (auto& [id, server] : fleet.servers)
             server.up = false;
         support::core_request request;
         request.account = "acc-1";
-        request.cost = static_cast<std::uint32_t>(3 * quota_burst_s * rate); // leaves a debt
+        request.cost =
+            static_cast<std::uint32_t>(3 * quota_burst_s * rate); // would leave a negative balance
         const std::size_t refused = fleet.submit(0, request);
         fleet.run_for(seconds(1));
         CPPUNIT_ASSERT(fleet.results[refused].end == ending::not_run);
@@ -134,9 +136,9 @@
 
     void bounded_under_disturbance()
     {
-        const bool held = rc::check("rate", [] {
+        const bool property_holds = rc::check("rate", [] {
             support::core_fleet fleet(make_options(*rc::gen::inRange<std::uint64_t>(1, 1000)));
-            limit_account(fleet);
+            set_account_rate(fleet);
             const instant start = fleet.now();
             int moves = 0;
             const int steps = *rc::gen::inRange(1, 6);
@@ -158,19 +160,20 @@
                 default:
                     break;
                 }
-                offer(fleet, 10, 4);
+                submit_load(fleet, 10, 4);
             }
             const double passed = std::chrono::duration<double>(fleet.now() - start).count();
-            // Once by the home and once by entries that cannot reach it, a full bucket for each
-            // move of the home, and what the entries hold ahead.
-            const double most = rate * (2 * passed + quota_burst_s * (1 + moves) + node_count);
-            RC_ASSERT(tokens_of(fleet) <= most);
+            // The rate is granted once by the home and once by entry VMs that cannot reach it; each
+            // move of the home adds a full bucket, and each entry VM may have prefetched tokens.
+            const double max_tokens =
+                rate * (2 * passed + quota_burst_s * (1 + moves) + node_count);
+            RC_ASSERT(executed_tokens(fleet) <= max_tokens);
             for (const auto& result : fleet.results) {
                 if (result.end == ending::not_run) RC_ASSERT(result.runs == 0U);
                 RC_ASSERT(result.endings <= 1U);
             }
         });
-        CPPUNIT_ASSERT(held);
+        CPPUNIT_ASSERT(property_holds);
     }
 };
 
