--- a/test/performance/placement.cpp
+++ b/test/performance/placement.cpp
@@ -1,6 +1,6 @@
 /** \file
- * Placement under load and churn: skew, reuse of prompt tokens, moved chats, refusals, hops and
- * control bytes of the fleet's decisions, beside baselines that see the same requests.
+ * Placement under load and churn: load skew, reuse of prompt tokens, refusals, hops and control
+ * bytes of the fleet, compared to baselines that get the same requests.
  *
  * Usage: measure_placement [kigali|nairobi|large …]; all by default.
  */
@@ -22,9 +22,9 @@
 using support::core_request;
 using support::core_server;
 
-/** One turn of a chat, at a fixed time whatever became of the turns before. */
+/** One turn of a chat. Its time does not depend on the outcome of earlier turns. */
 struct arrival {
-    double at_s = 0;
+    double at_s = 0; ///< since the start of the run
     core_request request;
 };
 
@@ -32,10 +32,10 @@
     std::string name;
     double bound = 1.25;
     std::size_t data_centres = 4;
-    double rate = 90; ///< turns a second
+    double rate = 90; ///< turns per second
     double span_s = 240;
     double first_prompt = 800; ///< tokens, mean
-    double turn_tokens = 150;  ///< that each turn adds to the prompt, mean
+    double turn_tokens = 150;  ///< added to the prompt by each turn, mean
     double answer_tokens = 200;
     std::size_t cache_tokens = 1'200'000;
     double pause_s = 40; ///< between turns, mean; one in ten is ten times as long
@@ -75,7 +75,8 @@
     std::geometric_distribution<int> turns(1 / turns_per_chat);
     std::vector<arrival> trace;
     std::uint64_t chat = 1;
-    // Chats that began before the window are in it, too, so that the mix of turns is steady.
+    // Chats that began before the run are included, so that the mix of first and later turns is
+    // stationary.
     for (double start = -load.span_s; start < load.span_s; start += gap(random)) {
         arrival turn;
         turn.request.account = draw_account(random);
@@ -107,19 +108,20 @@
     return trace;
 }
 
-/** What a run showed. */
-struct outcome_figures {
+/** The results of a run. */
+struct run_result {
     double reuse = 0;
-    double worst_admission = 0; ///< load before it over the mean after it
+    double worst_admission =
+        0; ///< largest ratio of a server's load before an admission to the mean after it
     double over_bound_share = 0;
-    double skew_p50 = 0; ///< most loaded over mean, over time
+    double skew_p50 = 0; ///< of the ratio of the most loaded server to the mean, over time
     double skew_p99 = 0;
     double refused_share = 0;
     double hops = 0;
-    double control_bytes = 0; ///< per node and second
+    double control_bytes = 0; ///< per node per second
 };
 
-/** Samples of the most loaded server over the mean. */
+/** Samples of the ratio of the most loaded server's load to the mean. */
 class skew_samples {
 public:
     void add(const std::map<std::string, core_server>& servers)
@@ -155,7 +157,7 @@
     return prompt > 0 ? reused / prompt : 0;
 }
 
-/** A disturbance of the run at a whole second. */
+/** A fault injected into the run; called at each second. */
 using disturbance = std::function<void(support::core_fleet&, int second)>;
 
 void replace_server(support::core_fleet& fleet, int number)
@@ -181,9 +183,9 @@
     });
 }
 
-/** Parts the first half of the nodes from the second. */
-void part_halves(support::core_fleet& fleet,
-                 void (support::core_fleet::*part)(std::size_t, std::size_t))
+/** Partitions the first half of the nodes from the second, by \p part for each pair. */
+void partition_halves(support::core_fleet& fleet,
+                      void (support::core_fleet::*part)(std::size_t, std::size_t))
 {
     const std::size_t half = fleet.size() / 2;
     for (std::size_t a = 0; a < half; ++a) {
@@ -226,14 +228,14 @@
          {}},
         {"disagreement_10s",
          [](support::core_fleet& fleet, int second) {
-             if (second % 60 == 20) part_halves(fleet, &support::core_fleet::cut_gossip);
+             if (second % 60 == 20) partition_halves(fleet, &support::core_fleet::cut_gossip);
              if (second % 60 == 30) fleet.heal();
          },
          1,
          {}},
         {"cut_10s",
          [](support::core_fleet& fleet, int second) {
-             if (second % 60 == 20) part_halves(fleet, &support::core_fleet::cut);
+             if (second % 60 == 20) partition_halves(fleet, &support::core_fleet::cut);
              if (second % 60 == 30) fleet.heal();
          },
          1,
@@ -258,8 +260,7 @@
     return options;
 }
 
-outcome_figures run_fleet(const workload& load, const scenario& item,
-                          const std::vector<arrival>& trace)
+run_result run_fleet(const workload& load, const scenario& item, const std::vector<arrival>& trace)
 {
     support::core_fleet fleet(make_options(load, item));
     fleet.run_for(seconds(12));
@@ -289,7 +290,7 @@
             node = random() % fleet.size();
         fleet.submit(node, turn.request);
     }
-    outcome_figures result;
+    run_result result;
     result.control_bytes =
         static_cast<double>(fleet.gossip_bytes) / static_cast<double>(fleet.size()) / load.span_s;
     fleet.run_for(seconds(400));
@@ -308,7 +309,8 @@
 
 enum class strategy : std::uint8_t { random, two_choices, rendezvous, bounded, omniscient };
 
-/** One router that sees everything, or what the strategy allows it to; servers as in the fleet. */
+/** A baseline: one router that sees the state of all servers as far as its strategy allows, with
+ * the same servers as the fleet. */
 class central_run {
 public:
     central_run(const workload& load, strategy how) : load(load), how(how)
@@ -322,7 +324,7 @@
         this->stale.resize(server_count);
     }
 
-    outcome_figures run(const std::vector<arrival>& trace, bool replace)
+    run_result run(const std::vector<arrival>& trace, bool replace)
     {
         skew_samples skew;
         double next_sample = 10;
@@ -346,7 +348,7 @@
             }
             this->place(turn);
         }
-        outcome_figures result;
+        run_result result;
         result.reuse = reuse_of(this->servers);
         result.worst_admission = this->admissions.worst_ratio;
         result.over_bound_share = static_cast<double>(this->admissions.over_bound) /
@@ -451,7 +453,7 @@
     support::admission_tally admissions;
 };
 
-void print(support::figures& out, const std::string& name, const outcome_figures& shown)
+void print(support::figures& out, const std::string& name, const run_result& shown)
 {
     out.note(name + ".reuse", shown.reuse, "ratio");
     out.note(name + ".worst_admission", shown.worst_admission, "load/mean");
@@ -471,10 +473,10 @@
         {"rendezvous", strategy::rendezvous}, {"bounded_no_memory", strategy::bounded},
         {"omniscient", strategy::omniscient},
     };
-    outcome_figures limit;
-    outcome_figures limit_churn;
+    run_result limit;
+    run_result limit_churn;
     for (const auto& [name, how] : baselines) {
-        const outcome_figures shown = central_run(load, how).run(calm, false);
+        const run_result shown = central_run(load, how).run(calm, false);
         print(out, prefix + "baseline." + name, shown);
         if (how != strategy::omniscient) continue;
         limit = shown;
@@ -482,7 +484,7 @@
         print(out, prefix + "baseline.omniscient_servers_replaced", limit_churn);
     }
     for (const scenario& item : make_scenarios()) {
-        const outcome_figures shown = run_fleet(load, item, item.surge > 1 ? surging : calm);
+        const run_result shown = run_fleet(load, item, item.surge > 1 ? surging : calm);
         const std::string name = prefix + item.name;
         print(out, name, shown);
         out.note(name + ".refused", shown.refused_share, "ratio");
@@ -500,7 +502,7 @@
     }
 }
 
-/** The size of the letter, for some seconds: 480 nodes before 1,400 servers. */
+/** A fleet of the target size, for some seconds: 480 nodes and 1,400 servers. */
 void measure_large(support::figures& out)
 {
     support::core_options options = support::target_size();
