--- a/test/performance/fairness.cpp
+++ b/test/performance/fairness.cpp
@@ -1,7 +1,7 @@
 /** \file
- * Waits under a surge: two of ten accounts send ten times their usual load, far above what the
- * servers take. The others' p99 wait in the surge over their p99 wait without it, beside the same
- * requests served first come, first served.
+ * Waiting times under a surge: two of ten accounts send ten times their usual load, far above the
+ * capacity of the servers. Measures the p99 wait of the other accounts during the surge relative to
+ * their p99 wait without it, compared to first come, first served for the same requests.
  */
 #include <algorithm>
 #include <deque>
@@ -17,12 +17,12 @@
 using namespace worksshift;
 
 constexpr double span_s = 80;
-constexpr double surge_from_s = 20; ///< the waits of others are compared from here to the end
+constexpr double surge_from_s = 20; ///< waits of other accounts are measured from here to the end
 constexpr double ms_per_cost = 5;
-constexpr double mean_cost = 200; ///< one second of a slot
+constexpr double mean_cost = 200; ///< occupies a slot for one second
 constexpr std::size_t server_count = 4;
 constexpr std::uint32_t server_limit = 8;
-constexpr double calm_rate = 26; ///< of 32 a second that fit
+constexpr double calm_rate = 26; ///< requests per second, of 32 that the slots can serve
 
 struct arrival {
     double at_s = 0;
@@ -30,7 +30,7 @@
     std::uint32_t cost = 0;
 };
 
-/** Answers differ widely in length. */
+/** An exponentially distributed cost, since responses differ widely in length. */
 std::uint32_t draw_cost(std::mt19937_64& random)
 {
     std::exponential_distribution<double> draw(1 / mean_cost);
@@ -53,7 +53,7 @@
     return trace;
 }
 
-/** Waits of the accounts that do not surge, and how many of their requests were served. */
+/** Waits of the accounts without a surge, and how many of their requests were served. */
 struct waits {
     std::vector<double> seconds;
     double served = 0;
@@ -96,8 +96,8 @@
     }
 }
 
-/** The same requests at one queue, first come, first served, with all slots behind it. */
-std::vector<double> waits_in_order(const std::vector<arrival>& trace)
+/** Baseline: waits of the same requests in one first-come, first-served queue for all slots. */
+std::vector<double> fcfs_waits(const std::vector<arrival>& trace)
 {
     std::multimap<double, int> free_slots;
     for (std::size_t i = 0; i < server_count * server_limit; ++i)
@@ -118,7 +118,7 @@
 {
     start_log(log_level::error, "measure");
     support::figures out;
-    // Waits of several runs are taken together: a p99 of one run hangs on a dozen requests.
+    // Waits of several runs are pooled, since the p99 of one run depends on a dozen requests.
     constexpr std::uint64_t runs = 12;
     waits calm;
     waits surging;
@@ -129,8 +129,8 @@
         const auto surging_trace = make_trace(10, seed);
         add_fleet_waits(calm_trace, seed, calm);
         add_fleet_waits(surging_trace, seed, surging);
-        std::ranges::copy(waits_in_order(calm_trace), std::back_inserter(calm_in_order));
-        std::ranges::copy(waits_in_order(surging_trace), std::back_inserter(surging_in_order));
+        std::ranges::copy(fcfs_waits(calm_trace), std::back_inserter(calm_in_order));
+        std::ranges::copy(fcfs_waits(surging_trace), std::back_inserter(surging_in_order));
     }
     const double wait_calm = support::percentile(calm.seconds, 0.99);
     const double wait_surge = support::percentile(surging.seconds, 0.99);
