--- a/test/performance/accounts.cpp
+++ b/test/performance/accounts.cpp
@@ -1,6 +1,7 @@
 /** \file
- * A fleet with many client accounts: how long the first configuration takes, and how long tokens
- * stand still while changes of single accounts are taken over. The streams' own interval is 20 ms.
+ * A fleet with many client accounts: the time to load the first configuration, and the gaps between
+ * tokens while changes of single accounts are applied. Without changes, streams have a token every
+ * 20 ms.
  */
 #include <chrono>
 #include <cstdlib>
@@ -14,7 +15,8 @@
 
 using support::percentile;
 
-/** Streams while \p changes are confirmed, one after another; the load tool's report. */
+/** Runs streams while \p changes account changes are made one after another, and counts those that
+ * failed in \p refused. Returns the load generator's report. */
 nlohmann::json load_while_changing(support::fleet& fleet, int changes, int& refused)
 {
     const std::string report = std::string(WORKSSHIFT_BINARY_DIR) + "/accounts-report.json";
