--- a/test/performance/path.cpp
+++ b/test/performance/path.cpp
@@ -1,7 +1,7 @@
 /** \file
- * What the path costs on loopback, in one run beside the fake engine called directly: requests a
- * second, added latency to the first token and per token, processor time per token, memory per
- * stream, and thousands of streams at once with every answer checked.
+ * Cost of the request path on loopback, compared in one run to direct calls of the fake engine:
+ * requests per second, added latency to the first token and per token, CPU time per token, memory
+ * per stream, and thousands of concurrent streams with every response checked.
  */
 #include <chrono>
 #include <thread>
@@ -69,14 +69,14 @@
     out.at_most("path.cpu_per_token", cpu * 1e6 / tokens, "us", 25);
     out.at_most("path.wrong_answers", routed["wrong"], "requests", 0);
 
-    // Requests with few tokens show the cost of a request.
+    // Requests with one token show the cost per request.
     const double cpu_short = total(fleet, cpu_seconds);
     const nlohmann::json short_run = fleet.load(
         {"--rate", "600", "--duration-s", "6", "--tokens", "1", "--chats", "2000", "--turns", "2"});
     const double short_cpu = total(fleet, cpu_seconds) - cpu_short;
     out.note("path.requests_per_core_second", short_run["whole"].get<double>() / short_cpu, "1/s");
 
-    // Many streams at once. Each stream sends a token every 500 ms, so that 5,000 fit one machine.
+    // Many concurrent streams, with a token every 500 ms each so that 5,000 fit on one machine.
     support::fleet_options slow = make_options();
     slow.engine_arguments = {"--prefill-us", "0", "--token-interval-ms", "500"};
     support::fleet wide(slow);
