--- a/src/chat_directory.h
+++ b/src/chat_directory.h
@@ -22,8 +22,7 @@
 public:
     chat_directory(std::size_t capacity, duration max_age) : capacity(capacity), max_age(max_age) {}
 
-    /** Records that a turn of the chat went to \p server at \p at, unless a later one is recorded.
-     */
+    /** Records that a turn of the chat went to \p server at \p at, unless a later one is known. */
     void record(const service_id& service, chat_key chat, const server_id& server, instant at);
     /** The server of the chat's latest turn; std::nullopt if there is no entry below the maximum
      * age. */
--- a/src/route_requests.cpp
+++ b/src/route_requests.cpp
@@ -289,10 +289,9 @@
 {
     request.last_step = refused.step;
     request.last_peer = refused.peer;
-    const bool is_final =
-        refused.reason == refusal::queue_full || refused.reason == refusal::deadline;
+    const bool final = refused.reason == refusal::queue_full || refused.reason == refusal::deadline;
     ++request.hops;
-    if (is_final || request.hops > 2 * t.settings.hops_at_most || now >= request.deadline) {
+    if (final || request.hops > 2 * t.settings.hops_at_most || now >= request.deadline) {
         fail_refused(t, request, refused);
         return;
     }
--- a/src/server_calls.cpp
+++ b/src/server_calls.cpp
@@ -180,8 +180,7 @@
     this->flush(item);
 }
 
-/** Sends as much as the window allows: complete events of a stream, any bytes of other responses.
- */
+/** Sends what the window allows: complete events of a stream, any bytes of other responses. */
 void server_calls::flush(call& item)
 {
     while (!item.pending.empty() && item.window > 0) {
--- a/test/fuzz/account_rate_spans_the_fleet.cpp
+++ b/test/fuzz/account_rate_spans_the_fleet.cpp
@@ -48,8 +48,7 @@
         fleet.run_for(seconds(12));
     }
 
-    /** Submits requests of the limited account at a multiple of its rate, and a few of another one.
-     */
+    /** Submits requests of the limited account at a multiple of its rate, and a few of another. */
     static void submit_load(support::core_fleet& fleet, int seconds_long, double multiple)
     {
         const auto interval = std::chrono::duration_cast<duration>(
@@ -120,8 +119,8 @@
             server.up = false;
         support::core_request request;
         request.account = "acc-1";
-        request.cost =
-            static_cast<std::uint32_t>(3 * quota_burst_s * rate); // would leave a negative balance
+        // If the request were paid, the level of the bucket would be negative.
+        request.cost = static_cast<std::uint32_t>(3 * quota_burst_s * rate);
         const std::size_t refused = fleet.submit(0, request);
         fleet.run_for(seconds(1));
         CPPUNIT_ASSERT(fleet.results[refused].end == ending::not_run);
--- a/test/fuzz/relay_takes_frames_in_order.cpp
+++ b/test/fuzz/relay_takes_frames_in_order.cpp
@@ -92,8 +92,8 @@
                     RC_ASSERT(passed == complete);
                     return;
                 }
-                if (!result)
-                    return; // its end frame was lost; in a node the deadline ends the request
+                // The end frame was lost; in a node, the deadline would end the request.
+                if (!result) return;
                 RC_ASSERT(result->tokens_passed == count_tokens(passed));
                 resume_from = result->tokens_passed;
                 abandoned_frames = make_frames(id, 0, tokens);
--- a/test/performance/placement.cpp
+++ b/test/performance/placement.cpp
@@ -111,8 +111,7 @@
 /** The results of a run. */
 struct run_result {
     double reuse = 0;
-    double worst_admission =
-        0; ///< largest ratio of a server's load before an admission to the mean after it
+    double worst_admission = 0; ///< highest load before an admission over the mean after it
     double over_bound_share = 0;
     double skew_p50 = 0; ///< of the ratio of the most loaded server to the mean, over time
     double skew_p99 = 0;
