--- a/src/server_calls.cpp
+++ b/src/server_calls.cpp
@@ -290,9 +290,9 @@
     std::vector<call*> timed_out;
     for (auto& [id, item] : this->calls) {
         const bool unconnected = !item->bytes_written && time - item->started > connect_timeout;
-        const bool unresponsive =
+        const bool receive_timed_out =
             item->bytes_written && !item->paused && time - item->last_received > this->idle_timeout;
-        if (unconnected || unresponsive) timed_out.push_back(item.get());
+        if (unconnected || receive_timed_out) timed_out.push_back(item.get());
     }
     for (call* item : timed_out) {
         const bool sent = item->bytes_written;
--- a/test/fuzz/account_rate_spans_the_fleet.cpp
+++ b/test/fuzz/account_rate_spans_the_fleet.cpp
@@ -119,7 +119,7 @@
             server.up = false;
         support::core_request request;
         request.account = "acc-1";
-        // If the request were paid, the level of the bucket would be negative.
+        // Paying for this request makes the level of the bucket negative.
         request.cost = static_cast<std::uint32_t>(3 * quota_burst_s * rate);
         const std::size_t refused = fleet.submit(0, request);
         fleet.run_for(seconds(1));
