--- a/src/server_table.cpp
+++ b/src/server_table.cpp
@@ -34,22 +34,25 @@
     return std::chrono::duration<double>(span).count();
 }
 
-/** An engine's failure is told until its weight has faded to this. */
-constexpr double least_failed_to_tell = 0.1;
-/** Nothing is concluded from fewer failures of an engine, as of their weight. */
-constexpr double least_failed = 1.5;
-/** A failing engine fails this many times as often as the engines of its service together. */
-constexpr double failing_of_usual = 1.5;
-/** In each data centre a failing engine is tried with one request in two seconds. */
+/** Results of an engine are reported to other VMs while the decayed weight of its failures is at
+ * least this. */
+constexpr double min_reported_failures = 0.1;
+/** An engine is not marked as failing while the decayed weight of its failures is below this. */
+constexpr double min_failures = 1.5;
+/** An engine counts as failing only if its failure rate exceeds that of all engines of its service
+ * by this factor. */
+constexpr double failing_rate_multiple = 1.5;
+/** In each data centre a failing engine gets one trial request every two seconds. */
 const cold_bound trial_bound(0.5, {1, 1});
 
-duration fade_of(const service_traits& traits)
+duration decay_time_of(const service_traits& traits)
 {
     return traits.engine ? recent_outcomes::engine_fade : recent_outcomes::plain_fade;
 }
 
-/** By how much the load of an engine has changed since it was stated, as a standard deviation. */
-double unseen(const service_load& load)
+/** Standard deviation of the change in an engine's load since it was reported, with arrivals taken
+ * as a Poisson process. */
+double load_deviation(const service_load& load)
 {
     if (load.span_s <= 0 || load.engines == 0) return 0;
     const double per_s = load.requests / static_cast<double>(load.engines) / load.span_s;
@@ -61,7 +64,7 @@
     return load_bound_multiple * mean + load_bound_spare;
 }
 
-/** Of each row for the key: all VMs rank the servers of a prompt alike. */
+/** Rendezvous weight of each row for the key. All VMs compute the same weights. */
 std::vector<std::uint64_t> rank_weights(std::span<server_entry* const> rows, std::uint64_t key)
 {
     std::vector<std::uint64_t> weights(rows.size());
@@ -71,7 +74,7 @@
     return weights;
 }
 
-/** The weight that stands at \p rank, counted from one. */
+/** The weight at position \p rank in descending order, counted from one. */
 std::uint64_t weight_at(std::vector<std::uint64_t> weights, std::size_t rank)
 {
     const std::size_t at = std::clamp<std::size_t>(rank, 1, weights.size()) - 1;
@@ -82,19 +85,20 @@
 
 } // namespace
 
-/** A server that started again and does not say for how long it is cold is so for the whole time
- * from now on: its entry may tell of a moment before it turned cold. */
-void server_table::note_cold(server_entry& row, bool restarted, instant now)
+/** A restarted server whose entry states no remaining cold time is treated as cold for the whole
+ * cold-start time of its service, as the entry may have been written before the server became
+ * cold. */
+void server_table::update_cold(server_entry& row, bool restarted, instant now)
 {
     const milliseconds told = row.record.cold_for;
     if (told > milliseconds{}) {
-        turn_cold(row, told, "entry", now);
+        mark_cold(row, told, "entry", now);
     } else if (restarted) {
-        turn_cold(row, this->services[row.record.service].traits.cold_start, "restart", now);
+        mark_cold(row, this->services[row.record.service].traits.cold_start, "restart", now);
     }
 }
 
-void server_table::turn_cold(server_entry& row, milliseconds span, std::string_view cause,
+void server_table::mark_cold(server_entry& row, milliseconds span, std::string_view cause,
                              instant now)
 {
     if (span <= milliseconds{}) return;
@@ -107,18 +111,18 @@
 
 void server_table::mark_unreachable(server_entry& row, instant now)
 {
-    turn_cold(row, this->services[row.record.service].traits.cold_start, "unreachable", now);
+    mark_cold(row, this->services[row.record.service].traits.cold_start, "unreachable", now);
 }
 
-/** Servers of a data centre that was evacuated may be cold when it is over. */
+/** Servers of a data centre may be cold when its evacuation ends, as they had no requests. */
 void server_table::set_evacuated(std::set<std::uint32_t> places, instant now)
 {
     this->evacuated = std::move(places);
     for (auto& [id, row] : this->table) {
         const bool before = std::exchange(
             row.evacuated, this->evacuated.contains(short_hash(row.record.data_centre)));
-        const milliseconds whole = this->services[row.record.service].traits.cold_start;
-        if (before && !row.evacuated) turn_cold(row, whole, "evacuation", now);
+        const milliseconds cold_start = this->services[row.record.service].traits.cold_start;
+        if (before && !row.evacuated) mark_cold(row, cold_start, "evacuation", now);
     }
 }
 
@@ -155,7 +159,8 @@
     }
 }
 
-/** Whether the server bears one more request of this VM now. */
+/** Whether the server accepts a request of this VM now: it is in no back-off period, and the limit
+ * for cold servers permits one. */
 bool server_table::is_open(const service_state& group, const server_entry& row, instant now) const
 {
     return !row.rests(now) && (!group.traits.limits_cold() || row.cold.open(now));
@@ -181,7 +186,7 @@
     if (group == this->services.end()) return std::nullopt;
     std::optional<instant> first;
     for (const server_entry* row : group->second.rows) {
-        // Who comes back may be sent to where this request has been.
+        // Servers already tried count: the caller's later retry may be sent to them again.
         if (!row->takes_work() || !is_allowed(*row, wanted)) continue;
         if (this->is_open(group->second, *row, now)) continue;
         const bool cold = group->second.traits.limits_cold() && !row->cold.open(now);
@@ -220,11 +225,11 @@
     row.life = life_of(record);
     row.leaving = this->words.leaving(row.life);
     row.rests_until = this->words.rests_until(row.life);
-    row.outcomes.set_fade(fade_of(this->services[record.service].traits));
+    row.outcomes.set_fade(decay_time_of(this->services[record.service].traits));
     row.evacuated = this->evacuated.contains(short_hash(record.data_centre));
     const auto region = this->regions.find(record.data_centre);
     if (region != this->regions.end()) row.region = region->second;
-    this->note_cold(row, restarted, now);
+    this->update_cold(row, restarted, now);
     this->by_short_hash[static_cast<std::uint32_t>(row.hash)] = &row;
     this->by_life[row.life] = &row;
     row.gone = false;
@@ -237,7 +242,7 @@
     std::erase(this->services[row.record.service].rows, &row);
     this->by_short_hash.erase(static_cast<std::uint32_t>(row.hash));
     this->by_life.erase(row.life);
-    this->former.push_back(this->table.extract(row.record.id));
+    this->retired.push_back(this->table.extract(row.record.id));
 }
 
 bool server_table::remove(const server_id& id)
@@ -303,7 +308,7 @@
     std::erase_if(this->by_short_hash, [](const auto& entry) { return entry.second->over(); });
     std::erase_if(this->by_life, [](const auto& entry) { return entry.second->over(); });
     std::erase_if(this->table, [](const auto& entry) { return entry.second.over(); });
-    std::erase_if(this->former, [](const auto& node) { return node.mapped().over(); });
+    std::erase_if(this->retired, [](const auto& node) { return node.mapped().over(); });
 }
 
 service_load server_table::load_of(const service_id& service) const
@@ -350,7 +355,7 @@
     const auto found = this->by_short_hash.find(item.server);
     if (found == this->by_short_hash.end()) return;
     const instant stated_at = heard_at - item.age * stated_age_unit;
-    // Before that it may have been the word of the server's former life.
+    // An older report may come from the previous incarnation of the server.
     if (stated_at < found->second->listed_at) return;
     found->second->state(item.requests, stated_at);
 }
@@ -398,7 +403,7 @@
     for (auto& [id, row] : this->table) {
         const outcome_sum sum = std::exchange(row.untold, {});
         if (sum.answered + sum.failed == 0) continue;
-        if (this->is_engine(row) && row.outcomes.failed() < least_failed_to_tell) continue;
+        if (this->is_engine(row) && row.outcomes.failed() < min_reported_failures) continue;
         const duration mean = sum.time / std::max<std::uint32_t>(sum.answered, 1);
         news.push_back({static_cast<std::uint32_t>(row.hash), byte(sum.answered), byte(sum.failed),
                         byte(mean / told_time_unit)});
@@ -421,7 +426,7 @@
     service_state& group = this->services[service];
     group.traits = traits;
     for (server_entry* row : group.rows)
-        row->outcomes.set_fade(fade_of(traits));
+        row->outcomes.set_fade(decay_time_of(traits));
 }
 
 void server_table::mark_failing(const fleet_members& members, instant now)
@@ -445,14 +450,15 @@
             row->failing = false;
         return;
     }
-    // A fault of the callers, or of a model, is no reason to leave single engines alone.
+    // Failures common to all engines come from the requests or the model, so the limit rises with
+    // the failure rate of the service.
     const double usual = failed / (tries + 1);
-    const double limit = std::max(this->policy.failing_share, failing_of_usual * usual);
+    const double limit = std::max(this->policy.failing_share, failing_rate_multiple * usual);
     fleet_members place = members;
     place.data_centres = {members.data_centre};
     for (server_entry* row : group.rows) {
         const double share = row->outcomes.failed() / (row->outcomes.tries() + 1);
-        if (!row->failing && share > limit && row->outcomes.failed() >= least_failed) {
+        if (!row->failing && share > limit && row->outcomes.failed() >= min_failures) {
             this->set_failing(*row, true, now);
         } else if (row->failing && share < limit / 2) {
             this->set_failing(*row, false, now);
@@ -495,13 +501,13 @@
     const auto quartile = delays.begin() + static_cast<std::ptrdiff_t>(delays.size() / 4);
     std::ranges::nth_element(delays, quartile);
     const auto usual = std::chrono::duration_cast<duration>(*quartile * this->policy.slow_multiple);
-    // What is well within the objective is not worth a copy of the prompt elsewhere.
+    // A delay well within the objective does not justify processing the prompt on another engine.
     const duration limit = std::max(usual, group.objective / 2);
     for (server_entry* row : group.rows)
         row->slow = row->first_delay.known() && row->first_delay.recent(now) > limit;
 }
 
-/** Requests wait for a slot so long at most. */
+/** Maximum forecast waiting time for a slot; duration::max() if there is no limit. */
 duration server_table::wait_limit(const service_state& group) const
 {
     if (this->policy.wait_of_objective <= 0 || group.objective == duration{}) {
@@ -510,8 +516,10 @@
     return std::chrono::duration_cast<duration>(group.objective * this->policy.wait_of_objective);
 }
 
-/** \p near: the engine is among the first in rank of the prompt. \p spread: of this request, by
- * which the limit is higher or lower. */
+/** Whether a slot becomes free within the wait limit. \p near: the engine is among the
+ * highest-ranked for the prompt; others must have a share of their slots free. \p spread: random
+ * offset of this request, in requests, so that the VMs do not all switch engines at the same load.
+ */
 bool server_table::has_slot(const service_state& group, const server_entry& row, bool near,
                             double spread) const
 {
@@ -521,12 +529,12 @@
     return row.load() + 1 + std::abs(spread) <= this->policy.free_share * row.record.slots;
 }
 
-server_table::choice server_table::candidates(const placing& wanted, instant now)
+server_table::candidate_list server_table::candidates(const placing& wanted, instant now)
 {
     const auto found = this->services.find(wanted.service);
     if (found == this->services.end()) return {};
     const service_state& group = found->second;
-    choice made;
+    candidate_list made;
     row_list& open = made.rows;
     std::ranges::copy_if(group.rows, std::back_inserter(open),
                          [&wanted](const server_entry* row) { return may_serve(*row, wanted); });
@@ -534,7 +542,8 @@
     std::ranges::copy_if(open, std::back_inserter(healthy), [now](const server_entry* row) {
         return row->health.usable(now) && !row->quiet(now) && !row->avoided(now);
     });
-    // When most seem to fail, the fault is elsewhere, and leaving them alone would serve nobody.
+    // If more than half of the servers look unhealthy, the cause is probably elsewhere, and
+    // excluding them would leave the remaining ones overloaded.
     if (healthy.size() * 2 >= open.size() && !healthy.empty()) open = std::move(healthy);
     if (!open.empty()) made.mean_load = mean_load(open);
     std::erase_if(open, [&](const server_entry* row) { return !this->is_open(group, *row, now); });
@@ -543,7 +552,7 @@
 
 placed server_table::choose(const placing& wanted, instant now)
 {
-    const choice open = this->candidates(wanted, now);
+    const candidate_list open = this->candidates(wanted, now);
     const row_list& rows = open.rows;
     if (rows.empty()) return {};
     placed result;
@@ -562,17 +571,21 @@
     return result;
 }
 
-/** While half of the slots are free, an engine over the bound makes nobody wait, and the margin
- * would only have prompts copied (quiet fleet of 87 VMs: worth 0.869 without it, 0.837 with it). */
+/** Load bound of an engine, lowered by a margin for load reports that are out of date. No margin
+ * while the share of occupied slots is below `free_share`: an engine above the bound then delays no
+ * request, and the margin would only cause prompts to be processed on more engines (lightly loaded
+ * fleet of 87 VMs: `worth` of 0.869 without the margin, 0.837 with it). */
 double server_table::load_bound_of(const service_state& group, double mean) const
 {
     const bool free = group.sum.requests < this->policy.free_share * group.sum.slots;
     if (free) return load_bound(mean);
-    return std::max(load_bound(mean) - this->policy.lateness_margin * unseen(group.sum), mean + 1);
+    return std::max(load_bound(mean) - this->policy.lateness_margin * load_deviation(group.sum),
+                    mean + 1);
 }
 
-/** Lets the first in rank change places, so that requests of one prompt are spread over them. */
-void server_table::shuffle_first(std::vector<std::uint64_t>& weights, std::size_t count)
+/** Permutes the \p count highest weights at random, which spreads the requests of one prompt over
+ * these engines. */
+void server_table::shuffle_highest(std::vector<std::uint64_t>& weights, std::size_t count)
 {
     const std::uint64_t last = weight_at(weights, count);
     std::vector<std::uint64_t> first;
@@ -585,9 +598,9 @@
     }
 }
 
-/** Looks at each server once: sorting them all by rank took 301 us at 1,400 servers, this takes
+/** Selects in linear time: sorting all servers by rank took 301 us with 1,400 servers, this takes
  * 38 us (`measure router`). */
-placed server_table::choose_engine(const placing& wanted, const choice& open)
+placed server_table::choose_engine(const placing& wanted, const candidate_list& open)
 {
     const service_state& group = this->services[wanted.service];
     const row_list& rows = open.rows;
@@ -595,7 +608,7 @@
     result.mean_load = open.mean_load;
     const double bound = this->load_bound_of(group, result.mean_load);
     std::vector<std::uint64_t> weights = rank_weights(rows, wanted.affinity);
-    if (wanted.engines > 1) this->shuffle_first(weights, wanted.engines);
+    if (wanted.engines > 1) this->shuffle_highest(weights, wanted.engines);
     const std::size_t ranks =
         wanted.affinity == 0
             ? rows.size()
@@ -623,12 +636,12 @@
     return result;
 }
 
-/** The first in rank beside the chosen server. It had the requests of this rank before the chosen
- * one was added, or has them while the chosen one only helps out; a leaving server still counts, as
- * it answers until it ends, and a cold one does not, as its memory is empty. Copying cached tokens
- * costs a tenth of reading them again: on a calm day with 10 of 18 servers replaced or added, 0.27
- * million tokens were read again instead of 0.85.
- */
+/** The highest-ranked server other than the selected one. It received the requests with this key
+ * before the selected one was added, or receives them normally while the selected one takes its
+ * overflow. A server that is shutting down is included, as it answers until it exits; a cold one is
+ * not, as its cache is empty. Copying cached tokens costs a tenth of processing them again: on a
+ * day without faults with 10 of 18 servers replaced or added, 0.27 million tokens were processed
+ * again instead of 0.85 million. */
 const server_entry* server_table::find_cached(const placing& wanted, const server_entry& chosen,
                                               instant now) const
 {
@@ -637,10 +650,10 @@
     const server_entry* best = nullptr;
     std::uint64_t best_weight = 0;
     for (const server_entry* row : group->second.rows) {
-        const bool sound = !row->gone && !row->replaced && row->health.usable(now) &&
-                           !row->quiet(now) && !row->cold.cold(now) && !row->rests(now) &&
-                           is_allowed(*row, wanted);
-        if (row == &chosen || !sound) continue;
+        const bool eligible = !row->gone && !row->replaced && row->health.usable(now) &&
+                              !row->quiet(now) && !row->cold.cold(now) && !row->rests(now) &&
+                              is_allowed(*row, wanted);
+        if (row == &chosen || !eligible) continue;
         const std::uint64_t weight = rendezvous_weight(wanted.affinity, row->hash);
         if (best != nullptr && weight <= best_weight) continue;
         best = row;
--- a/src/server_table.h
+++ b/src/server_table.h
@@ -1,10 +1,11 @@
 /** \file
- * The servers as one VM sees them, and the choice of one for a request.
+ * The servers as one VM sees them, and the selection of a server for a request.
  *
- * Model engines are chosen by the prompt: all VMs rank the servers alike for the part of the prompt
- * that is shared with other requests, so the tokens of that part are read once in the whole fleet
- * and no VM has to ask another. The first in rank that is below the load bound is taken. Plain
- * services go by load and distance.
+ * Model engines are selected by rendezvous hashing with bounded loads. The key is the part of the
+ * prompt that is shared with other requests, so all VMs compute the same ranking without asking
+ * each other, and the tokens of that part are processed once in the whole fleet. The highest-ranked
+ * engine below the load bound is taken. Servers of plain services are selected by load, recent
+ * response times and data centre.
  */
 #pragma once
 
@@ -28,134 +29,149 @@
 
 namespace worksshift {
 
-/** A server takes a request if its load stays below this multiple of the mean of its service, plus
- * the spare below. The users' bound is twice the mean and three; the distance to it covers what the
- * VMs do not know of each other yet. From 1.35 and 2 to these values the shared tokens that were
- * read again on a calm day fell from 1.30 to 0.85 million, with first tokens as early as before. */
+/** An engine may take a request if its load stays within this multiple of the mean load of its
+ * service plus `load_bound_spare` requests. The specified bound is twice the mean plus three; the
+ * margin covers requests that other VMs have sent and not yet reported. Raising the values from
+ * 1.35 and 2 to these reduced the shared tokens that were processed again on a day without faults
+ * from 1.30 to 0.85 million, with unchanged delays of first tokens. */
 constexpr double load_bound_multiple = 1.7;
-constexpr double load_bound_spare = 2.5;
-/** From this share of its bound on a server is busy. */
+constexpr double load_bound_spare = 2.5; ///< requests
+/** A server whose load reaches this share of its load bound is reported to other VMs as busy. */
 constexpr double busy_share = 0.7;
+/** What the selection needs to know of a request. */
 struct placing {
     service_id service;
     bool engine = false;
-    std::uint64_t affinity = 0; ///< hash of the shared part of the prompt; 0: none
-    std::span<const server_id> tried;
-    unsigned priority = 0;   ///< 0 is the most urgent
-    std::size_t engines = 1; ///< that the prompt is spread over, the first in rank
-    bool repeatable = false; ///< it may be sent to another server when the first one fails
-    /** Where the request may be served: one list of the route and one of the client account, each
-     * empty for anywhere. Both bind. */
+    std::uint64_t affinity = 0;       ///< hash of the shared part of the prompt; 0: none
+    std::span<const server_id> tried; ///< servers that earlier attempts went to; not selected again
+    unsigned priority = 0;            ///< 0 is the most urgent
+    std::size_t engines = 1; ///< number of highest-ranked engines that share the prompt's requests
+    bool repeatable = false; ///< may be sent to another server if the first attempt fails
+    /** Regions in which the request may be served: the route's list and the client account's list.
+     * An empty list allows all regions; a region must be allowed by both. */
     std::array<std::span<const region_id>, 2> allowed_regions{};
 };
 
+/** The selected server, and the figures behind the selection. */
 struct placed {
-    server_entry* row = nullptr; ///< nullptr: no server of the service takes work
-    std::size_t rank = 0;        ///< 0: the first choice
+    server_entry* row = nullptr; ///< nullptr: no server of the service accepts the request
+    std::size_t rank = 0;        ///< of the selected server; 0: the highest-ranked
     std::size_t candidates = 0;
-    std::uint32_t load = 0; ///< of the chosen one, before this request
+    std::uint32_t load = 0; ///< requests at the selected server, without this one
     double mean_load = 0;
-    duration wait{};       ///< for a slot of the chosen one, as forecast
-    bool crowded = false;  ///< no engine has a slot for the request in time
-    double expected_s = 0; ///< until an answer of use, for plain servers
-    /** Likely holds the shared part of the prompt when the chosen one does not; nullptr: none. */
+    duration wait{};       ///< forecast waiting time for a slot of the selected server
+    bool crowded = false;  ///< no engine is below its bounds on load and on waiting for a slot
+    double expected_s = 0; ///< expected time to a successful answer; plain servers only
+    /** Server that probably has the shared part of the prompt cached if the selected one does not;
+     * nullptr if there is none. */
     const server_entry* cached_at = nullptr;
 };
 
-/** The engines of a service together, those that are failing or out of reach left out. */
+/** Totals over the engines of a service that accept requests. Engines that are failing,
+ * unreachable, cold or in a back-off period are left out. */
 struct service_load {
     std::size_t engines = 0;
     double slots = 0;
     double requests = 0;
-    double span_s = 0;      ///< for which a request holds a slot, mean
-    std::size_t stated = 0; ///< engines whose own word is known
-    double age_s = 0;       ///< of what they stated, mean
+    double span_s = 0;      ///< mean time for which a request occupies a slot
+    std::size_t stated = 0; ///< engines with a current load report of their own
+    double age_s = 0;       ///< mean age of these reports
 };
 
+/** The servers that this VM knows, by id, with their load and health. */
 class server_table {
 public:
-    /** \p seed: of what is drawn, so that a run can be repeated. */
+    /** \p here: the VM's own data centre. \p seed: of the random numbers, for reproducible runs. */
     explicit server_table(data_centre_id here, unsigned seed = std::random_device{}())
         : here(std::move(here)), random(seed)
     {
     }
 
-    /** Adds or updates. A server that started again under its id is a new one: attempts at its
-     * former life stay with a row of their own until they end. What is told of a life before the
-     * one that is known changes nothing. Returns whether anything changed. */
+    /** Adds or updates the entry of a server. A server that restarted under its id is a new
+     * incarnation with a new row; the row of the previous incarnation is kept until the attempts
+     * sent to it have ended. A record of an incarnation older than the known one is ignored.
+     * Returns true if the server is new or listed again, or its service or draining state
+     * changed. */
     bool put(const server_record& record, instant now = {});
-    /** Whether the record tells of a life of the server before the one that is known. */
+    /** Whether the record describes an older incarnation of the server than the known one. */
     [[nodiscard]] bool is_former(const server_record& record) const;
-    /** The registry does not list the server any more. Returns whether it did before. */
+    /** The registry no longer lists the server. Returns whether it was listed before. */
     bool remove(const server_id& id);
-    /** Another server answered at the address. */
+    /** Another server answered at the address of this one. */
     void mark_replaced(const server_id& id);
-    /** A server's own answer says that it leaves. Returns whether it was not known. */
+    /** A response of the server announced that it is shutting down. Returns whether this is new. */
     bool mark_leaving(server_entry& row);
-    /** Another VM was told so. Likewise. */
+    /** Another VM reported such an announcement. Returns whether this is new. */
     bool mark_leaving(server_life life);
-    /** Servers that leave by their own word while the registry lists them as ready: lives of the
-     * first so many. */
+    /** Incarnations of servers that announced their shutdown while the registry still lists them as
+     * ready; at most \p count of them. */
     [[nodiscard]] std::vector<std::uint32_t> leaving_early(std::size_t count) const;
-    /** The server turned a request of this VM away, and wants nothing of it for so long. */
+    /** The server rejected a request and asked this VM to send nothing for \p span. */
     void mark_resting(server_entry& row, duration span, instant now);
-    /** A connection to the server was refused or timed out: it may be about to start again. */
+    /** A connection to the server was refused or timed out. It may be restarting, so it is treated
+     * as cold. */
     void mark_unreachable(server_entry& row, instant now);
-    /** The data centres, by the low half of their names' hashes, whose servers take no requests. */
+    /** Sets the data centres whose servers get no new requests, by the low 32 bits of the hashes of
+     * their names. */
     void set_evacuated(std::set<std::uint32_t> places, instant now);
-    /** Regions of the data centres; of others it is not known. */
+    /** Sets the region of each data centre. The region of a data centre not listed is unknown. */
     void set_regions(std::map<data_centre_id, region_id> known);
     void set_traits(const service_id& service, const service_traits& traits);
-    /** Compares how often the engines of a service failed lately; once a tick. One that fails much
-     * more often than the others is left alone by all VMs but one of each data centre, which tries
-     * it with a request now and then, as the others hear how that ended. */
+    /** Compares the recent failure rates of the engines of each service. Called once per tick. An
+     * engine that fails much more often than the others is avoided by all VMs except one in each
+     * data centre, which sends it an occasional trial request and reports the result to
+     * the others. */
     void mark_failing(const fleet_members& members, instant now);
-    /** Works out what this VM may send to each cold server; once a tick. */
+    /** Computes how many requests this VM may send to each cold server. Called once per tick. */
     void share_cold(const fleet_members& members, instant now);
     [[nodiscard]] std::size_t cold_servers(instant now) const;
-    /** When a server that is cold or rests takes a request of this VM; nothing: none is or does. */
+    /** The earliest time at which a server that is cold or in a back-off period accepts a request
+     * of this VM; std::nullopt if no server of the service is in such a state. */
     [[nodiscard]] std::optional<instant> opens_at(const placing& wanted, instant now) const;
     [[nodiscard]] server_entry* find(const server_id& id);
-    /** nullptr when another life of the server is known, or none. */
+    /** nullptr if the incarnation is unknown or no longer the current one of its server. */
     [[nodiscard]] server_entry* find(server_life life);
+    /** Selects a server for the request. */
     placed choose(const placing& wanted, instant now);
-    /** A request held a slot of the server for \p span. */
+    /** A request occupied a slot of the server for \p span. */
     void on_finished(const server_entry& row, duration span)
     {
         this->services[row.record.service].forecast.on_finished(span);
     }
-    /** Engines should begin with requests to the service within this time. */
+    /** Target for the time until an engine sends the first event of a response. */
     void set_objective(const service_id& service, duration objective)
     {
         this->services[service].objective = objective;
     }
     placement_policy policy;
-    cold_tolerance cold; ///< of the users' bound
-    /** As of the last `sum_loads`. */
+    cold_tolerance cold; ///< what the specified bound on requests to cold servers allows
+    /** Totals as of the last call of `sum_loads`. */
     [[nodiscard]] service_load load_of(const service_id& service) const;
-    /** Adds the loads of each service up; once a tick. */
+    /** Computes the load totals of each service. Called once per tick. */
     void sum_loads(instant now);
-    /** Servers near their load bound: what other VMs need to know of first. */
+    /** Servers near their load bound, which are reported to other VMs first. */
     [[nodiscard]] std::vector<const server_entry*> busy() const;
-    /** Another VM was told the load of a server. */
+    /** Applies the load of a server that another VM received from it. */
     void take_stated(const stated_load& item, instant heard_at);
-    /** The newest loads that servers stated to this VM since the last call. */
+    /** Returns the loads that servers reported to this VM since the last call, the newest first. */
     std::vector<stated_load> take_news(instant now);
-    /** An attempt at a server ended. \p failed: it got no answer of use. */
+    /** An attempt at a server ended. \p failed: without a usable answer. */
     static void on_answered(server_entry& row, duration span, bool failed, instant now);
-    /** Another VM tells of its attempts at a server. */
+    /** Applies the results that another VM reports of its attempts at a server. */
     void take_outcomes(const told_outcomes& item, instant now);
-    /** This VM's attempts at servers since the last call, the failed ones first. Of engines that
-     * have not failed lately nothing is told, so that they cost no bytes. */
+    /** Returns the results of this VM's attempts since the last call, servers with the most
+     * failures first. Engines without recent failures are left out to save bandwidth. */
     std::vector<told_outcomes> take_outcome_news();
-    /** Stated loads that are too old count no more. */
+    /** Stops using reported loads older than `stated_load_for`. Called once per tick. */
     void expire_stated(instant now);
-    /** Compares the engines' recent delays; once a tick. */
+    /** Marks engines whose recent delays are far above those of the others. Called once per tick.
+     */
     void mark_slow(instant now);
-    /** Frees rows that are gone and idle, and forgets rests that are over. */
+    /** Removes rows that are no longer listed and have no request in flight, and expired back-off
+     * periods. */
     void sweep(instant now = {});
 
-    /** When the loads of the other VMs were last added up. */
+    /** When the loads reported by the other VMs were last summed up. */
     instant peers_summed_at{};
 
     [[nodiscard]] std::map<server_id, server_entry>& rows() { return this->table; }
@@ -164,39 +180,41 @@
 private:
     using row_list = std::vector<server_entry*>;
     struct service_state;
-    /** Servers that a request may go to. */
-    struct choice {
+    /** Servers that a request may be sent to now. */
+    struct candidate_list {
         row_list rows;
-        double mean_load = 0; ///< with those that are too cold for the request
+        double mean_load = 0; ///< also over servers that are cold or in a back-off period
     };
 
-    choice candidates(const placing& wanted, instant now);
-    placed choose_engine(const placing& wanted, const choice& open);
+    candidate_list candidates(const placing& wanted, instant now);
+    placed choose_engine(const placing& wanted, const candidate_list& open);
     [[nodiscard]] bool is_open(const service_state& group, const server_entry& row,
                                instant now) const;
-    /** Whether the request may be served in the server's region. */
+    /** Whether the regions allowed for the request include the server's region. */
     static bool is_allowed(const server_entry& row, const placing& wanted);
     static bool may_serve(const server_entry& row, const placing& wanted);
-    void note_cold(server_entry& row, bool restarted, instant now);
-    static void turn_cold(server_entry& row, milliseconds span, std::string_view cause,
+    void update_cold(server_entry& row, bool restarted, instant now);
+    static void mark_cold(server_entry& row, milliseconds span, std::string_view cause,
                           instant now);
     [[nodiscard]] const server_entry* find_cached(const placing& wanted, const server_entry& chosen,
                                                   instant now) const;
 
     data_centre_id here;
     using row_map = std::map<server_id, server_entry>;
-    row_map table; ///< references to rows stay valid
+    row_map table; ///< references to rows stay valid while other rows are added or removed
     std::map<data_centre_id, region_id> regions;
     std::set<std::uint32_t> evacuated;
-    /** Rows of servers that started again, until what was sent to them before has ended. */
-    std::vector<row_map::node_type> former;
-    /** The servers of one service and what they have in common. */
+    /** Rows of previous incarnations of restarted servers, kept until the attempts sent to them
+     * have ended. */
+    std::vector<row_map::node_type> retired;
+    /** The servers of one service and their shared state. */
     struct service_state {
         row_list rows;
         slot_forecast forecast;
         service_load sum;
         service_traits traits;
-        duration objective{}; ///< to the first event, the shortest of its routes; zero: none
+        duration
+            objective{}; ///< target time to the first event, the shortest of its routes; zero: none
 
         [[nodiscard]] duration wait_at(const server_entry& row) const
         {
@@ -209,13 +227,13 @@
     [[nodiscard]] bool is_engine(const server_entry& row) const;
     [[nodiscard]] double load_bound_of(const service_state& group, double mean) const;
     [[nodiscard]] duration wait_limit(const service_state& group) const;
-    void shuffle_first(std::vector<std::uint64_t>& weights, std::size_t count);
+    void shuffle_highest(std::vector<std::uint64_t>& weights, std::size_t count);
     void mark_slow(service_state& group, instant now) const;
     void share_cold(service_state& group, const fleet_members& members, instant now);
     void mark_failing(service_state& group, const fleet_members& members, instant now);
     void set_failing(server_entry& row, bool failing, instant now);
 
-    /** Takes the row out of the table, and keeps it until it is idle. */
+    /** Moves the row of a previous incarnation from the table to `retired`. */
     void retire(server_entry& row);
 
     std::unordered_map<service_id, service_state> services;
@@ -225,11 +243,11 @@
     std::minstd_rand random;
 };
 
-/** The life of the server that the record tells of. */
+/** The incarnation of the server that the record describes. */
 server_life life_of(const server_record& record);
 
-/** What requests that share cached tokens have in common: the last part but the request's own.
- * 0 when the prompt has no shared part. */
+/** Hash by which requests that share cached tokens are recognized: the id of the last part before
+ * the request's own, or of the only part. 0 if the prompt is empty. */
 std::uint64_t affinity_of(std::span<const prompt_part> prompt);
 
 } // namespace worksshift
