--- a/src/crash_suspects.cpp
+++ b/src/crash_suspects.cpp
@@ -10,10 +10,10 @@
 
 namespace {
 
-/** An attempt whose server nobody could check by then is not counted. */
-constexpr duration checked_within = seconds(5);
-/** From so many ends on, all VMs should know of a content soon. */
-constexpr std::size_t ends_until_urgent = 2;
+/** A broken attempt is not counted if its server could not be checked within this time. */
+constexpr duration check_timeout = seconds(5);
+/** Number of crashes from which on a content is reported to all VMs without delay. */
+constexpr std::size_t crashes_until_urgent = 2;
 
 content_key key_of(const crash_report& report)
 {
@@ -28,8 +28,8 @@
 
 duration pause_before_trial(std::uint8_t trials)
 {
-    constexpr unsigned doublings_at_most = 8;
-    const auto factor = 1U << std::min<unsigned>(trials, doublings_at_most);
+    constexpr unsigned max_doublings = 8;
+    const auto factor = 1U << std::min<unsigned>(trials, max_doublings);
     return std::min<duration>(first_trial_after * factor, longest_until_trial);
 }
 
@@ -57,10 +57,10 @@
     for (const crash_report& report : reports) {
         if (!this->add(report, now)) continue;
         added = true;
-        this->queue(this->for_near, report);
-        this->queue(this->for_distant, report);
+        this->enqueue(this->for_near, report);
+        this->enqueue(this->for_distant, report);
     }
-    if (added) this->judge(now);
+    if (added) this->block_suspects(now);
 }
 
 void crash_suspects::on_answered(content_key content, instant now)
@@ -70,11 +70,11 @@
     suspect& item = found->second;
     if (item.is_blocked) {
         log_event(log_level::info, "request_cleared",
-                  {{"content", to_text(content)}, {"ends", item.ends.size()}});
+                  {{"content", to_text(content)}, {"ends", item.crashes.size()}});
         this->urgent = true;
     }
-    // Others need to know only where they may be about to block it.
-    if (item.is_blocked || item.ends.size() >= ends_until_urgent) item.cleared = true;
+    // Other VMs need to know only if they have blocked it or may be about to.
+    if (item.is_blocked || item.crashes.size() >= crashes_until_urgent) item.cleared = true;
     this->clear(item, now);
 }
 
@@ -83,23 +83,23 @@
     found.is_blocked = false;
     found.trials = 0;
     found.changed = now;
-    found.settled.merge(found.ends);
-    found.ends.clear();
-    while (found.settled.size() > settled_at_most)
-        found.settled.erase(found.settled.begin());
+    found.answered_crashes.merge(found.crashes);
+    found.crashes.clear();
+    while (found.answered_crashes.size() > settled_at_most)
+        found.answered_crashes.erase(found.answered_crashes.begin());
 }
 
-/** Ends of servers under the content, those included that are not known for certain yet: the VM
- * that saw them need not wait before it stops. */
-std::size_t crash_suspects::ends_with_unchecked(content_key content) const
+/** Number of crashes with the content in flight, including attempts whose servers have not been
+ * checked yet: the VM that made them stops sending without waiting for the check. */
+std::size_t crash_suspects::crashes_with_unchecked(content_key content) const
 {
-    std::set<server_life> ends;
+    std::set<server_life> crashes;
     const auto found = this->suspects.find(content);
-    if (found != this->suspects.end()) ends = found->second.ends;
+    if (found != this->suspects.end()) crashes = found->second.crashes;
     for (const broken_attempt& item : this->unchecked) {
-        if (item.content == content) ends.insert(item.server);
+        if (item.content == content) crashes.insert(item.server);
     }
-    return ends.size();
+    return crashes.size();
 }
 
 std::optional<block> crash_suspects::blocked(content_key content, instant now) const
@@ -107,13 +107,14 @@
     if (this->suspects.empty() && this->unchecked.empty()) return std::nullopt;
     const auto found = this->suspects.find(content);
     if (found == this->suspects.end() || !found->second.is_blocked) {
-        const bool enough = this->ends_with_unchecked(content) >= ends_until_blocked;
+        const bool enough = this->crashes_with_unchecked(content) >= ends_until_blocked;
         return enough ? std::optional(block{}) : std::nullopt;
     }
     const duration pause = pause_before_trial(found->second.trials);
     const duration left = found->second.changed + pause - now;
     if (left > duration::zero()) return block{left, false};
-    // Unless this VM makes the trial: the one that does may get no such request for a while.
+    // If this VM does not make the trials, its caller waits further: the VM that does may get no
+    // request with this content for a while.
     return block{pause / 2, true};
 }
 
@@ -123,69 +124,74 @@
     item.changed = now;
     if (item.trials < std::numeric_limits<std::uint8_t>::max()) ++item.trials;
     this->urgent = true;
-    log_event(
-        log_level::info, "request_tried",
-        {{"content", to_text(content)}, {"ends", item.ends.size()}, {"trial", int{item.trials}}});
+    log_event(log_level::info, "request_tried",
+              {{"content", to_text(content)},
+               {"ends", item.crashes.size()},
+               {"trial", int{item.trials}}});
 }
 
 bool crash_suspects::add(const crash_report& report, instant now)
 {
     const server_life server{report.server};
-    if (std::ranges::find(this->explained, server) != this->explained.end()) return false;
-    if (!this->suspects.contains(key_of(report))) this->make_room();
+    if (std::ranges::find(this->explained_crashes, server) != this->explained_crashes.end())
+        return false;
+    if (!this->suspects.contains(key_of(report))) this->evict_oldest();
     suspect& found = this->suspects[key_of(report)];
-    if (found.settled.contains(server) || !found.ends.insert(server).second) return false;
+    if (found.answered_crashes.contains(server) || !found.crashes.insert(server).second)
+        return false;
     found.changed = now;
-    if (found.is_blocked) this->explain({server});
-    if (found.ends.size() >= ends_until_urgent) this->urgent = true;
+    if (found.is_blocked) this->mark_explained({server});
+    if (found.crashes.size() >= crashes_until_urgent) this->urgent = true;
     return true;
 }
 
-/** A blocked content was under way at these ends of servers, so they say nothing of others. */
-void crash_suspects::explain(const std::set<server_life>& ends)
+/** Attributes these crashes to a blocked content, so that they no longer count against others. */
+void crash_suspects::mark_explained(const std::set<server_life>& crashes)
 {
     for (auto& [content, item] : this->suspects) {
         if (item.is_blocked) continue;
-        std::erase_if(item.ends, [&ends](server_life each) { return ends.contains(each); });
+        std::erase_if(item.crashes,
+                      [&crashes](server_life each) { return crashes.contains(each); });
     }
-    this->explained.insert(this->explained.end(), ends.begin(), ends.end());
-    if (this->explained.size() <= explained_at_most) return;
-    const auto surplus = this->explained.size() - explained_at_most;
-    this->explained.erase(this->explained.begin(),
-                          this->explained.begin() + static_cast<std::ptrdiff_t>(surplus));
+    this->explained_crashes.insert(this->explained_crashes.end(), crashes.begin(), crashes.end());
+    if (this->explained_crashes.size() <= explained_at_most) return;
+    const auto surplus = this->explained_crashes.size() - explained_at_most;
+    this->explained_crashes.erase(this->explained_crashes.begin(),
+                                  this->explained_crashes.begin() +
+                                      static_cast<std::ptrdiff_t>(surplus));
 }
 
-/** Blocks the contents under which the most servers ended, which explains these ends; then looks
- * again at what is left of the others. */
-void crash_suspects::judge(instant now)
+/** Blocks the contents with the most crashes, which explains these crashes. Repeats with the
+ * crashes that remain until no content reaches `ends_until_blocked`. */
+void crash_suspects::block_suspects(instant now)
 {
     for (;;) {
         std::size_t most = 0;
         for (const auto& [content, item] : this->suspects) {
-            if (!item.is_blocked) most = std::max(most, item.ends.size());
+            if (!item.is_blocked) most = std::max(most, item.crashes.size());
         }
         if (most < ends_until_blocked) return;
-        std::set<server_life> ends;
+        std::set<server_life> crashes;
         for (auto& [content, item] : this->suspects) {
-            if (item.is_blocked || item.ends.size() != most) continue;
-            this->convict(content, item, now);
-            ends.insert(item.ends.begin(), item.ends.end());
+            if (item.is_blocked || item.crashes.size() != most) continue;
+            this->block_content(content, item, now);
+            crashes.insert(item.crashes.begin(), item.crashes.end());
         }
-        this->explain(ends);
+        this->mark_explained(crashes);
     }
 }
 
-void crash_suspects::convict(content_key content, suspect& found, instant now)
+void crash_suspects::block_content(content_key content, suspect& found, instant now)
 {
     found.is_blocked = true;
     found.cleared = false;
     found.changed = now;
     this->urgent = true;
     log_event(log_level::warn, "request_blocked",
-              {{"content", to_text(content)}, {"ends", found.ends.size()}, {"source", "here"}});
+              {{"content", to_text(content)}, {"ends", found.crashes.size()}, {"source", "here"}});
 }
 
-void crash_suspects::make_room()
+void crash_suspects::evict_oldest()
 {
     if (this->suspects.size() < suspects_at_most) return;
     const auto oldest = std::ranges::min_element(this->suspects, {}, [](const auto& entry) {
@@ -200,7 +206,7 @@
     const instant since = now - told.age * blocked_age_unit;
     const bool known = this->suspects.contains(content);
     if (!known && told.cleared) return false;
-    if (!known) this->make_room();
+    if (!known) this->evict_oldest();
     suspect& found = this->suspects[content];
     const bool same = told.cleared ? found.cleared : found.is_blocked;
     if ((same && found.trials == told.trials) || since <= found.changed) return false;
@@ -217,7 +223,7 @@
     if (found.is_blocked == was_blocked) return true;
     log_event(log_level::info, told.cleared ? "request_cleared" : "request_blocked",
               {{"content", to_text(content)},
-               {"ends", found.ends.size()},
+               {"ends", found.crashes.size()},
                {"trials", int{told.trials}},
                {"age_ms", (now - since) / milliseconds(1)},
                {"source", "another VM"}});
@@ -230,39 +236,39 @@
     for (const crash_report& report : told.crash_reports) {
         if (!this->add(report, now)) continue;
         added = true;
-        this->queue(near ? this->for_distant : this->for_near, report);
+        this->enqueue(near ? this->for_distant : this->for_near, report);
     }
-    if (added) this->judge(now);
+    if (added) this->block_suspects(now);
     for (const blocked_content& item : told.blocked) {
         if (this->take_blocked(item, now)) this->urgent = true;
     }
     return this->urgent;
 }
 
-void crash_suspects::queue(std::vector<told_report>& to, const crash_report& report)
+void crash_suspects::enqueue(std::vector<pending_report>& to, const crash_report& report)
 {
     if (to.size() < reports_waiting_at_most) to.push_back({report, report_tellings});
 }
 
-std::size_t crash_suspects::ends_of(content_key content) const
+std::size_t crash_suspects::crashes_of(content_key content) const
 {
     const auto found = this->suspects.find(content);
-    return found == this->suspects.end() ? 0 : found->second.ends.size();
+    return found == this->suspects.end() ? 0 : found->second.crashes.size();
 }
 
-/** The most suspect come first, then those that were told least. */
-std::vector<crash_report> crash_suspects::next_reports(std::vector<told_report>& from) const
+/** Reports of contents with the most crashes come first, then those sent least often. */
+std::vector<crash_report> crash_suspects::next_reports(std::vector<pending_report>& from) const
 {
-    std::ranges::stable_sort(from, std::greater{}, [this](const told_report& item) {
-        return std::pair(this->ends_of(key_of(item.report)), item.tellings);
+    std::ranges::stable_sort(from, std::greater{}, [this](const pending_report& item) {
+        return std::pair(this->crashes_of(key_of(item.report)), item.remaining_sends);
     });
     const std::size_t count = std::min(from.size(), crash_reports_at_most);
     std::vector<crash_report> reports(count);
     for (std::size_t at = 0; at < count; ++at) {
-        --from[at].tellings;
+        --from[at].remaining_sends;
         reports[at] = from[at].report;
     }
-    std::erase_if(from, [](const told_report& item) { return item.tellings == 0; });
+    std::erase_if(from, [](const pending_report& item) { return item.remaining_sends == 0; });
     return reports;
 }
 
@@ -286,7 +292,7 @@
 void crash_suspects::forget(instant now)
 {
     std::erase_if(this->unchecked,
-                  [now](const broken_attempt& item) { return now - item.at > checked_within; });
+                  [now](const broken_attempt& item) { return now - item.at > check_timeout; });
     std::erase_if(this->suspects, [now](const auto& entry) {
         return now - entry.second.changed > suspects_remembered_for;
     });
--- a/src/crash_suspects.h
+++ b/src/crash_suspects.h
@@ -1,13 +1,13 @@
 /** \file
- * Requests under which servers end: such a request is known by its content, as each of its repeats
- * has an id of its own and may come to any VM, and is not sent any more once three servers have
- * ended under it.
+ * Detects requests that crash servers, and blocks them after three crashes.
  *
- * A server that ends takes many requests with it, and one of them is to blame. Each VM reports
- * which contents it had under way there, digests carry the reports to all VMs, and a content that
- * was under way at the end of three servers, and was not answered by any since, is blocked. The
- * three ends then clear the others that were there. One VM tries a blocked content after a long
- * pause, so that one blocked by coincidence comes free. Reads no clock.
+ * Such a request is identified by its content, because each repeat has a new id and may arrive at
+ * any VM. A server that crashes takes many requests with it, and usually one of them is the cause.
+ * Each VM reports the contents of the requests it had in flight there, and digests distribute the
+ * reports to all VMs. A content that was in flight when three servers crashed, and that no server
+ * has answered since, is blocked. These crashes are then explained, and no longer count against the
+ * other contents that were in flight there. One VM retries a blocked content after a long pause, so
+ * that a content blocked by coincidence is released. Does not read a clock.
  */
 #pragma once
 
@@ -24,79 +24,82 @@
 
 namespace worksshift {
 
-/** Servers that end under a content until it is blocked. With two, requests that were sent on from
- * one failing server to another would often be taken for the cause. */
+/** Number of server crashes after which a content is blocked. With two, a request that was resent
+ * from one crashed server to another would often be taken for the cause. */
 constexpr std::size_t ends_until_blocked = 3;
-/** A blocked content is tried after this pause, doubled with each trial under which a server ended,
- * up to the longest. Each trial may cost a server and all that runs there. */
+/** A blocked content is retried after this pause, which doubles with each unsuccessful trial, up to
+ * `longest_until_trial`. Each trial may crash a server and lose all requests in flight there. */
 constexpr duration first_trial_after = seconds(60);
 constexpr duration longest_until_trial = seconds(600);
-/** Nothing is remembered of a content for longer than this after a server last ended under it. */
+/** A suspect is dropped after this time without a change of its state. */
 constexpr duration suspects_remembered_for = seconds(1800);
-/** Contents that are remembered; the oldest make room. */
+/** Maximum number of suspects; the one unchanged for longest is evicted, unblocked ones first. */
 constexpr std::size_t suspects_at_most = 1024;
-/** Ends of servers that are remembered as explained by a blocked content; likewise. */
+/** Maximum number of remembered crashes that a blocked content explains; the oldest are evicted. */
 constexpr std::size_t explained_at_most = 1024;
-/** Ends that are remembered of a content which was answered since, so that a late report of one
- * does not count. */
+/** Maximum number of remembered crashes per content from before a server answered it. They are
+ * kept so that a late report of one does not count again. */
 constexpr std::size_t settled_at_most = 64;
-/** Each report is told in so many rounds, as datagrams get lost. */
+/** Number of digests in which each report is sent, as datagrams may be lost. */
 constexpr unsigned report_tellings = 3;
-/** Reports that wait to be told, and attempts whose servers are to be checked; further ones are
- * left out. */
+/** Maximum length of each queue of unsent reports, and of the list of attempts whose servers are
+ * still to be checked. Entries beyond it are dropped. */
 constexpr std::size_t reports_waiting_at_most = 256;
 
-/** One life of a server. A server that starts again under its id has another. */
+/** Identifies one incarnation of a server, the time from one start to the next. A server that
+ * restarts under its id gets a new one. */
 enum class server_life : std::uint32_t {};
 
-/** Why a content is not sent. */
+/** State of a blocked content. */
 struct block {
-    duration until_trial{}; ///< until a VM may try it again; zero: not decided yet
-    bool trial_due = false; ///< the VM that makes the fleet's trials may send it once
+    duration until_trial{}; ///< time until a VM may retry it; zero: not blocked for certain yet
+    bool trial_due = false; ///< the VM that makes the fleet's trials may send it once now
 };
 
+/** Contents of requests that may have crashed servers, as one VM knows of them. */
 class crash_suspects {
 public:
-    /** This VM's attempt at a server broke off. It counts once the server is known to have ended.
-     */
+    /** The connection of an attempt of this VM broke. It counts as a crash once `on_checked`
+     * confirms that the server has ended. */
     void on_broken(content_key content, server_life server, instant now);
-    /** Whether the server of broken attempts has ended. */
+    /** Result of the check of a server whose attempts broke off. \p ended: it no longer runs. */
     void on_checked(server_life server, bool ended, instant now);
-    /** A server ran the content and gave an answer of its own. */
+    /** A server answered a request with the content, which clears it. */
     void on_answered(content_key content, instant now);
 
-    /** Nothing: the content may be sent. */
+    /** std::nullopt if the content may be sent. */
     [[nodiscard]] std::optional<block> blocked(content_key content, instant now) const;
-    /** The content, which is blocked, is sent once. It counts as in vain until a server answers. */
+    /** Records that the blocked content is sent once. The trial counts as unsuccessful until a
+     * server answers. */
     void begin_trial(content_key content, instant now);
 
-    /** \p near: the sender is of this VM's data centre. Returns whether it told something new that
-     * others should hear soon. */
+    /** Applies the reports in another VM's digest. \p near: the sender is in this VM's data centre.
+     * Returns whether there is news that other VMs should learn soon. */
     bool take_digest(const fleet_digest& told, bool near, instant now);
-    /** Fills in which contents are blocked, and the reports for VMs of this data centre. */
+    /** Fills in the blocked contents, and the reports for VMs of this data centre. */
     void describe(fleet_digest& digest, instant now);
-    /** Reports for VMs of other data centres. */
+    /** Returns the next reports for VMs of other data centres. */
     std::vector<crash_report> reports_to_distant();
-    /** Drops what is too old. */
+    /** Drops expired entries. */
     void forget(instant now);
 
-    /** Whether others should hear soon of what was learnt since the last call. */
+    /** Whether other VMs should learn soon of a change since the last call. */
     bool take_urgent() { return std::exchange(this->urgent, false); }
     [[nodiscard]] std::size_t blocked_contents() const;
     [[nodiscard]] std::size_t remembered() const { return this->suspects.size(); }
 
 private:
     struct suspect {
-        std::set<server_life> ends;    ///< under which it is not cleared
-        std::set<server_life> settled; ///< before a server answered it
-        instant changed{}; ///< a server ended under it, it was blocked, tried or cleared
+        std::set<server_life> crashes;          ///< crashes that count against it
+        std::set<server_life> answered_crashes; ///< crashes from before a server answered it
+        instant changed{}; ///< last time a crash was added, or it was blocked, retried or cleared
         bool is_blocked = false;
-        bool cleared = false; ///< a server answered it when it was blocked or nearly so
-        std::uint8_t trials = 0;
+        bool cleared = false;    ///< a server answered it while it was blocked or close to that
+        std::uint8_t trials = 0; ///< without an answer, since it was blocked
     };
-    struct told_report {
+    struct pending_report {
         crash_report report;
-        unsigned tellings = 0;
+        unsigned remaining_sends = 0;
     };
     struct broken_attempt {
         content_key content{};
@@ -105,22 +108,22 @@
     };
 
     bool add(const crash_report& report, instant now);
-    void judge(instant now);
-    void convict(content_key content, suspect& found, instant now);
-    void explain(const std::set<server_life>& ends);
+    void block_suspects(instant now);
+    void block_content(content_key content, suspect& found, instant now);
+    void mark_explained(const std::set<server_life>& crashes);
     void clear(suspect& found, instant now);
-    void make_room();
+    void evict_oldest();
     bool take_blocked(const blocked_content& told, instant now);
-    void queue(std::vector<told_report>& to, const crash_report& report);
-    std::vector<crash_report> next_reports(std::vector<told_report>& from) const;
-    [[nodiscard]] std::size_t ends_of(content_key content) const;
-    [[nodiscard]] std::size_t ends_with_unchecked(content_key content) const;
+    void enqueue(std::vector<pending_report>& to, const crash_report& report);
+    std::vector<crash_report> next_reports(std::vector<pending_report>& from) const;
+    [[nodiscard]] std::size_t crashes_of(content_key content) const;
+    [[nodiscard]] std::size_t crashes_with_unchecked(content_key content) const;
 
     std::map<content_key, suspect> suspects;
     std::vector<broken_attempt> unchecked;
-    std::vector<server_life> explained;
-    std::vector<told_report> for_near;
-    std::vector<told_report> for_distant;
+    std::vector<server_life> explained_crashes;
+    std::vector<pending_report> for_near;
+    std::vector<pending_report> for_distant;
     bool urgent = false;
 };
 
