--- a/src/cold_servers.cpp
+++ b/src/cold_servers.cpp
@@ -13,26 +13,26 @@
     return std::chrono::duration_cast<duration>(std::chrono::duration<double>(value));
 }
 
-/** The mean of requests that come independently of each other of which more than \p most come in a
- * second once in a million. */
-double safe_mean(double most)
+/** Mean rate of independent (Poisson) arrivals that exceeds \p most arrivals in a second about once
+ * in a million. The quantile is approximated by the mean plus six standard deviations. */
+double max_poisson_mean(double most)
 {
     constexpr double deviations = 6;
     const double root = (std::sqrt(deviations * deviations + 4 * most) - deviations) / 2;
     return root * root;
 }
 
-/** Of the whole fleet, taking the data centres for equal. */
+/** Even share of every VM of the fleet, if all data centres have as many VMs as this one. */
 cold_share even_share(const cold_bound& bound, const fleet_members& members)
 {
-    const double mean = std::min(bound.per_s, safe_mean(bound.in_a_second));
+    const double mean = std::min(bound.per_s, max_poisson_mean(bound.in_a_second));
     const auto vms = static_cast<double>(members.near.size() * members.data_centres.size());
     return {in_seconds(vms / mean), true};
 }
 
-/** Candidates that stand before \p own in the rank of a server. */
-std::size_t count_before(std::uint64_t server, std::uint32_t own,
-                         std::span<const std::uint32_t> candidates)
+/** Number of candidates that rank above \p own for the server. */
+std::size_t count_above(std::uint64_t server, std::uint32_t own,
+                        std::span<const std::uint32_t> candidates)
 {
     const std::uint64_t weight = rendezvous_weight(server, own);
     return static_cast<std::size_t>(
@@ -50,21 +50,21 @@
     if (senders <= 0) return even_share(bound, members);
     const auto all = static_cast<std::size_t>(bound.in_a_second * senders);
     const std::size_t places = members.data_centres.size();
-    const std::size_t place = count_before(server, members.data_centre, members.data_centres);
-    // What does not divide evenly goes to the first in rank.
+    const std::size_t place = count_above(server, members.data_centre, members.data_centres);
+    // The remainder of the division goes to the highest-ranked data centres.
     const std::size_t here = all / places + (place < all % places ? 1 : 0);
     const std::size_t count = std::min(here, members.near.size());
-    if (count_before(server, members.self, members.near) >= count) return {};
+    if (count_above(server, members.self, members.near) >= count) return {};
     const duration pause = in_seconds(static_cast<double>(all) / bound.per_s *
                                       static_cast<double>(count) / static_cast<double>(here));
-    const auto of_each_in_a_second = static_cast<duration::rep>(here / count);
-    return {std::max(pause, cold_second / of_each_in_a_second), false};
+    const auto per_sender_in_a_second = static_cast<duration::rep>(here / count);
+    return {std::max(pause, cold_second / per_sender_in_a_second), false};
 }
 
 bool is_first_in_fleet(const fleet_members& members, std::uint64_t key)
 {
-    return members.complete && count_before(key, members.data_centre, members.data_centres) == 0 &&
-           count_before(key, members.self, members.near) == 0;
+    return members.complete && count_above(key, members.data_centre, members.data_centres) == 0 &&
+           count_above(key, members.self, members.near) == 0;
 }
 
 void cold_gate::set_share(const cold_share& given, instant now, std::minstd_rand& random)
@@ -75,7 +75,7 @@
     const double part = std::uniform_real_distribution<double>(0, 1)(random);
     const duration wait =
         given.drawn ? std::chrono::duration_cast<duration>(*given.pause * part) : duration::zero();
-    this->first = now + wait;
+    this->not_before = now + wait;
 }
 
 } // namespace worksshift
--- a/src/cold_servers.h
+++ b/src/cold_servers.h
@@ -1,15 +1,15 @@
 /** \file
- * How many requests this VM may send to a server that is cold.
+ * Limits how many requests this VM may send to a cold server.
  *
- * A server that has just started serves slowly for some seconds, and crashes when all VMs together
- * send it more than a stated rate. Digests are up to two seconds old while the bound holds in each
- * second, so VMs cannot count their requests together: the rate is divided beforehand, first
- * among the data centres. In each, a few VMs, first in a rank that differs from server to server,
- * may send to it, each with a pause between two requests; the others leave it alone until it is
- * warm. While all VMs want to send, 98% of the rate is used so, and no second has more than two
- * thirds of what is allowed (65 and 480 VMs, `cold_servers_are_spared`). An even share of every VM
- * was the other way: unused shares come together, so the mean must stay far below the bound, and
- * 58% of the rate was used.
+ * A server that has just started is slow for some seconds, and crashes if all VMs together send it
+ * more than a configured rate. The limit holds in any one second while digests are up to two
+ * seconds old, so the VMs cannot count their requests together. Instead the rate is divided in
+ * advance, first among the data centres. In each data centre, the few VMs that rendezvous hashing
+ * ranks highest for the server may send to it, each with a minimum pause between two requests; the
+ * other VMs avoid the server until it is warm. While all VMs have requests to send, this uses 98%
+ * of the rate, and no second has more than two thirds of the limit (65 and 480 VMs,
+ * `cold_servers_are_spared`). The alternative, an even share for every VM, used 58%: requests of
+ * independent senders coincide, so their mean rate must stay far below the limit.
  */
 #pragma once
 
@@ -24,16 +24,16 @@
 
 namespace worksshift {
 
-/** Requests beyond the stated rate that a cold server bears. */
+/** Requests beyond the configured rate that a cold server tolerates. */
 struct cold_tolerance {
-    double over = 1;  ///< multiple of the rate
-    double slack = 0; ///< further requests in any second
+    double over = 1;  ///< factor applied to the rate
+    double slack = 0; ///< additional requests in any second
 };
 
-/** What a cold server of a service bears from all VMs together. */
+/** Limits on the requests that all VMs together send to one cold server. */
 struct cold_bound {
-    double per_s = 0;       ///< that it is to get on the mean
-    double in_a_second = 0; ///< at most, in any second
+    double per_s = 0;       ///< mean rate, requests per second
+    double in_a_second = 0; ///< maximum number of requests in any second
 
     cold_bound(double per_s, const cold_tolerance& allowed)
         : per_s(per_s), in_a_second(per_s * allowed.over + allowed.slack)
@@ -41,15 +41,15 @@
     }
 };
 
-/** The VMs beside which one may send. It hears those of its own data centre directly, so it soon
- * knows them all; of the others in a fleet of hundreds it hears by rumours, and with 480 VMs knew
- * two thirds of them 8 s after the start. */
+/** The VMs that share the limit, as one VM knows them. VMs of the same data centre send digests to
+ * each other, so it soon knows them all. VMs of other data centres become known indirectly, through
+ * lists in digests: in a fleet of 480 VMs, two thirds of them were known 8 s after the start. */
 struct fleet_members {
-    std::uint32_t self = 0;                  ///< its address
-    std::uint32_t data_centre = 0;           ///< its own, by the low half of the name's hash
-    std::vector<std::uint32_t> near;         ///< VMs of its data centre, this one included
-    std::vector<std::uint32_t> data_centres; ///< all there are, its own included
-    bool complete = false;                   ///< it has been in the fleet for long enough to know
+    std::uint32_t self = 0;                  ///< this VM's address
+    std::uint32_t data_centre = 0;           ///< this VM's own: low 32 bits of the hash of its name
+    std::vector<std::uint32_t> near;         ///< VMs of this data centre, this one included
+    std::vector<std::uint32_t> data_centres; ///< all known, this VM's own included
+    bool complete = false;                   ///< this VM has run for long enough to know the others
 
     void add(std::uint32_t place)
     {
@@ -60,25 +60,27 @@
 
 /** What one VM may send to one cold server. */
 struct cold_share {
-    std::optional<duration> pause; ///< between two requests; nothing: no request
-    bool drawn = false;            ///< the first request waits for a part of the pause, drawn
+    std::optional<duration>
+        pause;          ///< minimum time between two requests; std::nullopt: none allowed
+    bool drawn = false; ///< the first request waits for a random part of the pause
 };
 
-/** In any second as many of a VM's requests arrive as pauses fit into this time. The 50 ms beyond
- * the second are for a request that took longer on its way than the next one. */
+/** Length of the window in which the requests of one VM are limited. 50 ms longer than the second
+ * of the bound, because a request may take longer to arrive than the one after it. */
 constexpr duration cold_second = milliseconds(1050);
 
-/** \p senders: requests in any second that the VMs which send make together at most, as a share of
- * those that are allowed; the rest is left for VMs that disagree on who lives. As many VMs send, or
- * all of a fleet that has fewer. 0: all VMs send, each its even share. */
+/** Computes the share of one VM. \p senders: share of `in_a_second` that is given out; the rest is
+ * a reserve for VMs that disagree on which VMs are alive. This is also the number of VMs that may
+ * send, if the fleet has that many. 0: every VM may send an even share. */
 cold_share share_of_cold(const cold_bound& bound, std::uint64_t server,
                          const fleet_members& members, double senders);
 
-/** Whether the VM is the one of its fleet that does what is ranked by \p key. Two may be when they
- * do not know the same others, and none while a VM that was lost lately is remembered. */
+/** Whether this VM is the highest-ranked of the fleet for \p key, and so has to do the task that
+ * the key identifies. This may hold for two VMs that know different members, and for none while a
+ * VM that stopped recently still counts as a member. */
 bool is_first_in_fleet(const fleet_members& members, std::uint64_t key);
 
-/** One server's turn to be cold, as one VM keeps to it. */
+/** Limits the requests of one VM to one server while the server is cold. */
 class cold_gate {
 public:
     [[nodiscard]] bool cold(instant now) const { return now < this->until; }
@@ -87,26 +89,27 @@
     {
         return !this->cold(now) || (this->share.pause && now >= this->next());
     }
-    /** When a request may be sent, as far as is known. */
+    /** Earliest time at which a request may be sent, as known now. */
     [[nodiscard]] instant opens_at() const
     {
         return this->share.pause ? std::min(this->until, this->next()) : this->until;
     }
-    /** The server is cold until then at least. */
+    /** The server is cold until \p end at least. */
     void extend(instant end) { this->until = std::max(this->until, end); }
     void set_share(const cold_share& given, instant now, std::minstd_rand& random);
-    void on_sent(instant now) { this->sent = now; }
+    void on_sent(instant now) { this->last_sent = now; }
 
 private:
     [[nodiscard]] instant next() const
     {
-        return std::max(this->first, this->sent + this->share.pause.value_or(duration::zero()));
+        return std::max(this->not_before,
+                        this->last_sent + this->share.pause.value_or(duration::zero()));
     }
 
     instant until{};
     cold_share share;
-    instant first{}; ///< not before
-    instant sent{};  ///< the last request
+    instant not_before{}; ///< no request before this time
+    instant last_sent{};  ///< time of the last request
 };
 
 } // namespace worksshift
