--- a/src/server_entry.h
+++ b/src/server_entry.h
@@ -1,5 +1,6 @@
 /** \file
- * One server as one VM sees it: its entry in the registry, its load, and how it answered.
+ * State of one server as one VM knows it: its registry record, its load, and the results of
+ * attempts.
  */
 #pragma once
 
@@ -12,56 +13,56 @@
 
 namespace worksshift {
 
-/** A stated load is used for so long. With 1 s, engines counted as idle between two statements, and
- * prompts were copied to them (14 s of a wave before 112 engines: 1,684 GB, and 892 GB with 3 s).
- */
+/** Maximum age at which a load reported by the server itself is used. With 1 s, engines counted as
+ * idle between two reports, and prompts were copied to them: 1,684 GB in 14 s of a load peak with
+ * 112 engines, against 892 GB with 3 s. */
 constexpr duration stated_load_for = milliseconds(3000);
-/** How attempts at one server ended. */
+/** Results of attempts at one server, summed up. */
 struct outcome_sum {
     std::uint32_t answered = 0;
     std::uint32_t failed = 0;
-    duration time{}; ///< of the answered ones together
+    duration time{}; ///< total time of the answered attempts
 };
 
 struct server_entry {
     server_record record;
-    std::uint64_t hash = 0; ///< of its id, for ranking
-    server_life life{};
-    instant listed_at{};               ///< when this life of the server was first listed
+    std::uint64_t hash = 0;            ///< of the server's id; input of the rendezvous weights
+    server_life life{};                ///< current incarnation of the server
+    instant listed_at{};               ///< when this incarnation was first listed
     std::uint32_t in_flight = 0;       ///< attempts of this VM
-    std::uint32_t peers_in_flight = 0; ///< of the other VMs, as they last told
-    /** Requests of all VMs by the server's own word, to this VM or a near one. */
+    std::uint32_t peers_in_flight = 0; ///< attempts of the other VMs, as last reported
+    /** Requests of all VMs at the server, as it last reported to this VM or to another of this
+     * VM's data centre. */
     std::uint32_t stated = 0;
     instant stated_at{};
-    std::uint32_t in_flight_when_stated = 0;
-    bool stated_is_fresh = false; ///< as of the last tick
-    bool stated_here = false;     ///< to this VM, and not yet told to others
+    std::uint32_t in_flight_when_stated = 0; ///< `in_flight` when `stated` was set
+    bool stated_is_fresh = false; ///< `stated` was recent enough for use at the last tick
+    bool stated_here = false;     ///< reported to this VM, and not yet passed on to others
     server_health health;
-    region_id region;       ///< of its data centre; empty: not known
-    bool evacuated = false; ///< its data centre is
+    region_id region;       ///< of its data centre; empty: unknown
+    bool evacuated = false; ///< its data centre is being evacuated
     cold_gate cold;
-    bool gone = false;     ///< not in the registry any more; kept until idle
+    bool gone = false;     ///< no longer in the registry; kept until no attempt is in flight
     bool replaced = false; ///< another server answered at its address
-    bool leaving = false;  ///< by its own answers, to this VM or another
-    instant rests_until{}; ///< it turned this VM away, and wants nothing of it so long
+    bool leaving = false;  ///< it announced its shutdown in a response to this VM or another
+    instant rests_until{}; ///< end of the back-off that it asked this VM for; the epoch: none
 
-    instant heard_at{};    ///< a byte of an answer came
-    instant waited_from{}; ///< attempts are under way without a pause since
+    instant heard_at{};    ///< when the last byte of a response arrived
+    instant waited_from{}; ///< since then at least one attempt has been in flight
 
-    /** Recent time from a send to the first event, faded by the time since it was seen. */
+    /** Recent delay from sending a request to its first event; decays with time. */
     first_event_delay first_delay;
-    /** How attempts of this VM and of near ones ended. */
+    /** Recent results of attempts by this VM and the others of its data centre. */
     recent_outcomes outcomes;
-    outcome_sum untold;   ///< of this VM's, not yet told to others
-    bool failing = false; ///< against the other engines of its service, see `mark_failing`
-    cold_gate trial;      ///< while it is failing: when this VM may try it
-    bool slow = false;    ///< against the other engines of its service, see `mark_slow`
+    outcome_sum untold;   ///< this VM's results not yet reported to others
+    bool failing = false; ///< compared to the engines of its service, see `mark_failing`
+    cold_gate trial;      ///< while it is failing: when this VM may send it a trial request
+    bool slow = false;    ///< compared to the engines of its service, see `mark_slow`
 
-    /** Nothing came for so long although attempts are under way: the server may be out of reach,
-     * which its connections do not show. Requests go elsewhere until it sends something. Engines
-     * send every few tens of ms. With a third of the engines silent twice for 4 s, requests that
-     * were late in those seconds fell from 160 to 100, and none ran into its deadline (34 before).
-     */
+    /** After this time without a byte while attempts are in flight, the server may be unreachable,
+     * which open connections do not show. New requests go elsewhere until it sends something.
+     * Engines send every few tens of ms. With a third of the engines silent twice for 4 s, this
+     * reduced late requests in that time from 160 to 100, and expired deadlines from 34 to none. */
     static constexpr duration quiet_after = milliseconds(450);
 
     [[nodiscard]] bool quiet(instant now) const
@@ -69,16 +70,17 @@
         return this->in_flight > 0 &&
                now - std::max(this->heard_at, this->waited_from) > quiet_after;
     }
-    /** A server's own word counts all VMs' requests and is told by near VMs at once; sums of the
-     * other VMs' requests pass three of them and are a second late in a large fleet. */
+    /** Requests of all VMs at the server. Uses the server's own report if it is recent: it counts
+     * the requests of all VMs and is passed on directly within a data centre. The sums of the other
+     * VMs' requests pass through three VMs, and are a second old in a large fleet. */
     [[nodiscard]] std::uint32_t load() const
     {
         if (!this->stated_is_fresh) return this->in_flight + this->peers_in_flight;
-        // Own requests that came or went since are known exactly.
+        // Corrected by this VM's own requests that began or ended since the report.
         const std::uint32_t total = this->stated + this->in_flight;
         return std::max(this->in_flight, total - std::min(total, this->in_flight_when_stated));
     }
-    /** The server had \p requests under way at the time \p at. An older word is passed over. */
+    /** The server had \p requests in flight at \p at. Ignored if not newer than the last report. */
     void state(std::uint32_t requests, instant at)
     {
         if (at <= this->stated_at) return;
@@ -87,13 +89,16 @@
         this->in_flight_when_stated = this->in_flight;
         this->stated_is_fresh = true;
     }
+    /** Whether the server has asked this VM to back off, and the time is not over. */
     [[nodiscard]] bool rests(instant now) const { return now < this->rests_until; }
-    /** Left alone, as it fails, unless it is for this VM to try it. */
+    /** Whether to send it nothing because it is failing, and no trial request of this VM is due. */
     [[nodiscard]] bool avoided(instant now) const
     {
         return this->failing && !this->trial.open(now);
     }
+    /** Whether the row may be removed. */
     [[nodiscard]] bool over() const { return this->gone && this->in_flight == 0; }
+    /** Whether the server may get new requests, as far as its lifecycle goes. */
     [[nodiscard]] bool takes_work() const
     {
         return !this->gone && !this->replaced && !this->leaving && !this->record.draining &&
