--- a/src/server_health.h
+++ b/src/server_health.h
@@ -1,9 +1,9 @@
 /** \file
- * What one VM's own attempts say of a server: whether it can be reached and how often it fails.
+ * Passive health check of a server, from the results of one VM's own attempts.
  *
- * The registry's word is late and a server's own health check may be wrong, so outcomes decide. A
- * server that cannot be reached, or fails many of its requests, is left alone for a pause, and then
- * tried with one request at a time.
+ * The registry is updated late, and a server's own health check may be wrong, so results of
+ * requests decide. A server that is unreachable or fails many of its requests gets none for a
+ * pause, and then one trial request at a time.
  */
 #pragma once
 
@@ -16,35 +16,37 @@
 
 class server_health {
 public:
-    /** Weight of past outcomes fades to 1/e in this time; long enough for a few requests a VM. */
+    /** The weight of past results decays to 1/e in this time, long enough for a few requests of one
+     * VM. */
     static constexpr duration outcomes_fade_in = seconds(3);
-    /** Below this weight of outcomes nothing is concluded from failures. */
+    /** Minimum weight of results for the failure rate to be used. */
     static constexpr double outcomes_needed = 2.5;
-    /** Share of failures from which a server is left alone. Services fail up to one request in
-     * seven by themselves; a server at half is of no use to a caller with one try. */
+    /** Failure rate above which a server is paused. Healthy services fail up to one request in
+     * seven; a server that fails half is useless to a request that may be sent only once. */
     static constexpr double failing_share = 0.35;
-    static constexpr duration first_pause = milliseconds(1000);
+    static constexpr duration first_pause = milliseconds(1000); ///< doubles with further failures
     static constexpr duration longest_pause = seconds(4);
 
+    /** Whether a request may be sent: no pause, or it is over and no trial is in flight. */
     [[nodiscard]] bool usable(instant now) const
     {
-        return !this->paused || (now >= this->until && !this->trial);
+        return !this->paused || (now >= this->paused_until && !this->trial);
     }
 
     void on_sent(instant now)
     {
-        if (this->paused && now >= this->until) this->trial = true;
+        if (this->paused && now >= this->paused_until) this->trial = true;
     }
 
     void on_success(instant now)
     {
         this->add(now, 0);
         if (this->paused && this->trial) {
-            // The trial tells more than what came before the pause.
+            // The trial is newer than the results from before the pause, which are dropped.
             this->failures = 0;
             this->total = 1;
             this->paused = false;
-            this->pause = first_pause;
+            this->next_pause = first_pause;
         }
         this->trial = false;
     }
@@ -57,43 +59,45 @@
         if (this->trial || failing) this->start_pause(now);
     }
 
-    /** No connection within its timeout: one such failure is enough. */
+    /** The connection was refused or timed out; one such failure starts a pause. */
     void on_unreachable(instant now)
     {
         this->add(now, 1);
         this->start_pause(now);
     }
 
-    /** The attempt ended without saying anything about the server. */
+    /** The attempt ended without a result that tells about the server's health. */
     void on_neutral() { this->trial = false; }
 
 private:
+    /** \p failure: 1 for a failed attempt, 0 for a successful one. */
     void add(instant now, double failure)
     {
-        const double span = std::chrono::duration<double>(now - this->at).count();
+        const double span = std::chrono::duration<double>(now - this->last_result_at).count();
         const double kept =
             std::exp(-span / std::chrono::duration<double>(outcomes_fade_in).count());
         this->failures = this->failures * kept + failure;
         this->total = this->total * kept + 1;
-        this->at = now;
+        this->last_result_at = now;
     }
 
     void start_pause(instant now)
     {
         this->trial = false;
-        if (this->paused && now < this->until) return;
-        this->until = now + this->pause;
-        this->pause = this->paused ? std::min(this->pause * 2, longest_pause) : first_pause;
+        if (this->paused && now < this->paused_until) return;
+        this->paused_until = now + this->next_pause;
+        this->next_pause =
+            this->paused ? std::min(this->next_pause * 2, longest_pause) : first_pause;
         this->paused = true;
     }
 
-    double failures = 0;
-    double total = 0;
-    instant at{};
-    bool paused = false;
-    bool trial = false;
-    instant until{};
-    duration pause = first_pause;
+    double failures = 0;               ///< decayed weight
+    double total = 0;                  ///< decayed weight of all results
+    instant last_result_at{};          ///< time of the last result
+    bool paused = false;               ///< until a trial succeeds
+    bool trial = false;                ///< a trial request is in flight
+    instant paused_until{};            ///< end of the pause, when a trial may begin
+    duration next_pause = first_pause; ///< length of the next pause
 };
 
 } // namespace worksshift
