--- a/src/recent_outcomes.h
+++ b/src/recent_outcomes.h
@@ -1,8 +1,8 @@
 /** \file
- * How one server answered lately: by the attempts of this VM, and by those that near VMs tell of.
+ * Recent results of attempts at one server, by this VM and as reported by VMs of its data centre.
  *
- * In a fleet of hundreds one VM asks a server every few seconds, which is too rare to see that it
- * is slow or sheds; fifty VMs together see it within a second.
+ * In a fleet of hundreds of VMs, one VM sends to a given server every few seconds, too seldom to
+ * detect that it is slow or rejects requests. Fifty VMs together detect it within a second.
  */
 #pragma once
 
@@ -16,15 +16,17 @@
 
 class recent_outcomes {
 public:
-    /** Weight of past outcomes fades to 1/e in this time: short against a server that turns slow,
-     * and a few times the time in which outcomes are told. */
+    /** The weight of past results decays to 1/e in this time. Short enough to notice a server that
+     * becomes slow, and a few times the interval at which results are exchanged. */
     static constexpr duration plain_fade = milliseconds(1500);
-    /** Of an engine, which the VMs of one data centre ask about twice a second together. */
+    /** The same for an engine, which gets about two requests a second from the VMs of one data
+     * centre. */
     static constexpr duration engine_fade = seconds(3);
 
-    void set_fade(duration given) { this->fades_in = given; }
+    void set_fade(duration given) { this->decay_time = given; }
 
-    /** \p answered attempts took \p mean each; \p failed ones got no answer of use. */
+    /** Adds \p answered attempts with a mean time of \p mean, and \p failed ones without a usable
+     * answer. */
     void add(std::uint32_t answered, std::uint32_t failed, duration mean, instant now)
     {
         this->fade(now);
@@ -33,39 +35,41 @@
         this->time_s += answered * std::chrono::duration<double>(mean).count();
     }
 
+    /** Decays the weights to the time \p now. */
     void fade(instant now)
     {
-        const std::chrono::duration<double> span = now - this->at;
-        const double kept = std::exp(-span / std::chrono::duration<double>(this->fades_in));
+        const std::chrono::duration<double> span = now - this->decayed_at;
+        const double kept = std::exp(-span / std::chrono::duration<double>(this->decay_time));
         this->answers *= kept;
         this->failures *= kept;
         this->time_s *= kept;
-        this->at = now;
+        this->decayed_at = now;
     }
 
-    /** Of answered attempts, as of the last `fade` or `add`. */
+    /** Weight of the answered attempts, as of the last `fade` or `add`; so are the others below. */
     [[nodiscard]] double weight() const { return this->answers; }
     [[nodiscard]] double seconds_in_all() const { return this->time_s; }
     [[nodiscard]] double failed() const { return this->failures; }
-    /** Attempts of which something is known. */
+    /** Weight of all attempts. */
     [[nodiscard]] double tries() const { return this->answers + this->failures; }
 
-    /** Seconds until an answer of use, with attempts until there is one. A failure counts like an
-     * answer's time, however soon it came. Begins at \p usual_s, which counts as one answer. */
+    /** Expected time to a usable answer in seconds, with retries until there is one. A failed
+     * attempt is taken to last as long as an answered one, however soon it failed. \p usual_s:
+     * prior for the time of an answer, with the weight of one answer. */
     [[nodiscard]] double expected_s(double usual_s) const
     {
-        constexpr double most_failing = 0.95;
+        constexpr double max_failing = 0.95;
         const double tries = this->answers + this->failures + 1;
-        const double failing = std::min(this->failures / tries, most_failing);
+        const double failing = std::min(this->failures / tries, max_failing);
         return (this->time_s + usual_s) / (this->answers + 1) / (1 - failing);
     }
 
 private:
-    duration fades_in = plain_fade;
+    duration decay_time = plain_fade;
     double answers = 0;
     double failures = 0;
     double time_s = 0;
-    instant at{};
+    instant decayed_at{};
 };
 
 } // namespace worksshift
