--- a/src/plain_choice.cpp
+++ b/src/plain_choice.cpp
@@ -8,8 +8,8 @@
 
 namespace {
 
-/** Seconds that an answer of any of the servers takes. */
-double usual_time(std::span<server_entry* const> rows)
+/** Mean time of an answer over all servers, in seconds; zero if there were none. */
+double mean_answer_s(std::span<server_entry* const> rows)
 {
     double attempts = 0;
     double time_s = 0;
@@ -20,16 +20,17 @@
     return attempts > 0 ? time_s / attempts : 0;
 }
 
-/** Against the best: 1 for those that are alike, less for the others. */
-std::vector<double> merits_of(std::span<const double> expected)
+/** Weight factor of each server from its expected response time: 1 for times close to the best one,
+ * less for the others. */
+std::vector<double> speed_factors(std::span<const double> expected)
 {
     const double best = std::ranges::min(expected);
-    std::vector<double> merits(expected.size());
-    std::ranges::transform(expected, merits.begin(), [best](double item) {
-        const double worse = best > 0 ? item / (best * alike_within) : 1;
-        return worse <= 1 ? 1 : std::max(1 / (worse * worse), least_drawn);
+    std::vector<double> factors(expected.size());
+    std::ranges::transform(expected, factors.begin(), [best](double item) {
+        const double slowdown = best > 0 ? item / (best * alike_within) : 1;
+        return slowdown <= 1 ? 1 : std::max(1 / (slowdown * slowdown), least_drawn);
     });
-    return merits;
+    return factors;
 }
 
 std::size_t draw(std::span<const double> weights, std::minstd_rand& random)
@@ -37,7 +38,7 @@
     return std::discrete_distribution<std::size_t>(weights.begin(), weights.end())(random);
 }
 
-double share_taken(const server_entry& row)
+double own_utilization(const server_entry& row)
 {
     return static_cast<double>(row.in_flight) / row.record.slots;
 }
@@ -49,25 +50,25 @@
 {
     for (server_entry* row : rows)
         row->outcomes.fade(now);
-    const double usual = usual_time(rows);
+    const double mean_s = mean_answer_s(rows);
     std::vector<double> expected(rows.size());
-    std::ranges::transform(rows, expected.begin(), [usual](const server_entry* row) {
-        return row->outcomes.expected_s(usual);
+    std::ranges::transform(rows, expected.begin(), [mean_s](const server_entry* row) {
+        return row->outcomes.expected_s(mean_s);
     });
-    const std::vector<double> merits = merits_of(expected);
+    const std::vector<double> factors = speed_factors(expected);
     std::vector<double> weights(rows.size());
     std::ranges::transform(
-        rows, merits, weights.begin(), [&](const server_entry* row, double merit) {
+        rows, factors, weights.begin(), [&](const server_entry* row, double factor) {
             const double preference = row->record.data_centre == here ? near_preference : 1;
-            return merit * row->record.slots * preference;
+            return factor * row->record.slots * preference;
         });
     const std::size_t first = draw(weights, random);
     std::size_t chosen = first;
     if (rows.size() > 1) {
         weights[first] = 0;
         const std::size_t second = draw(weights, random);
-        const bool better = merits[second] >= merits[first] &&
-                            share_taken(*rows[second]) < share_taken(*rows[first]);
+        const bool better = factors[second] >= factors[first] &&
+                            own_utilization(*rows[second]) < own_utilization(*rows[first]);
         if (better) chosen = second;
     }
     return {rows[chosen], expected[chosen]};
--- a/src/plain_choice.h
+++ b/src/plain_choice.h
@@ -1,12 +1,12 @@
 /** \file
- * The choice of a server of a plain service.
+ * Selection of a server of a plain service.
  *
- * Loads of other VMs are told a second late, many times what a plain server takes to answer. VMs
- * that all take the server which looked least loaded move as a herd from one to the next: of 295
- * VMs before six servers with six tenths of their slots in use, 620 of 1,000 requests met a full
- * queue, and none with this choice (`correctness/plain_services_at_size`). So servers are drawn at
- * random, those less often that answered late or not at all, and of two that were drawn the one is
- * taken that has fewer requests of this VM.
+ * Loads at other VMs are known a second late, many times the response time of a plain server. If
+ * all VMs take the server that looks least loaded, they cause a thundering herd: with 295 VMs and
+ * six servers at 60% of their slots, 620 of 1,000 requests met a full queue, and none with this
+ * selection (`correctness/plain_services_at_size`). So this is a power-of-two-choices selection:
+ * two servers are drawn at random, slow and failing ones with a lower probability, and the one with
+ * fewer requests of this VM per slot is taken.
  */
 #pragma once
 
@@ -17,21 +17,24 @@
 
 namespace worksshift {
 
-/** Servers whose answers take up to this multiple of the best one's are drawn alike. What is within
- * it is mostly chance, and VMs that act on it would drive each other from server to server. */
+/** Servers whose expected response time is up to this multiple of the best one's are drawn with the
+ * same probability per slot. Smaller differences are mostly noise, and VMs that act on them would
+ * make each other switch servers. */
 constexpr double alike_within = 1.5;
-/** No server is drawn less often than this share of the best one's, so that its return is seen. */
+/** Minimum weight of a server relative to the best one, so that its recovery is noticed. */
 constexpr double least_drawn = 0.02;
-/** Near servers are drawn this many times as often: bytes between data centres cost, and a server
- * gets a fifth more than its share when one data centre asks three times what the others do. */
+/** Factor on the weight of servers in the VM's own data centre, as traffic between data centres has
+ * a cost. The cost: a server gets a fifth more than its share when its data centre sends three
+ * times as many requests as the others. */
 constexpr double near_preference = 2;
 
+/** The selected server. */
 struct plain_choice {
     server_entry* row = nullptr;
-    double expected_s = 0; ///< until an answer of use, as the recent ones took
+    double expected_s = 0; ///< expected time to a usable answer, from the recent ones
 };
 
-/** \p rows: those that take work, not empty. */
+/** Selects a server. \p rows: the candidates, not empty. \p here: the VM's data centre. */
 plain_choice choose_plain(std::span<server_entry* const> rows, const data_centre_id& here,
                           instant now, std::minstd_rand& random);
 
