--- a/src/server_words.h
+++ b/src/server_words.h
@@ -1,6 +1,9 @@
 /** \file
- * What servers' answers say of the servers themselves, by life: it outlasts the entry in the
- * registry, which may lapse and come back while the store is away, and ends with the life.
+ * What servers announce about themselves in responses: that they are shutting down, or for how long
+ * this VM should send them nothing.
+ *
+ * Kept by incarnation, so that it outlives the registry entry, which may expire and reappear while
+ * the store is unavailable, and does not apply to the server after a restart.
  */
 #pragma once
 
@@ -15,20 +18,20 @@
 
 namespace worksshift {
 
-/** Lives of servers that are remembered as leaving; the oldest make room. */
+/** Maximum number of remembered incarnations that are shutting down; the oldest are evicted. */
 constexpr std::size_t leaving_lives_at_most = 4096;
 
 class server_words {
 public:
-    /** The server leaves. Nothing takes that back: an answer without the word may have been made
-     * before one that has it. Returns whether it was not known. */
+    /** The server is shutting down. This is final: a later response without the announcement may
+     * have been generated before it. Returns whether this is new. */
     bool note_leaving(server_life server)
     {
         if (!this->leaving_lives.insert(server).second) return false;
-        this->in_order.push_back(server);
-        if (this->in_order.size() > leaving_lives_at_most) {
-            this->leaving_lives.erase(this->in_order.front());
-            this->in_order.pop_front();
+        this->insertion_order.push_back(server);
+        if (this->insertion_order.size() > leaving_lives_at_most) {
+            this->leaving_lives.erase(this->insertion_order.front());
+            this->insertion_order.pop_front();
         }
         return true;
     }
@@ -37,28 +40,28 @@
         return this->leaving_lives.contains(server);
     }
 
-    /** The server wants nothing of this VM until then. */
+    /** The server asked this VM to send nothing until \p until. */
     void note_rest(server_life server, instant until)
     {
-        instant& known = this->rests[server];
+        instant& known = this->backoffs[server];
         known = std::max(known, until);
     }
-    /** The epoch: it did not ask for rest. */
+    /** End of the back-off period; the epoch if the server did not ask for one. */
     [[nodiscard]] instant rests_until(server_life server) const
     {
-        const auto found = this->rests.find(server);
-        return found == this->rests.end() ? instant{} : found->second;
+        const auto found = this->backoffs.find(server);
+        return found == this->backoffs.end() ? instant{} : found->second;
     }
-    /** Drops rests that are over. */
+    /** Drops back-off periods that are over. */
     void forget(instant now)
     {
-        std::erase_if(this->rests, [now](const auto& entry) { return entry.second <= now; });
+        std::erase_if(this->backoffs, [now](const auto& entry) { return entry.second <= now; });
     }
 
 private:
     std::unordered_set<server_life> leaving_lives;
-    std::deque<server_life> in_order;
-    std::unordered_map<server_life, instant> rests;
+    std::deque<server_life> insertion_order;           ///< of `leaving_lives`, the oldest first
+    std::unordered_map<server_life, instant> backoffs; ///< ends of the back-off periods
 };
 
 } // namespace worksshift
