--- a/src/rendezvous.h
+++ b/src/rendezvous.h
@@ -1,7 +1,7 @@
 /** \file
- * Rendezvous hashing (highest random weight): every VM ranks the same candidates for a key in the
- * same order, with no table to agree on, and a candidate that joins or leaves moves only its own
- * share of the keys.
+ * Rendezvous hashing (highest random weight). Every VM ranks the same candidates for a key in the
+ * same order without shared state, and a candidate that joins or leaves moves only its own share of
+ * the keys.
  */
 #pragma once
 
@@ -14,14 +14,14 @@
 
 namespace worksshift {
 
-/** The weight of a candidate for a key; the highest comes first. */
+/** The weight of a candidate for a key; candidates rank by descending weight. */
 inline std::uint64_t rendezvous_weight(std::uint64_t key, std::uint64_t candidate)
 {
     const std::uint64_t pair[2] = {key, candidate};
     return XXH3_64bits(pair, sizeof pair);
 }
 
-/** Index of the first in rank among the candidates' hashes; `candidates.size()` when empty. */
+/** Index of the candidate with the highest weight; `candidates.size()` if there is none. */
 inline std::size_t rendezvous_first(std::uint64_t key, std::span<const std::uint64_t> candidates)
 {
     const auto weight = [key](std::uint64_t candidate) {
@@ -31,7 +31,7 @@
     return static_cast<std::size_t>(std::ranges::distance(candidates.begin(), first));
 }
 
-/** Indices of all candidates, first in rank first. */
+/** Indices of all candidates by descending weight. */
 inline std::vector<std::size_t> rendezvous_rank(std::uint64_t key,
                                                 std::span<const std::uint64_t> candidates)
 {
