--- a/src/demand_meter.h
+++ b/src/demand_meter.h
@@ -1,5 +1,5 @@
 /** \file
- * How many requests a second come, as a mean over the last half second or so.
+ * Request rate as an exponentially decaying mean.
  */
 #pragma once
 
@@ -11,31 +11,31 @@
 
 class demand_meter {
 public:
-    /** Weight of past requests fades to 1/e in this time: short against an overload of seconds,
-     * long enough that ten requests a second give a rate within a third. */
+    /** The weight of past requests decays to 1/e in this time. Short compared to an overload of
+     * seconds, and long enough for an error of at most a third at ten requests per second. */
     static constexpr duration fades_in = milliseconds(700);
 
     void on_request(instant now)
     {
-        this->weight = this->faded(now) + 1;
-        this->at = now;
+        this->weight = this->decayed(now) + 1;
+        this->last_request_at = now;
     }
 
     /** Requests per second. */
     [[nodiscard]] double rate(instant now) const
     {
-        return this->faded(now) / std::chrono::duration<double>(fades_in).count();
+        return this->decayed(now) / std::chrono::duration<double>(fades_in).count();
     }
 
 private:
-    [[nodiscard]] double faded(instant now) const
+    [[nodiscard]] double decayed(instant now) const
     {
-        const std::chrono::duration<double> span = now - this->at;
+        const std::chrono::duration<double> span = now - this->last_request_at;
         return this->weight * std::exp(-span / std::chrono::duration<double>(fades_in));
     }
 
-    double weight = 0;
-    instant at{};
+    double weight = 0; ///< decayed number of requests as of `last_request_at`
+    instant last_request_at{};
 };
 
 } // namespace worksshift
