--- a/src/overload_watch.h
+++ b/src/overload_watch.h
@@ -1,9 +1,9 @@
 /** \file
- * How long callers that are refused should stay away.
+ * Estimates the Retry-After time for requests that are refused during an overload.
  *
- * Nobody knows how long an overload lasts. One that has lasted for a while is likely to last about
- * as long again, so callers are told to come back after the time that it has lasted, spread by half
- * to either side, so that those refused together do not return together.
+ * The duration of an overload is unknown in advance. One that has lasted for some time is likely to
+ * last about as long again, so callers are told to retry after the time that it has lasted so far.
+ * A random factor between 0.5 and 1.5 keeps callers refused together from returning together.
  */
 #pragma once
 
@@ -16,28 +16,29 @@
 
 class overload_watch {
 public:
-    /** Without a refusal for so long, an overload is over. */
+    /** An overload is over after this time without a refusal. */
     static constexpr duration over_after = milliseconds(1500);
     static constexpr duration shortest_stay = milliseconds(200);
     static constexpr duration longest_stay = seconds(10);
 
-    /** A request is refused. Returns when its caller should come back. */
+    /** Records a refused request. Returns the time after which its caller should retry. */
     template <class Random>
     duration refuse(instant now, Random& random)
     {
-        if (now - this->last > over_after) this->since = now;
-        this->last = now;
+        if (now - this->last_refusal > over_after) this->since = now;
+        this->last_refusal = now;
         std::uniform_real_distribution<double> spread(0.5, 1.5);
-        const auto stay =
+        const auto retry_after =
             std::chrono::duration_cast<duration>((now - this->since) * spread(random));
-        return std::clamp(stay, shortest_stay, longest_stay);
+        return std::clamp(retry_after, shortest_stay, longest_stay);
     }
 
-    [[nodiscard]] bool active(instant now) const { return now - this->last <= over_after; }
+    /** Whether an overload is going on. */
+    [[nodiscard]] bool active(instant now) const { return now - this->last_refusal <= over_after; }
 
 private:
-    instant since{};
-    instant last{};
+    instant since{};        ///< first refusal of the current overload
+    instant last_refusal{}; ///< last refusal
 };
 
 } // namespace worksshift
