--- a/src/evacuations.cpp
+++ b/src/evacuations.cpp
@@ -10,9 +10,9 @@
 {
     std::set<std::uint32_t> places;
     for (const stored_object& item : all) {
-        if (!item.removed) places.insert(this->place_of(item));
+        if (!item.removed) places.insert(this->data_centre_hash(item));
     }
-    this->put(std::move(places), revision);
+    this->replace(std::move(places), revision);
 }
 
 void evacuation_state::take_changes(std::span<const stored_object> changed, std::uint64_t revision)
@@ -20,21 +20,20 @@
     std::set<std::uint32_t> places = this->current;
     for (const stored_object& item : changed) {
         if (item.removed) {
-            places.erase(this->place_of(item));
+            places.erase(this->data_centre_hash(item));
         } else {
-            places.insert(this->place_of(item));
+            places.insert(this->data_centre_hash(item));
         }
     }
-    this->put(std::move(places), revision);
+    this->replace(std::move(places), revision);
 }
 
 void evacuation_state::take_digest(const fleet_digest& told)
 {
-    this->put({told.evacuated.begin(), told.evacuated.end()}, told.evacuations_revision);
+    this->replace({told.evacuated.begin(), told.evacuated.end()}, told.evacuations_revision);
 }
 
-/** An older state than the one that is known changes nothing. */
-void evacuation_state::put(std::set<std::uint32_t> places, std::uint64_t revision)
+void evacuation_state::replace(std::set<std::uint32_t> places, std::uint64_t revision)
 {
     if (revision <= this->newest) return;
     this->newest = revision;
--- a/src/evacuations.h
+++ b/src/evacuations.h
@@ -1,9 +1,9 @@
 /** \file
- * Data centres whose servers are to get no requests, as operators ask in the platform's store.
+ * Data centres whose servers get no new requests, as operators request in the platform's store.
  *
- * What is under way there ends as usual; nothing new goes there. The VMs that watch the store learn
- * of a change, and digests carry the whole state to all others, as there are never many data
- * centres. Reads no clock and makes no call.
+ * Requests in flight there complete as usual. The VMs that watch the store receive changes, and
+ * digests distribute the complete state to all others, as the number of data centres is small. Does
+ * no I/O and does not read a clock.
  */
 #pragma once
 
@@ -19,44 +19,46 @@
 
 namespace worksshift {
 
+/** The set of evacuated data centres as one VM knows it, with the store's revision of it. */
 class evacuation_state {
 public:
     explicit evacuation_state(const protocol& dialect) : dialect(dialect) {}
 
-    /** All that are asked for, as of a revision of the store. */
+    /** Replaces the state by the complete list as of a revision of the store. */
     void take_list(std::span<const stored_object> all, std::uint64_t revision);
-    /** What changed up to a revision. */
+    /** Applies the changes up to a revision of the store. */
     void take_changes(std::span<const stored_object> changed, std::uint64_t revision);
-    /** What another VM tells. */
+    /** Applies the state in another VM's digest. */
     void take_digest(const fleet_digest& told);
-    /** Fills in what this VM tells others. When there are more entries than a digest holds, it
-     * tells of the data centres that \p known names, or nothing while \p known is empty: what is
-     * told is the whole state to whoever hears it, so nothing may be left out of it unawares. */
+    /** Fills in the state for other VMs. If a digest cannot hold all entries, only data centres in
+     * \p known are included, or no state at all if \p known is empty or they do not fit either. The
+     * receiver takes the digest as the complete state, so it must not be truncated arbitrarily. */
     void describe(fleet_digest& digest, const std::set<std::uint32_t>& known) const;
 
     /** Whether the state is known, empty or not. */
     [[nodiscard]] bool known() const { return this->newest > 0; }
     [[nodiscard]] std::uint64_t revision() const { return this->newest; }
-    /** Low halves of the hashes of the names. */
+    /** The evacuated data centres, by the low 32 bits of the hashes of their names. */
     [[nodiscard]] const std::set<std::uint32_t>& places() const { return this->current; }
     [[nodiscard]] bool includes(const data_centre_id& place) const
     {
         return this->current.contains(static_cast<std::uint32_t>(place.hash()));
     }
 
-    /** The data centres changed. */
+    /** Emitted when the set of data centres has changed. */
     sigc::signal<void()> on_change;
 
 private:
-    [[nodiscard]] std::uint32_t place_of(const stored_object& item) const
+    [[nodiscard]] std::uint32_t data_centre_hash(const stored_object& item) const
     {
         return static_cast<std::uint32_t>(this->dialect.decode_evacuation(item).hash());
     }
-    void put(std::set<std::uint32_t> places, std::uint64_t revision);
+    /** Replaces the state unless \p revision is older than or the same as the known one. */
+    void replace(std::set<std::uint32_t> places, std::uint64_t revision);
 
     const protocol& dialect;
     std::set<std::uint32_t> current;
-    std::uint64_t newest = 0;
+    std::uint64_t newest = 0; ///< revision of `current`; 0: unknown
 };
 
 } // namespace worksshift
