--- a/src/cold_servers.cpp
+++ b/src/cold_servers.cpp
@@ -75,7 +75,7 @@
     const double part = std::uniform_real_distribution<double>(0, 1)(random);
     const duration wait =
         given.drawn ? std::chrono::duration_cast<duration>(*given.pause * part) : duration::zero();
-    this->not_before = now + wait;
+    this->first = now + wait;
 }
 
 } // namespace worksshift
--- a/src/cold_servers.h
+++ b/src/cold_servers.h
@@ -97,19 +97,18 @@
     /** The server is cold until \p end at least. */
     void extend(instant end) { this->until = std::max(this->until, end); }
     void set_share(const cold_share& given, instant now, std::minstd_rand& random);
-    void on_sent(instant now) { this->last_sent = now; }
+    void on_sent(instant now) { this->sent = now; }
 
 private:
     [[nodiscard]] instant next() const
     {
-        return std::max(this->not_before,
-                        this->last_sent + this->share.pause.value_or(duration::zero()));
+        return std::max(this->first, this->sent + this->share.pause.value_or(duration::zero()));
     }
 
     instant until{};
     cold_share share;
-    instant not_before{}; ///< no request before this time
-    instant last_sent{};  ///< time of the last request
+    instant first{}; ///< no request before this time
+    instant sent{};  ///< time of the last request
 };
 
 } // namespace worksshift
--- a/src/crash_suspects.cpp
+++ b/src/crash_suspects.cpp
@@ -57,8 +57,8 @@
     for (const crash_report& report : reports) {
         if (!this->add(report, now)) continue;
         added = true;
-        this->enqueue(this->for_near, report);
-        this->enqueue(this->for_distant, report);
+        this->queue(this->for_near, report);
+        this->queue(this->for_distant, report);
     }
     if (added) this->block_suspects(now);
 }
@@ -70,11 +70,11 @@
     suspect& item = found->second;
     if (item.is_blocked) {
         log_event(log_level::info, "request_cleared",
-                  {{"content", to_text(content)}, {"ends", item.crashes.size()}});
+                  {{"content", to_text(content)}, {"ends", item.ends.size()}});
         this->urgent = true;
     }
     // Other VMs need to know only if they have blocked it or may be about to.
-    if (item.is_blocked || item.crashes.size() >= crashes_until_urgent) item.cleared = true;
+    if (item.is_blocked || item.ends.size() >= crashes_until_urgent) item.cleared = true;
     this->clear(item, now);
 }
 
@@ -83,8 +83,8 @@
     found.is_blocked = false;
     found.trials = 0;
     found.changed = now;
-    found.answered_crashes.merge(found.crashes);
-    found.crashes.clear();
+    found.answered_crashes.merge(found.ends);
+    found.ends.clear();
     while (found.answered_crashes.size() > settled_at_most)
         found.answered_crashes.erase(found.answered_crashes.begin());
 }
@@ -95,7 +95,7 @@
 {
     std::set<server_life> crashes;
     const auto found = this->suspects.find(content);
-    if (found != this->suspects.end()) crashes = found->second.crashes;
+    if (found != this->suspects.end()) crashes = found->second.ends;
     for (const broken_attempt& item : this->unchecked) {
         if (item.content == content) crashes.insert(item.server);
     }
@@ -124,10 +124,9 @@
     item.changed = now;
     if (item.trials < std::numeric_limits<std::uint8_t>::max()) ++item.trials;
     this->urgent = true;
-    log_event(log_level::info, "request_tried",
-              {{"content", to_text(content)},
-               {"ends", item.crashes.size()},
-               {"trial", int{item.trials}}});
+    log_event(
+        log_level::info, "request_tried",
+        {{"content", to_text(content)}, {"ends", item.ends.size()}, {"trial", int{item.trials}}});
 }
 
 bool crash_suspects::add(const crash_report& report, instant now)
@@ -137,11 +136,10 @@
         return false;
     if (!this->suspects.contains(key_of(report))) this->evict_oldest();
     suspect& found = this->suspects[key_of(report)];
-    if (found.answered_crashes.contains(server) || !found.crashes.insert(server).second)
-        return false;
+    if (found.answered_crashes.contains(server) || !found.ends.insert(server).second) return false;
     found.changed = now;
     if (found.is_blocked) this->mark_explained({server});
-    if (found.crashes.size() >= crashes_until_urgent) this->urgent = true;
+    if (found.ends.size() >= crashes_until_urgent) this->urgent = true;
     return true;
 }
 
@@ -150,8 +148,7 @@
 {
     for (auto& [content, item] : this->suspects) {
         if (item.is_blocked) continue;
-        std::erase_if(item.crashes,
-                      [&crashes](server_life each) { return crashes.contains(each); });
+        std::erase_if(item.ends, [&crashes](server_life each) { return crashes.contains(each); });
     }
     this->explained_crashes.insert(this->explained_crashes.end(), crashes.begin(), crashes.end());
     if (this->explained_crashes.size() <= explained_at_most) return;
@@ -168,14 +165,14 @@
     for (;;) {
         std::size_t most = 0;
         for (const auto& [content, item] : this->suspects) {
-            if (!item.is_blocked) most = std::max(most, item.crashes.size());
+            if (!item.is_blocked) most = std::max(most, item.ends.size());
         }
         if (most < ends_until_blocked) return;
         std::set<server_life> crashes;
         for (auto& [content, item] : this->suspects) {
-            if (item.is_blocked || item.crashes.size() != most) continue;
+            if (item.is_blocked || item.ends.size() != most) continue;
             this->block_content(content, item, now);
-            crashes.insert(item.crashes.begin(), item.crashes.end());
+            crashes.insert(item.ends.begin(), item.ends.end());
         }
         this->mark_explained(crashes);
     }
@@ -188,7 +185,7 @@
     found.changed = now;
     this->urgent = true;
     log_event(log_level::warn, "request_blocked",
-              {{"content", to_text(content)}, {"ends", found.crashes.size()}, {"source", "here"}});
+              {{"content", to_text(content)}, {"ends", found.ends.size()}, {"source", "here"}});
 }
 
 void crash_suspects::evict_oldest()
@@ -223,7 +220,7 @@
     if (found.is_blocked == was_blocked) return true;
     log_event(log_level::info, told.cleared ? "request_cleared" : "request_blocked",
               {{"content", to_text(content)},
-               {"ends", found.crashes.size()},
+               {"ends", found.ends.size()},
                {"trials", int{told.trials}},
                {"age_ms", (now - since) / milliseconds(1)},
                {"source", "another VM"}});
@@ -236,7 +233,7 @@
     for (const crash_report& report : told.crash_reports) {
         if (!this->add(report, now)) continue;
         added = true;
-        this->enqueue(near ? this->for_distant : this->for_near, report);
+        this->queue(near ? this->for_distant : this->for_near, report);
     }
     if (added) this->block_suspects(now);
     for (const blocked_content& item : told.blocked) {
@@ -245,7 +242,7 @@
     return this->urgent;
 }
 
-void crash_suspects::enqueue(std::vector<pending_report>& to, const crash_report& report)
+void crash_suspects::queue(std::vector<pending_report>& to, const crash_report& report)
 {
     if (to.size() < reports_waiting_at_most) to.push_back({report, report_tellings});
 }
@@ -253,7 +250,7 @@
 std::size_t crash_suspects::crashes_of(content_key content) const
 {
     const auto found = this->suspects.find(content);
-    return found == this->suspects.end() ? 0 : found->second.crashes.size();
+    return found == this->suspects.end() ? 0 : found->second.ends.size();
 }
 
 /** Reports of contents with the most crashes come first, then those sent least often. */
--- a/src/crash_suspects.h
+++ b/src/crash_suspects.h
@@ -90,7 +90,7 @@
 
 private:
     struct suspect {
-        std::set<server_life> crashes;          ///< crashes that count against it
+        std::set<server_life> ends;             ///< crashes that count against it
         std::set<server_life> answered_crashes; ///< crashes from before a server answered it
         instant changed{}; ///< last time a crash was added, or it was blocked, retried or cleared
         bool is_blocked = false;
@@ -114,7 +114,7 @@
     void clear(suspect& found, instant now);
     void evict_oldest();
     bool take_blocked(const blocked_content& told, instant now);
-    void enqueue(std::vector<pending_report>& to, const crash_report& report);
+    void queue(std::vector<pending_report>& to, const crash_report& report);
     std::vector<crash_report> next_reports(std::vector<pending_report>& from) const;
     [[nodiscard]] std::size_t crashes_of(content_key content) const;
     [[nodiscard]] std::size_t crashes_with_unchecked(content_key content) const;
--- a/src/plain_choice.h
+++ b/src/plain_choice.h
@@ -24,7 +24,7 @@
 /** Minimum weight of a server relative to the best one, so that its recovery is noticed. */
 constexpr double least_drawn = 0.02;
 /** Factor on the weight of servers in the VM's own data centre, as traffic between data centres has
- * a cost. The cost: a server gets a fifth more than its share when its data centre sends three
+ * a cost. As a drawback, a server gets a fifth more than its share when its data centre sends three
  * times as many requests as the others. */
 constexpr double near_preference = 2;
 
