--- a/src/server_table.h
+++ b/src/server_table.h
@@ -164,8 +164,7 @@
     std::vector<told_outcomes> take_outcome_news();
     /** Stops using reported loads older than `stated_load_for`. Called once per tick. */
     void expire_stated(instant now);
-    /** Marks engines whose recent delays are far above those of the others. Called once per tick.
-     */
+    /** Marks engines with recent delays far above those of the others. Called once per tick. */
     void mark_slow(instant now);
     /** Removes rows that are no longer listed and have no request in flight, and expired back-off
      * periods. */
@@ -213,8 +212,7 @@
         slot_forecast forecast;
         service_load sum;
         service_traits traits;
-        duration
-            objective{}; ///< target time to the first event, the shortest of its routes; zero: none
+        duration objective{}; ///< time to the first event, shortest of its routes; zero: none
 
         [[nodiscard]] duration wait_at(const server_entry& row) const
         {
