--- a/test/correctness/cold_servers_are_spared.cpp
+++ b/test/correctness/cold_servers_are_spared.cpp
@@ -1,10 +1,11 @@
 /** \file
- * A server that has just started gets no more in any second than it bears, from all VMs together,
- * whatever they believe of each other; and while the callers need it, it gets nearly all of that.
+ * Guards against a fleet that sends a cold server more requests in a second than it tolerates,
+ * even if the VMs disagree on the members of the fleet, and against using much less than the limit
+ * while there is demand.
  *
- * The pattern: every VM has more requests than it can place, so each sends to a cold server as soon
- * as it may, while VMs stop, start, freeze and are cut off. The figures of the bound are those of
- * the users' engines: 13 requests a second, half more and five, so 24.5 in any second.
+ * Every VM has more requests than it can place, so each sends to a cold server as soon as it may,
+ * while VMs stop, start, freeze and are partitioned. The limit is that of the specified engines: 13
+ * requests per second, times 1.5 plus 5, so 24.5 in any second.
  */
 #include <deque>
 #include <map>
@@ -24,18 +25,18 @@
 constexpr duration step = milliseconds(25);
 const service_id llm{"llm"};
 
-/** A fleet whose VMs all send to some cold servers as soon as they may. */
+/** A fleet whose VMs all send to the same cold servers as soon as they may. */
 class eager_fleet {
 public:
     eager_fleet(std::size_t vms, std::uint64_t seed, double senders)
         : data_centres(vms <= 65 ? 4 : 6), fleet(vms, data_centres, seed), random(seed),
           senders(senders)
     {
-        // Until the VMs know each other.
+        // Time for the VMs to discover each other.
         this->fleet.run(seconds(vms <= 65 ? 9 : 20));
     }
 
-    /** Runs while the servers are cold. */
+    /** Runs the fleet for \p span while the servers are cold. */
     void run(duration span)
     {
         const instant end = this->fleet.now + span;
@@ -46,7 +47,7 @@
         }
     }
 
-    /** A VM stands still: it neither hears nor tells nor sends. */
+    /** Suspends a VM: it neither sends nor receives anything. */
     void freeze(std::size_t vm)
     {
         this->frozen.insert(vm);
@@ -80,7 +81,7 @@
     std::size_t most_in_a_second = 0;
     std::size_t sent = 0;
 
-    /** Share of what the servers would have borne in the time. */
+    /** Requests sent, as a share of the rate that the servers tolerate in \p span. */
     [[nodiscard]] double used(duration span) const
     {
         const double seconds = std::chrono::duration<double>(span).count();
@@ -107,13 +108,13 @@
         }
     }
 
-    /** As often as routers do. */
+    /** Updates a VM's shares; called at the interval that routers use. */
     void share(std::size_t vm, vm_gates& own)
     {
         const instant now = this->fleet.now;
         own.shared_at = now;
         fleet_members members = this->fleet.vms.at(vm).rounds.fleet().members(now);
-        // The settings name all data centres.
+        // Routers know all data centres from their settings.
         for (std::uint32_t place = 1; place <= this->data_centres; ++place)
             members.add(place);
         for (std::size_t server = 0; server < servers; ++server) {
@@ -125,7 +126,7 @@
         }
     }
 
-    /** Requests reach the server after a few milliseconds. */
+    /** A request reaches the server after a few milliseconds. */
     void arrive(std::size_t server)
     {
         const auto late = std::uniform_int_distribution<int>(0, 8)(this->random);
@@ -175,7 +176,7 @@
                " VMs: " + std::to_string(fleet.most_in_a_second) + " in a second";
     }
 
-    /** All VMs of a fleet in one data centre. */
+    /** Membership of a fleet of \p count VMs in one data centre, as its first VM knows it. */
     static fleet_members known_vms(std::uint32_t count)
     {
         fleet_members made;
@@ -205,7 +206,7 @@
         return this->table->choose({llm, true, prompt, {}, 0}, this->now);
     }
 
-    /** How many of a thousand prompts go to a server. */
+    /** Number of prompts, of a thousand, that are placed on a server. */
     std::size_t chosen(const std::string& id)
     {
         std::size_t count = 0;
@@ -221,7 +222,7 @@
         CPPUNIT_ASSERT_MESSAGE(phase + ", " + seen(fleet), fleet.most_in_a_second <= bound);
     }
 
-    /** The servers get nearly all that they bear. */
+    /** While all VMs have requests to send, the servers get nearly all that they tolerate. */
     static void all_want_to_send(eager_fleet& fleet)
     {
         constexpr duration span = seconds(5);
@@ -230,6 +231,7 @@
                                fleet.used(span) >= 0.9);
     }
 
+    /** VMs freeze, restart and leave while others send. */
     static void come_and_go(eager_fleet& fleet)
     {
         const std::size_t vms = fleet.fleet.vms.size();
@@ -246,7 +248,7 @@
         }
     }
 
-    /** A third of the VMs hears none of the others, and some of these start anew. */
+    /** A third of the VMs is partitioned from all others, and some of these restart. */
     static void cut_off(eager_fleet& fleet)
     {
         const std::size_t vms = fleet.fleet.vms.size();
@@ -261,7 +263,7 @@
         fleet.run(seconds(6));
     }
 
-    /** Nobody sends before it knows beside whom. */
+    /** All VMs restart at once; none sends before it knows the other members. */
     static void all_start(eager_fleet& fleet)
     {
         const std::size_t vms = fleet.fleet.vms.size();
@@ -305,7 +307,7 @@
         spared(fleet, "all send");
     }
 
-    /** The other way: every VM sends its share at a moment of its own. */
+    /** The alternative, an even share for every VM, uses the limit less; see cold_servers.h. */
     static void even_shares_use_less()
     {
         constexpr std::size_t vms = 65;
@@ -318,18 +320,19 @@
         CPPUNIT_ASSERT_MESSAGE(text, even.used(span) < 0.75 * few.used(span));
     }
 
+    /** No VM may send if the limit is below one request, or if it does not know the fleet. */
     static void bounds_that_allow_nothing()
     {
         fleet_members members = known_vms(3);
         CPPUNIT_ASSERT(!share_of_cold({0, {1.5, 5}}, 1, members, senders).pause);
         CPPUNIT_ASSERT(!share_of_cold({0.5, {1, 0}}, 1, members, senders).pause);
         CPPUNIT_ASSERT(share_of_cold({13, {1, 0}}, 1, members, senders).pause.has_value());
-        // A VM that does not know the others yet may be one of hundreds that do not.
+        // A VM that has not discovered the others yet may be one of hundreds in this state.
         members.complete = false;
         CPPUNIT_ASSERT(!share_of_cold({13, {1, 0}}, 1, members, senders).pause);
     }
 
-    /** Others for each server, so that no VM has all of the cold ones. */
+    /** The senders differ from server to server, so that no VM serves all the cold ones. */
     static void few_senders_are_chosen()
     {
         fleet_members members = known_vms(65);
@@ -349,6 +352,7 @@
             CPPUNIT_ASSERT(count < servers / 2);
     }
 
+    /** A restarted server is cold for the cold-start time of its service. */
     void that_started_again()
     {
         CPPUNIT_ASSERT(this->chosen("a") > 0);
@@ -358,7 +362,8 @@
         CPPUNIT_ASSERT(this->chosen("a") > 0);
     }
 
-    /** What is under way there goes on; nothing new comes beyond this VM's share. */
+    /** A server that becomes cold keeps its requests in flight and gets no new ones beyond this
+     * VM's share. */
     void that_turn_cold_while_at_work()
     {
         server_entry& row = *this->table->find({"a"});
@@ -374,7 +379,7 @@
         CPPUNIT_ASSERT_EQUAL(1U, row.in_flight);
     }
 
-    /** It may start again before the registry tells. */
+    /** An unreachable server may restart before the registry says so, so it is treated as cold. */
     void that_could_not_be_reached()
     {
         this->table->mark_unreachable(*this->table->find({"a"}), this->now);
@@ -383,6 +388,7 @@
         CPPUNIT_ASSERT(this->chosen("a") > 0);
     }
 
+    /** A cold server has no cached tokens to copy. */
     void prompts_are_not_copied_from_them()
     {
         this->table->put(record("a", 2, 3000), this->now);
@@ -392,7 +398,8 @@
         }
     }
 
-    /** Refused at once, with the time from which a server takes the request. */
+    /** If all servers are cold, the request is refused at once, with the time until one accepts it.
+     */
     void all_of_them_cold()
     {
         for (const std::string id : {"a", "b", "c"})
@@ -403,7 +410,7 @@
         CPPUNIT_ASSERT(none->opens_in == seconds(3));
     }
 
-    /** Where the configuration states no rate, cold servers serve like others. */
+    /** Cold servers are not limited if the configuration states no rate. */
     void services_without_a_bound()
     {
         this->table->set_traits(llm, {true, seconds(3), std::nullopt});
