--- a/test/correctness/failing_engines_are_left.cpp
+++ b/test/correctness/failing_engines_are_left.cpp
@@ -1,11 +1,12 @@
 /** \file
- * Engines that fail a part of their requests are found out by the VMs of a data centre together,
- * left alone but for a trial now and then, and taken back when they are sound.
+ * Guards against sending on to engines that fail a part of their requests: the VMs of a data centre
+ * must detect them together, avoid them except for occasional trial requests, and use them again
+ * when they have recovered.
  *
- * The pattern: a fifth of 112 engines fails six requests in ten at once, beside a wave of short
- * requests, while one VM asks one engine every few seconds. The figures are those of the users'
- * fleet: 65 VMs in four data centres that tell each other twice a second; 1,800 requests a second;
- * answers take 300 ms, failures nothing; a failing engine looks idle.
+ * A fifth of 112 engines fails six of ten requests, during a load peak of short requests. One VM
+ * sends to a given engine only every few seconds, and a failing engine looks idle, as failures take
+ * no time. The figures are those of the specified fleet: 65 VMs in four data centres that exchange
+ * digests twice a second, 1,800 requests per second, and answers that take 300 ms.
  */
 #include <algorithm>
 #include <map>
@@ -26,7 +27,7 @@
 constexpr duration told_every = milliseconds(500);
 constexpr duration marked_every = milliseconds(100);
 
-/** The VMs of one data centre; the others do the same. */
+/** The VMs of one data centre; the other data centres behave alike and are not simulated. */
 class data_centre_of_vms {
 public:
     data_centre_of_vms(std::size_t vms, double requests_per_s, std::size_t engines,
@@ -49,7 +50,7 @@
         this->members.complete = true;
     }
 
-    /** Returns how many requests failed. */
+    /** Runs for \p span. Returns the number of failed requests. */
     std::size_t run(duration span)
     {
         const std::size_t before = this->failed;
@@ -64,20 +65,21 @@
         return this->failed - before;
     }
 
-    /** Shares of requests that engines fail, by number; others fail one in a hundred. */
+    /** Failure rates by engine number; the other engines fail one request in a hundred. */
     std::map<std::size_t, double> failing;
 
-    /** Engines that a VM leaves alone. */
-    [[nodiscard]] std::size_t left(std::size_t vm) const
+    /** Number of engines that a VM avoids. */
+    [[nodiscard]] std::size_t avoided(std::size_t vm) const
     {
         return static_cast<std::size_t>(std::ranges::count_if(
             this->tables[vm]->rows(), [](const auto& entry) { return entry.second.failing; }));
     }
-    [[nodiscard]] std::size_t most_left() const
+    /** Largest number of engines that any VM avoids. */
+    [[nodiscard]] std::size_t most_avoided() const
     {
         std::size_t most = 0;
         for (std::size_t vm = 0; vm < this->tables.size(); ++vm)
-            most = std::max(most, this->left(vm));
+            most = std::max(most, this->avoided(vm));
         return most;
     }
 
@@ -187,7 +189,7 @@
             fleet.failing[engine] = share;
     }
 
-    /** Failures in seven seconds after the first second of the fault. */
+    /** Number of failures in the seven seconds after the first second of the fault. */
     static std::size_t failures_after_the_first_second(double failing_share)
     {
         data_centre_of_vms fleet = started(failing_share);
@@ -197,6 +199,7 @@
     }
 
 public:
+    /** Avoiding the failing engines reduces failures to two fifths or less. */
     static void a_fifth_fails()
     {
         const std::size_t with = failures_after_the_first_second(placement_policy{}.failing_share);
@@ -205,18 +208,20 @@
         CPPUNIT_ASSERT_MESSAGE(seen, with * 5 <= without * 2);
     }
 
+    /** Engines that have recovered are used again. */
     static void taken_back_when_sound()
     {
         data_centre_of_vms fleet = started(placement_policy{}.failing_share);
         make_faulty(fleet, 0.6);
         fleet.run(seconds(6));
-        CPPUNIT_ASSERT(fleet.left(0) >= faulty * 3 / 4);
+        CPPUNIT_ASSERT(fleet.avoided(0) >= faulty * 3 / 4);
         fleet.failing.clear();
         fleet.run(seconds(8));
-        CPPUNIT_ASSERT_MESSAGE(std::to_string(fleet.most_left()), fleet.most_left() <= 2);
+        CPPUNIT_ASSERT_MESSAGE(std::to_string(fleet.most_avoided()), fleet.most_avoided() <= 2);
     }
 
-    /** The fault is elsewhere: leaving single engines alone would only burden the others. */
+    /** If all engines fail alike, the fault is elsewhere, and avoiding some would overload the
+     * rest. */
     static void all_fail_alike()
     {
         data_centre_of_vms fleet = started(placement_policy{}.failing_share);
@@ -225,18 +230,19 @@
         std::size_t most = 0;
         for (int i = 0; i < 12; ++i) {
             fleet.run(milliseconds(500));
-            most = std::max(most, fleet.most_left());
+            most = std::max(most, fleet.most_avoided());
         }
         CPPUNIT_ASSERT_MESSAGE(std::to_string(most), most <= engines / 4);
     }
 
+    /** The normal failure rate must not lead to avoided engines. */
     static void usual_failures()
     {
         data_centre_of_vms fleet = started(placement_policy{}.failing_share);
         std::size_t most = 0;
         for (int i = 0; i < 20; ++i) {
             fleet.run(milliseconds(500));
-            most = std::max(most, fleet.most_left());
+            most = std::max(most, fleet.most_avoided());
         }
         CPPUNIT_ASSERT_MESSAGE(std::to_string(most), most <= 2);
     }
