--- a/test/correctness/requests_that_end_servers.cpp
+++ b/test/correctness/requests_that_end_servers.cpp
@@ -1,14 +1,11 @@
 /** \file
- * A request under which servers end is not sent any more by any VM once three have ended; requests
- * that were under way beside it are served.
+ * Guards against a request that crashes one server after another: no VM may send it once three
+ * servers have crashed, and the other requests in flight there must be served.
  *
- * What was seen: one query ended four model servers a second for as long as its caller repeated it,
- * and up to seven in ten of the requests beside it broke off. How it came about: a server that
- * begins to run the query ends; its caller tries again with a new id, at another VM. Cause:
- * attempts, failures and budgets were counted by id, by server and by service, so nothing tied the
- * repeats together, and as queries may be repeated each VM sent each of them to a second server.
- * Proof: the day played with these contents blocked shows no such request any more, and without the
- * block this test fails.
+ * The caller repeats the request with a new id at another VM each time. While attempts were counted
+ * only by id, server and service, nothing connected the repeats, and each VM sent each of them to a
+ * second server. One query crashed four model servers a second for as long as it was repeated, and
+ * up to seven in ten of the other requests broke off. Without blocking by content this test fails.
  */
 #include <algorithm>
 #include <memory>
@@ -24,11 +21,11 @@
 using namespace worksshift;
 using then = scripted_answer::then;
 
-/** For so long after the third server ended, VMs may still be learning of it. */
+/** Time after the third crash in which the report may still be on its way to some VMs. */
 constexpr duration learnt_within = seconds(3);
-/** Times that all VMs together may send the request after that. */
+/** How often all VMs together may send the request after that. */
 constexpr std::size_t sends_allowed = 3;
-constexpr std::size_t ends_until_known = 3;
+constexpr std::size_t min_crashes = 3;
 
 bool is_harmful(const std::string& request)
 {
@@ -61,7 +58,7 @@
             this->fleet->add_server("s" + std::to_string(++this->servers), "llm", serve);
     }
 
-    /** Servers that ended are back as new ones, and their entries lapse. */
+    /** Replaces each crashed server by a new one and removes its registry entry. */
     void replace_ended()
     {
         for (std::size_t i = 0; i < this->fleet->servers.size(); ++i) {
@@ -90,7 +87,7 @@
         return count;
     }
 
-    /** Sends the harmful request by one VM after the other. Returns the last answer. */
+    /** Sends the harmful request through one VM after the other. Returns the last answer. */
     std::string ask_harmful(std::size_t times, const std::string& path = "/stream/x")
     {
         std::string answer;
@@ -120,22 +117,25 @@
         this->servers = 0;
     }
 
+    /** Once blocked, the request is refused by every VM, with a long Retry-After. */
     void are_not_sent_by_any_vm()
     {
         this->start(5);
         this->ask_harmful(8);
-        CPPUNIT_ASSERT(this->harmful_sends() >= ends_until_known);
+        CPPUNIT_ASSERT(this->harmful_sends() >= min_crashes);
         this->wait(learnt_within);
         const std::size_t before = this->harmful_sends();
         const std::string answer = this->ask_harmful(10);
         CPPUNIT_ASSERT(this->harmful_sends() <= before + sends_allowed);
-        // The caller is told the truth at once: it was not run, and coming back soon is of no use.
+        // The caller learns at once that the request was not run and that an early retry is
+        // useless.
         CPPUNIT_ASSERT_EQUAL(503, status_in(answer));
         CPPUNIT_ASSERT(std::stod(header_in(answer, "retry-after")) > 5);
         for (std::size_t router = 0; router < this->fleet->routers.size(); ++router)
             CPPUNIT_ASSERT_EQUAL(200, status_in(this->ask(router, "/stream/x", "other")));
     }
 
+    /** A VM that restarts learns of the blocked request from the others. */
     void are_known_to_vms_that_start()
     {
         this->start(3);
@@ -153,7 +153,8 @@
         CPPUNIT_ASSERT(this->harmful_sends() <= before + sends_allowed);
     }
 
-    /** Requests of others wait at the servers that end. They are served, then and later. */
+    /** Other requests in flight at the crashing servers are served, during the crashes and later.
+     */
     void do_no_harm_to_those_beside()
     {
         this->start(3);
@@ -174,7 +175,7 @@
             CPPUNIT_ASSERT_EQUAL(200, status_in(this->ask(router, "/stream/x", "other")));
     }
 
-    /** Such a request runs once for each time that its caller sends it, and ends one server. */
+    /** A request that may not be repeated crashes one server each time its caller sends it. */
     void that_may_not_be_repeated()
     {
         this->start(4);
