--- a/test/correctness/evacuated_servers_get_nothing.cpp
+++ b/test/correctness/evacuated_servers_get_nothing.cpp
@@ -1,7 +1,7 @@
 /** \file
- * Routers as processes: the servers of an evacuated data centre get no request from any of them,
- * from those that the store does not answer either, until the evacuation is taken back; what is
- * under way there ends as usual.
+ * Guards against requests to servers of an evacuated data centre, tested with routers as processes.
+ * No router may send any until the evacuation is revoked, not even one that the store does not
+ * answer. Requests in flight there must complete as usual.
  */
 #include <cppunit/extensions/HelperMacros.h>
 
@@ -47,7 +47,7 @@
         return true;
     }
 
-    /** Requests that a server got in some rounds of all routers. */
+    /** Number of requests that a server gets while all routers send several rounds. */
     static std::size_t asked(router_fleet& fleet, std::size_t server)
     {
         const std::size_t before = fleet.servers[server]->requests.size();
@@ -62,6 +62,7 @@
     }
 
 public:
+    /** The evacuation holds until it is revoked, also at a router that starts without the store. */
     static void until_it_is_taken_back()
     {
         const auto fleet = served_fleet(5);
@@ -71,7 +72,7 @@
         CPPUNIT_ASSERT_EQUAL(std::size_t{0}, asked(*fleet, 0));
         const std::string told = "worksshift_evacuated{data_centre=\"here\"} 1";
         CPPUNIT_ASSERT(fleet->metrics(3).find(told) != std::string::npos);
-        // One that starts while the store does not answer learns it from the others.
+        // A router that starts while the store does not answer learns the state from the others.
         fleet->store->fault = fakes::store_fault::busy;
         fleet->store->lose_waiting();
         fleet->routers[4].signal(SIGKILL);
@@ -85,7 +86,8 @@
         CPPUNIT_ASSERT(fleet->run_until([&] { return asked(*fleet, 0) > 0; }, seconds(5)));
     }
 
-    /** Callers are told at once that nothing ran, and when to come back. */
+    /** If all data centres are evacuated, callers are told at once that the request was not run,
+     * and when to retry. */
     static void all_data_centres()
     {
         const auto fleet = served_fleet(3);
@@ -100,6 +102,7 @@
         CPPUNIT_ASSERT_EQUAL(std::size_t{0}, asked(*fleet, 0));
     }
 
+    /** Thousands of invalid entries neither hide the valid one nor appear in the metrics. */
     static void beside_entries_that_mean_nothing()
     {
         const auto fleet = served_fleet(3);
@@ -113,6 +116,7 @@
         CPPUNIT_ASSERT(fleet->metrics(0).find("nowhere") == std::string::npos);
     }
 
+    /** A stream that began before the evacuation completes; a new request is refused. */
     static void stream_under_way_goes_on()
     {
         const auto fleet = served_fleet(1);
