--- a/test/correctness/requests_stay_in_their_regions.cpp
+++ b/test/correctness/requests_stay_in_their_regions.cpp
@@ -1,7 +1,7 @@
 /** \file
- * A request goes only to servers in regions that its route allows, and its client account; where
- * neither has a server there, it is refused at once and nothing is sent elsewhere, no repeat and no
- * copy of its prompt either.
+ * Guards against requests that leave their regions: a request may only go to servers in regions
+ * that both its route and its client account allow. If there is none, it is refused at once.
+ * Retries and copies of the prompt obey the same rule.
  */
 #include <cppunit/extensions/HelperMacros.h>
 
@@ -30,7 +30,7 @@
     instant now{seconds(1000)};
     server_table table{data_centre_id{"n1"}, 1U};
 
-    /** Regions in which the requests of many prompts, and plain ones, are served. */
+    /** Regions in which requests with many prompts, and requests to a plain service, are served. */
     std::set<std::string> served_in(const std::vector<region_id>& route,
                                     const std::vector<region_id>& account,
                                     std::span<const server_id> tried = {})
@@ -67,6 +67,7 @@
         }
     }
 
+    /** Empty lists allow all regions. */
     void anywhere()
     {
         CPPUNIT_ASSERT((this->served_in({}, {}) == names{"north", "south", "west"}));
@@ -86,6 +87,7 @@
         CPPUNIT_ASSERT(this->served_in({{"south"}}, {{"west"}}).empty());
     }
 
+    /** Without a server in the allowed regions the request is refused. */
     void regions_without_a_server()
     {
         CPPUNIT_ASSERT(this->served_in({{"east"}}, {}).empty());
@@ -101,6 +103,7 @@
         CPPUNIT_ASSERT(std::holds_alternative<no_server>(decided));
     }
 
+    /** A retry does not leave the region, even if all servers there have been tried. */
     void repeats()
     {
         const std::vector<server_id> tried{{"s1llm0"},  {"s1llm1"},  {"s1llm2"},
@@ -108,7 +111,8 @@
         CPPUNIT_ASSERT(this->served_in({{"south"}}, {}, tried).empty());
     }
 
-    /** Also while a server of the region is over its bound, so that another one helps out. */
+    /** Prompts are copied only within the region, also while one of its servers is over its bound
+     * and another takes its overflow. */
     void copies_of_prompts()
     {
         for (auto& [id, row] : this->table.rows())
@@ -116,6 +120,7 @@
         CPPUNIT_ASSERT((this->served_in({{"south"}}, {}) == names{"south"}));
     }
 
+    /** A data centre of unknown region serves only requests that may go anywhere. */
     void data_centres_of_no_known_region()
     {
         this->table.set_regions({{{"s1"}, {"south"}}});
@@ -123,6 +128,7 @@
         CPPUNIT_ASSERT((this->served_in({}, {}) == names{"", "south"}));
     }
 
+    /** Lists in the configuration that cannot be read must not open all regions. */
     static void as_the_configuration_says()
     {
         const auto decode = [](const std::string& regions) {
@@ -140,7 +146,7 @@
         CPPUNIT_ASSERT(sound->account_of_key.at("k").allowed_regions == expected);
         for (const std::string nothing : {"[]", "null"})
             CPPUNIT_ASSERT(decode(nothing)->find("h", "/b/x")->allowed_regions.empty());
-        // What cannot be read allows no region, and the rest of the configuration holds.
+        // An unreadable list allows no region, and the rest of the configuration is still used.
         for (const std::string other : {"7", R"("north")", "[7]", "{}", R"([""])", "[[]]"}) {
             const auto made = decode(other);
             CPPUNIT_ASSERT(made->find("h", "/a/x")->allowed_regions.empty());
