--- a/test/correctness/rendezvous_moves_only_its_share.cpp
+++ b/test/correctness/rendezvous_moves_only_its_share.cpp
@@ -1,5 +1,6 @@
 /** \file
- * A candidate that joins takes only the keys that it is now first for; no other key moves.
+ * Guards against a ranking that moves keys between existing candidates when one joins: the new
+ * candidate may take only the keys for which it now ranks highest.
  */
 #include <cppunit/extensions/HelperMacros.h>
 
