--- a/test/error/cold_times_that_mean_nothing.cpp
+++ b/test/error/cold_times_that_mean_nothing.cpp
@@ -1,6 +1,7 @@
 /** \file
- * What other writers leave where times and rates of cold servers should stand: nothing good is
- * lost, and no server is left alone for longer than a start can take.
+ * Guards against invalid cold times and rates written to the registry or the configuration by other
+ * software: valid entries must be kept, and no server may count as cold for longer than a start can
+ * take.
  */
 #include <cppunit/extensions/HelperMacros.h>
 
@@ -37,6 +38,7 @@
     }
 
 public:
+    /** Remaining cold time in a server's entry: limited to 0..60 s, rejected if not a number. */
     void of_a_server()
     {
         CPPUNIT_ASSERT(this->cold_for("2500") == milliseconds(2500));
@@ -49,6 +51,7 @@
             CPPUNIT_ASSERT_THROW((void)this->cold_for(other), peer_error);
     }
 
+    /** Cold-start time and rate of a service: limited likewise, ignored if not a number. */
     void of_a_service()
     {
         const service_traits sound = this->traits(R"(,"coldStartS":3.0,"coldPerS":13.0)");
