--- a/test/error/servers_that_leave_or_ask_for_rest.cpp
+++ b/test/error/servers_that_leave_or_ask_for_rest.cpp
@@ -1,14 +1,13 @@
 /** \file
- * A server's answers say that it leaves, or, where it turns a request away, for how long it wants
- * nothing: it gets no more requests then, whatever the registry says, and callers are served by
- * others or told at once when to come back.
+ * Guards against requests to a server that has announced its shutdown in a response, or has
+ * rejected a request and asked for a back-off period. It must get no more requests, whatever the
+ * registry says; callers are served by other servers or told at once when to retry.
  *
- * What was seen: requests reached an engine two seconds after its answers had said that it leaves,
- * as its word in the registry was held up for twelve seconds while the store was away; and engines
- * that had asked for three seconds of rest got five requests of one VM in that time. Cause: neither
- * header was decoded, so only the registry and the failures of attempts moved a server out of use,
- * and a refusal says nothing of the next request. Proof: without the headers decoded seven of these
- * cases fail.
+ * Before the two headers were decoded, only the registry and failed attempts took a server out of
+ * use. Requests reached an engine two seconds after it had announced its shutdown, because its
+ * registry entry was delayed for twelve seconds while the store was unavailable. Engines that had
+ * asked for a back-off of three seconds got five requests of one VM in that time. Without the
+ * decoding seven of these cases fail.
  */
 #include <algorithm>
 #include <array>
@@ -23,8 +22,8 @@
 using namespace worksshift;
 using then = scripted_answer::then;
 
-/** Requests that may reach a server which asked for rest, of those that were on their way. */
-constexpr std::size_t late_at_most = 2;
+/** Requests that may reach a server after it asked for a back-off: those already on their way. */
+constexpr std::size_t max_late_requests = 2;
 
 class servers_that_leave_or_ask_for_rest : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(servers_that_leave_or_ask_for_rest);
@@ -41,7 +40,7 @@
     CPPUNIT_TEST_SUITE_END();
 
     std::unique_ptr<path_rig> rig;
-    std::string first_says; ///< headers of the first server's answers
+    std::string first_headers; ///< additional headers of the first server's responses
     int first_status = 200;
     unsigned ids = 0;
 
@@ -49,10 +48,10 @@
     {
         if (request.starts_with("POST")) {
             std::string head = stream_head(request);
-            head.insert(head.find("Content-Type"), this->first_says);
+            head.insert(head.find("Content-Type"), this->first_headers);
             return {head + event_chunk(1, "x") + "0\r\n\r\n", then::keep};
         }
-        return {answer_text(this->first_status, request, "first", this->first_says), then::keep};
+        return {answer_text(this->first_status, request, "first", this->first_headers), then::keep};
     }
 
     static scripted_answer answer_second(const std::string& request)
@@ -103,7 +102,8 @@
         CPPUNIT_ASSERT(this->asked(0) > before);
     }
 
-    /** Requests that the first server gets of many. All are answered with \p status. */
+    /** Sends many requests, which all must be answered with \p status. Returns the number that the
+     * first server got. */
     std::size_t first_gets(int status = 200, const std::string& method = "GET",
                            const std::string& target = "/safe/x")
     {
@@ -113,8 +113,8 @@
         return this->asked(0) - before;
     }
 
-    /** The first server serves: nobody else can. A drawn choice among two may long pass over one
-     * whose only answer so far was slow. */
+    /** Checks that the first server gets requests. The second one is removed first, because the
+     * random selection among two may skip one whose only answer so far was slow for a long time. */
     void check_first_serves()
     {
         this->rig->table.remove(server_id{"second"});
@@ -126,16 +126,16 @@
     void turn_away_for(const std::string& retry_after)
     {
         this->first_status = 503;
-        this->first_says = "X-Not-Executed: 1\r\nRetry-After: " + retry_after + "\r\n";
+        this->first_headers = "X-Not-Executed: 1\r\nRetry-After: " + retry_after + "\r\n";
     }
 
     void serve_again()
     {
         this->first_status = 200;
-        this->first_says.clear();
+        this->first_headers.clear();
     }
 
-    /** The entry lapses and is back, as after the store was away. */
+    /** The registry entry expires and reappears, as after an outage of the store. */
     void list_anew(std::uint64_t born_ms = 0)
     {
         server_record record = this->rig->table.find(server_id{"first"})->record;
@@ -152,33 +152,36 @@
         this->serve_again();
     }
 
+    /** A server that announced its shutdown gets no further requests. */
     void leaving_gets_nothing_more()
     {
         this->start("desk", true);
-        this->first_says = "Server-Leaving: 1\r\n";
+        this->first_headers = "Server-Leaving: 1\r\n";
         this->ask_until_first_answers();
         CPPUNIT_ASSERT_EQUAL(std::size_t{0}, this->first_gets());
-        // With nobody else to serve, callers are told so, and that nothing ran.
+        // Without another server, callers are told so, and that the request was not run.
         this->rig->table.remove(server_id{"second"});
         const std::string answer = this->ask();
         CPPUNIT_ASSERT_EQUAL(503, status_of(answer));
         CPPUNIT_ASSERT(!header_in(answer, "retry-after").empty());
     }
 
+    /** The same for an engine whose announcement is in the head of a stream. */
     void leaving_engine_ends_its_streams()
     {
         this->start("llm", true);
-        this->first_says = "Server-Leaving: 1\r\n";
+        this->first_headers = "Server-Leaving: 1\r\n";
         this->ask_until_first_answers("POST", "/stream/x");
         CPPUNIT_ASSERT_EQUAL(std::size_t{0}, this->first_gets(200, "POST", "/stream/x"));
     }
 
+    /** Neither a response without the header nor a new registry entry revokes the announcement. */
     void leaving_is_not_forgotten()
     {
         this->start("desk", true);
-        this->first_says = "Server-Leaving: 1\r\n";
+        this->first_headers = "Server-Leaving: 1\r\n";
         this->ask_until_first_answers();
-        // What it says later without the word may have been made before.
+        // A later response without the header may have been generated before the announcement.
         this->serve_again();
         const server_record ready = this->rig->table.find(server_id{"first"})->record;
         this->rig->table.put(ready, std::chrono::steady_clock::now());
@@ -187,26 +190,29 @@
         CPPUNIT_ASSERT_EQUAL(std::size_t{0}, this->first_gets());
     }
 
+    /** A server that restarted under its id gets requests again. */
     void leaving_ends_with_its_life()
     {
         this->start("desk", true);
-        this->first_says = "Server-Leaving: 1\r\n";
+        this->first_headers = "Server-Leaving: 1\r\n";
         this->ask_until_first_answers();
         this->serve_again();
         this->list_anew(5000);
         this->check_first_serves();
     }
 
+    /** Invalid values of the header are ignored. */
     void leaving_that_means_nothing()
     {
         for (const char* value : {"0", "", "no", "-1", "99999999999999999999999999"}) {
             this->start("desk", true);
-            this->first_says = std::string("Server-Leaving: ") + value + "\r\n";
+            this->first_headers = std::string("Server-Leaving: ") + value + "\r\n";
             this->ask_until_first_answers();
             this->check_first_serves();
         }
     }
 
+    /** The server gets nothing during the back-off period, and requests again after it. */
     void rest_is_kept_to()
     {
         this->start("desk", true);
@@ -215,17 +221,18 @@
         this->ask_until_first_answers();
         this->rig->run_for(milliseconds(500));
         const std::size_t before = this->asked(0);
-        // Paced, as each caller's connection stays open until the test ends.
+        // Paced to limit the connections, as each caller's stays open until the test ends.
         while (std::chrono::steady_clock::now() - begin < milliseconds(1400)) {
             CPPUNIT_ASSERT_EQUAL(200, status_of(this->ask()));
             this->rig->run_for(milliseconds(5));
         }
-        CPPUNIT_ASSERT(this->asked(0) - before <= late_at_most);
+        CPPUNIT_ASSERT(this->asked(0) - before <= max_late_requests);
         this->serve_again();
         this->rig->run_for(milliseconds(300));
         this->check_first_serves();
     }
 
+    /** If all servers are in a back-off period, callers get the rest of it as Retry-After. */
     void rest_of_all_is_told_to_callers()
     {
         this->start("desk", false);
@@ -242,17 +249,19 @@
         CPPUNIT_ASSERT_EQUAL(before, this->asked(0));
     }
 
+    /** A registry entry that expires and reappears does not end the back-off period. */
     void rest_is_not_forgotten()
     {
         this->start("desk", true);
         this->turn_away_for("3");
         this->ask_until_first_answers();
-        // It would not ask again, so only what is remembered keeps requests away.
+        // The server would now accept requests, so only the remembered back-off keeps them away.
         this->serve_again();
         this->list_anew();
         CPPUNIT_ASSERT_EQUAL(std::size_t{0}, this->first_gets());
     }
 
+    /** Invalid back-off periods, and those of zero length, are ignored. */
     void rest_that_means_nothing()
     {
         for (const char* value : {"-5", "-1e999", "1e-999", "nan", "inf", "abc", "", "0", "1e",
@@ -265,14 +274,15 @@
         }
     }
 
+    /** An excessive back-off period ends with a restart of the server. */
     void rest_without_end()
     {
         for (const char* value : {"1e300", "1e999", "99999999999999999999999999"}) {
             this->start("desk", true);
             this->turn_away_for(value);
             this->ask_until_first_answers();
-            CPPUNIT_ASSERT(this->first_gets() <= late_at_most);
-            // The server starts again, and takes requests again.
+            CPPUNIT_ASSERT(this->first_gets() <= max_late_requests);
+            // The server restarts, and gets requests again.
             this->serve_again();
             this->list_anew(7000);
             this->check_first_serves();
