--- a/test/error/servers_that_start_again.cpp
+++ b/test/error/servers_that_start_again.cpp
@@ -1,6 +1,7 @@
 /** \file
- * A server that starts again under its id is a new server: nothing that was believed of it before
- * holds, and what an entry of its former life says changes nothing.
+ * Guards against state that survives a server's restart under the same id: load, health and
+ * connections of the previous incarnation must not apply to the new one, and registry entries of
+ * the previous incarnation must be ignored.
  */
 #include <cppunit/extensions/HelperMacros.h>
 
@@ -14,10 +15,10 @@
 using namespace support;
 using namespace worksshift;
 
-constexpr told_by_store as_it_happens{true};
+constexpr told_by_store live_change{true};
 using then = scripted_answer::then;
 
-/** An entry of the registry by a server that started at \p born, in Unix milliseconds. */
+/** Registry entry of a server that started at \p born, in Unix milliseconds. */
 std::string document(const link_address& address, std::uint64_t born, const std::string& state,
                      const std::string& service = "llm")
 {
@@ -59,7 +60,7 @@
 
     void start_again()
     {
-        this->registry->take_change(entry("a", second_born), as_it_happens,
+        this->registry->take_change(entry("a", second_born), live_change,
                                     this->start + seconds(60));
     }
 
@@ -72,6 +73,7 @@
         this->registry->take_list(all, told_by_store{}, this->start);
     }
 
+    /** The new incarnation starts without load, failures or delays. */
     void load_and_health_start_anew()
     {
         const instant before = this->start + seconds(59);
@@ -89,7 +91,7 @@
         CPPUNIT_ASSERT(this->row().takes_work());
     }
 
-    /** What is released later was counted in the former life. */
+    /** An attempt that ends after the restart is counted for the previous incarnation. */
     void attempts_of_the_former_life_end_there()
     {
         server_entry& former = this->row();
@@ -102,6 +104,7 @@
         CPPUNIT_ASSERT_EQUAL(std::size_t{2}, this->table->rows().size());
     }
 
+    /** A load reported before the restart is ignored. */
     void loads_told_of_the_former_life_are_passed_over()
     {
         this->start_again();
@@ -113,26 +116,28 @@
         CPPUNIT_ASSERT_EQUAL(std::uint32_t{2}, this->row().load());
     }
 
+    /** A late registry change of the previous incarnation is ignored. */
     void entry_of_the_former_life_changes_nothing()
     {
         this->start_again();
-        this->registry->take_change(entry("a", first_born, "draining"), as_it_happens,
+        this->registry->take_change(entry("a", first_born, "draining"), live_change,
                                     this->start + seconds(61));
         CPPUNIT_ASSERT(this->row().takes_work());
     }
 
+    /** A late removal of the previous incarnation is ignored. */
     void removal_of_the_former_life_changes_nothing()
     {
         this->start_again();
         stored_object removal = entry("a", first_born);
         removal.removed = true;
-        this->registry->take_change(removal, as_it_happens, this->start + seconds(61));
+        this->registry->take_change(removal, live_change, this->start + seconds(61));
         this->registry->sweep(this->start + seconds(70), this->start);
         CPPUNIT_ASSERT(this->table->find(this->id) != nullptr && this->row().takes_work());
     }
 
-    /** The server answers others in its new life, which says nothing of a request that was lost
-     * with the former one. */
+    /** Answers of the new incarnation to other requests must not be taken as a sign that a request
+     * lost with the previous one is still running. */
     void request_of_the_former_life_is_not_taken_for_running()
     {
         path_rig rig;
@@ -170,6 +175,7 @@
         CPPUNIT_ASSERT_EQUAL(std::ptrdiff_t{2}, times_sent());
     }
 
+    /** Connections opened before the restart are closed and not reused. */
     static void connections_of_the_former_life_are_closed()
     {
         router_fleet fleet(1);
