--- a/test/fuzz/choice_keeps_the_load_bound.cpp
+++ b/test/fuzz/choice_keeps_the_load_bound.cpp
@@ -1,6 +1,7 @@
 /** \file
- * The choice of an engine keeps the load bound, never takes one that leaves or was tried, and is
- * the same on all VMs that see the same; the retries of all VMs together keep to the fleet's bound.
+ * Guards against an engine selection that exceeds the load bound, selects an engine that is
+ * draining or was already tried, or differs between VMs with the same information; and against
+ * retries of all VMs together beyond the fleet's retry budget.
  */
 #include <cppunit/extensions/HelperMacros.h>
 #include <rapidcheck.h>
@@ -32,6 +33,7 @@
     }
 
 public:
+    /** Random loads, draining engines and prompts. */
     static void engines()
     {
         const bool held = rc::check("the chosen engine is one that may be chosen", [] {
@@ -74,6 +76,7 @@
         CPPUNIT_ASSERT(held);
     }
 
+    /** Random requests at several VMs that share one retry budget. */
     static void retries_of_the_fleet()
     {
         const bool held = rc::check("repeats of all VMs stay within the window's bound", [] {
