--- a/test/fuzz/crash_reports_reach_every_vm.cpp
+++ b/test/fuzz/crash_reports_reach_every_vm.cpp
@@ -1,7 +1,8 @@
 /** \file
- * Every VM knows in time of a request under which servers end, however often it comes, at 7 and at
- * 480 VMs, while digests get lost and VMs start again; others that were under way beside it stay
- * free, and what is told and remembered stays bounded.
+ * Guards against a request that goes on crashing servers because some VM has not learnt of it.
+ * Every VM must block it in time at any request rate, with 7 to 480 VMs, while digests are lost and
+ * VMs restart. Other requests in flight at these servers must not be blocked, and reports and
+ * memory must stay bounded.
  */
 #include <algorithm>
 #include <array>
@@ -18,13 +19,13 @@
 using namespace worksshift;
 using support::digest_fleet;
 
-/** For so long after the third server ended, VMs may still be learning of it. */
+/** Time after the third crash in which the report may still be on its way to some VMs. */
 constexpr duration learnt_within = seconds(3);
-/** Times that all VMs together may send the request after that. */
+/** How often all VMs together may send the request after that. */
 constexpr std::size_t sends_allowed = 3;
 constexpr content_key harmful{0xbad};
 
-/** VMs with what they know of suspects, and servers of which one ends at each harmful request. */
+/** VMs with their crash suspects, and servers of which one crashes with each harmful request. */
 class suspect_fleet {
 public:
     suspect_fleet(std::size_t vms, std::size_t data_centres) : fleet(vms, data_centres, 1)
@@ -39,15 +40,16 @@
             fleet_rounds& rounds = this->fleet.vms.at(vm).rounds;
             const bool near = rounds.fleet().is_near(from);
             if (!this->known[vm].take_digest(from.last, near, this->fleet.now)) return;
-            if (this->fleet.now - this->hastened[vm] < milliseconds(500)) return;
-            this->hastened[vm] = this->fleet.now;
+            if (this->fleet.now - this->hastened_at[vm] < milliseconds(500)) return;
+            this->hastened_at[vm] = this->fleet.now;
             this->known[vm].take_urgent();
             rounds.hasten();
         };
         this->fleet.run(seconds(8));
     }
 
-    /** A request comes to a VM, which sends it unless it is blocked. Returns whether it did. */
+    /** A request arrives at a VM, which sends it unless it is blocked. Returns whether it was sent.
+     * \p ends: whether it crashes the server, or only its answer is lost. */
     bool ask(std::size_t vm, content_key content, bool ends)
     {
         if (this->known[vm].blocked(content, this->fleet.now)) return false;
@@ -56,7 +58,8 @@
         return true;
     }
 
-    /** A server ends, or only loses its answers, while a VM has contents under way there. */
+    /** A server crashes, or only loses its answers, while a VM has these contents in flight there.
+     */
     void end_server(std::size_t vm, std::span<const content_key> contents, bool ends = true)
     {
         const server_life server{++this->servers};
@@ -65,7 +68,7 @@
         this->known[vm].on_checked(server, ends, this->fleet.now);
     }
 
-    /** Harmful requests come at random VMs for some time. */
+    /** Harmful requests arrive at random VMs at a mean rate of \p per_s for \p span. */
     void ask_harmful(double per_s, duration span)
     {
         const duration step = milliseconds(10);
@@ -75,12 +78,13 @@
             const int count = std::poisson_distribution<>(expected)(this->random);
             for (int i = 0; i < count; ++i) {
                 const std::size_t vm = this->random() % this->fleet.vms.size();
-                // Each is sent to a second server when the first one ends.
+                // Each is sent to a second server after the first one has crashed.
                 if (this->ask(vm, harmful, true)) this->ask(vm, harmful, true);
             }
         }
     }
 
+    /** Number of VMs that block the content. */
     [[nodiscard]] std::size_t blocked_at(content_key content)
     {
         return static_cast<std::size_t>(std::ranges::count_if(this->fleet.vms, [&](auto& entry) {
@@ -90,7 +94,7 @@
 
     digest_fleet fleet;
     std::map<std::size_t, crash_suspects> known;
-    std::map<std::size_t, instant> hastened;
+    std::map<std::size_t, instant> hastened_at;
     std::size_t sends = 0;
     std::uint32_t servers = 0;
     std::mt19937 random;
@@ -110,7 +114,8 @@
     CPPUNIT_TEST(other_vms_nonsense);
     CPPUNIT_TEST_SUITE_END();
 
-    static void stays_within(suspect_fleet& fleet, double per_s, duration span)
+    /** Checks that the harmful request is hardly sent any more once the reports have arrived. */
+    static void check_blocked_in_time(suspect_fleet& fleet, double per_s, duration span)
     {
         while (fleet.sends < ends_until_blocked)
             fleet.ask_harmful(per_s, milliseconds(50));
@@ -125,7 +130,7 @@
     {
         for (const std::size_t vms : {7, 65, 480}) {
             suspect_fleet fleet(vms, vms < 12 ? 3 : 6);
-            stays_within(fleet, 5, seconds(3));
+            check_blocked_in_time(fleet, 5, seconds(3));
             CPPUNIT_ASSERT_EQUAL(fleet.fleet.vms.size(), fleet.blocked_at(harmful));
         }
     }
@@ -135,17 +140,17 @@
         for (const std::size_t vms : {7, 65}) {
             suspect_fleet fleet(vms, vms < 12 ? 3 : 4);
             fleet.fleet.loss = 0.1;
-            stays_within(fleet, 5, seconds(20));
+            check_blocked_in_time(fleet, 5, seconds(20));
         }
     }
 
     static void when_it_comes_rarely()
     {
         suspect_fleet fleet(65, 4);
-        stays_within(fleet, 0.2, seconds(60));
+        check_blocked_in_time(fleet, 0.2, seconds(60));
     }
 
-    /** They learn what is blocked from the first digests that they get. */
+    /** VMs that start learn the blocked contents from the first digests that they receive. */
     static void vms_that_start()
     {
         suspect_fleet fleet(65, 4);
@@ -161,8 +166,8 @@
         CPPUNIT_ASSERT_EQUAL(std::size_t{65}, fleet.blocked_at(harmful));
     }
 
-    /** Two others were at each server that ended, one of them at all but one: they are sent on
-     * from one to the next. */
+    /** Other requests in flight at the crashed servers are not blocked, even those that were at two
+     * of the three because they were resent from one crashed server to the next. */
     static void those_beside_stay_free()
     {
         suspect_fleet fleet(7, 3);
@@ -179,12 +184,13 @@
         }
         fleet.fleet.run(seconds(1));
         CPPUNIT_ASSERT_EQUAL(std::size_t{7}, fleet.blocked_at(harmful));
-        // A further end without the harmful one does not count with those that it explains.
+        // A later crash without the harmful request must not add to the crashes already explained.
         fleet.end_server(4, {&followed, 1});
         fleet.fleet.run(seconds(1));
         CPPUNIT_ASSERT_EQUAL(std::size_t{0}, fleet.blocked_at(followed));
     }
 
+    /** Broken attempts at servers that still run do not count. */
     static void lost_answers_block_nothing()
     {
         suspect_fleet fleet(7, 3);
@@ -196,7 +202,7 @@
         CPPUNIT_ASSERT_EQUAL(std::size_t{20}, fleet.sends);
     }
 
-    /** What was under way at servers that ended, and was answered since, did not end them. */
+    /** A content that was in flight at crashed servers and was answered since is not blocked. */
     static void an_answer_frees()
     {
         suspect_fleet fleet(7, 3);
@@ -210,6 +216,7 @@
         CPPUNIT_ASSERT_EQUAL(std::size_t{0}, fleet.blocked_at(often));
     }
 
+    /** A blocked content is retried by one VM, at growing intervals, until a server answers it. */
     static void one_vm_tries_again()
     {
         suspect_fleet fleet(7, 3);
@@ -223,12 +230,12 @@
         CPPUNIT_ASSERT(!trial_due(2));
         fleet.fleet.run(first_trial_after);
         CPPUNIT_ASSERT(trial_due(2));
-        // Once, and not by another that has heard of it.
+        // Only once, and not by another VM that has learnt of the trial.
         fleet.known[2].begin_trial(harmful, fleet.fleet.now);
         CPPUNIT_ASSERT(!trial_due(2));
         fleet.fleet.run(seconds(1));
         CPPUNIT_ASSERT(!trial_due(3));
-        // The longer, the more often it was tried in vain.
+        // The pause doubles with each unsuccessful trial.
         fleet.fleet.run(first_trial_after);
         CPPUNIT_ASSERT(!trial_due(3));
         fleet.fleet.run(first_trial_after);
@@ -239,6 +246,8 @@
         CPPUNIT_ASSERT_EQUAL(std::size_t{0}, fleet.blocked_at(harmful));
     }
 
+    /** Many crashes with many contents in flight neither exceed the memory bound nor hide the
+     * harmful request. */
     static void many_ends_stay_bounded()
     {
         suspect_fleet fleet(7, 3);
@@ -255,11 +264,12 @@
         for (const auto& [vm, known] : fleet.known)
             CPPUNIT_ASSERT(known.remembered() <= suspects_at_most);
         CPPUNIT_ASSERT_EQUAL(std::size_t{0}, fleet.known[0].blocked_contents());
-        // The harmful one is found beside them.
+        // The harmful request is still detected.
         fleet.ask_harmful(10, learnt_within);
         CPPUNIT_ASSERT_EQUAL(std::size_t{7}, fleet.blocked_at(harmful));
     }
 
+    /** Digests with random contents neither exceed the bounds nor block an unrelated content. */
     static void other_vms_nonsense()
     {
         crash_suspects known;
