--- a/test/fuzz/evacuations_reach_every_vm.cpp
+++ b/test/fuzz/evacuations_reach_every_vm.cpp
@@ -1,7 +1,7 @@
 /** \file
- * Every VM knows in time which data centres get no requests, although most of them do not ask the
- * store, and while the store is slow, away, forgets its history or refuses some of them; and that
- * an evacuation is over. What is told of places that do not exist costs nothing.
+ * Guards against VMs that learn too late of an evacuation or of its end. Most VMs do not query the
+ * store, which may be slow, unavailable or compacted, or refuse some VMs. Entries for data centres
+ * that do not exist must not use up space in digests.
  */
 #include <cppunit/extensions/HelperMacros.h>
 #include <rapidcheck.h>
@@ -13,8 +13,8 @@
 using namespace worksshift;
 using support::store_fleet;
 
-/** Less than half of the users' bound from the store's answer until nothing is sent any more. */
-constexpr duration promised_within = seconds(2);
+/** Less than half of the specified time from the store's answer to the last request sent. */
+constexpr duration max_propagation_time = seconds(2);
 
 class evacuations_reach_every_vm : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(evacuations_reach_every_vm);
@@ -41,27 +41,29 @@
         return fleet;
     }
 
-    static void known_in_time(store_fleet& fleet, const names& places)
+    /** Checks that all VMs know this state within the promised time. */
+    static void check_known_in_time(store_fleet& fleet, const names& places)
     {
         const duration span =
-            fleet.fleet.run_until([&] { return fleet.all_evacuate(places); }, promised_within);
-        CPPUNIT_ASSERT(span < promised_within);
+            fleet.fleet.run_until([&] { return fleet.all_evacuate(places); }, max_propagation_time);
+        CPPUNIT_ASSERT(span < max_propagation_time);
     }
 
 public:
+    /** Without faults, at several fleet sizes. */
     static void in_calm()
     {
         for (const std::size_t vms : {1, 7, 65, 295}) {
             const auto started = start(vms);
             store_fleet& fleet = *started;
             fleet.evacuate("a");
-            known_in_time(fleet, {"a"});
+            check_known_in_time(fleet, {"a"});
             fleet.run(seconds(3));
             fleet.evacuate("b");
-            known_in_time(fleet, {"a", "b"});
+            check_known_in_time(fleet, {"a", "b"});
             fleet.run(seconds(3));
             fleet.take_back("a");
-            known_in_time(fleet, {"b"});
+            check_known_in_time(fleet, {"b"});
         }
     }
 
@@ -71,11 +73,11 @@
         store_fleet& fleet = *started;
         for (const std::string place : {"a", "b", "c", "d"})
             fleet.evacuate(place);
-        known_in_time(fleet, {"a", "b", "c", "d"});
+        check_known_in_time(fleet, {"a", "b", "c", "d"});
         fleet.run(seconds(2));
         for (const std::string place : {"a", "b", "c", "d"})
             fleet.take_back(place);
-        known_in_time(fleet, {});
+        check_known_in_time(fleet, {});
     }
 
     static void while_the_store_refuses_some()
@@ -86,9 +88,10 @@
             fleet.store.refused.insert(vm);
         fleet.run(seconds(3));
         fleet.evacuate("a");
-        known_in_time(fleet, {"a"});
+        check_known_in_time(fleet, {"a"});
     }
 
+    /** The store has compacted the revisions that the watches would continue from. */
     static void when_its_history_is_gone()
     {
         const auto started = start(65);
@@ -105,6 +108,8 @@
         CPPUNIT_ASSERT(fleet.all_evacuate({}));
     }
 
+    /** During an outage of the store the known state stays in force; changes made in it arrive
+     * after it. */
     static void when_it_was_away()
     {
         const auto started = start(65);
@@ -121,6 +126,7 @@
         CPPUNIT_ASSERT(fleet.all_evacuate({"b"}));
     }
 
+    /** A VM that starts during an outage of the store learns the state from the others. */
     static void that_a_vm_finds_at_its_start()
     {
         const auto started = start(65);
@@ -133,8 +139,8 @@
         CPPUNIT_ASSERT(fleet.all_evacuate({"a"}));
     }
 
-    /** A VM that has just started reads the list of evacuations before it knows any server. What it
-     * tells must not take back what the others know. */
+    /** A VM that has just started reads the list of evacuations before it knows any server. Its
+     * digest must not revoke evacuations that the others know. */
     static void that_a_vm_knows_before_its_servers()
     {
         const protocol dialect = platform_protocol();
@@ -149,7 +155,7 @@
         other.take_list(all, 5);
         other.take_digest(digest);
         CPPUNIT_ASSERT(other.includes({"a"}));
-        // With more entries than it can tell of, it tells nothing until it knows the servers.
+        // If the entries do not fit into a digest, it sends no state until it knows the servers.
         std::vector<stored_object> many = all;
         for (std::size_t i = 0; i <= evacuated_at_most; ++i) {
             item.name = "nowhere-" + std::to_string(i);
@@ -162,7 +168,7 @@
         CPPUNIT_ASSERT(other.includes({"a"}));
     }
 
-    /** Whatever happened before, all know the truth soon after it is over. */
+    /** After any series of faults, all VMs know the current state soon after the last one. */
     static void over_a_series_of_faults()
     {
         const auto drawn = [] {
@@ -194,7 +200,7 @@
         CPPUNIT_ASSERT(rc::check("evacuations after faults", drawn));
     }
 
-    /** Digests carry data centres of servers only, and not more than a few. */
+    /** Digests carry only data centres that have servers, and a bounded number of them. */
     static void of_places_that_do_not_exist()
     {
         const protocol dialect = platform_protocol();
@@ -221,7 +227,7 @@
         other.take_digest(told);
         CPPUNIT_ASSERT(other.includes({"a"}));
         CPPUNIT_ASSERT_EQUAL(std::uint64_t{9}, other.revision());
-        // What is older changes nothing.
+        // An older revision is ignored.
         other.take_changes({}, 8);
         CPPUNIT_ASSERT_EQUAL(std::uint64_t{9}, other.revision());
     }
