--- a/src/cold_servers.cpp
+++ b/src/cold_servers.cpp
@@ -48,16 +48,19 @@
 {
     if (!members.complete || bound.per_s <= 0) return {};
     if (senders <= 0) return even_share(bound, members);
-    const auto all = static_cast<std::size_t>(bound.in_a_second * senders);
-    const std::size_t places = members.data_centres.size();
-    const std::size_t place = count_above(server, members.data_centre, members.data_centres);
+    const auto total = static_cast<std::size_t>(bound.in_a_second * senders);
+    const std::size_t data_centre_count = members.data_centres.size();
+    const std::size_t data_centre_rank =
+        count_above(server, members.data_centre, members.data_centres);
     // The remainder of the division goes to the highest-ranked data centres.
-    const std::size_t here = all / places + (place < all % places ? 1 : 0);
-    const std::size_t count = std::min(here, members.near.size());
+    const std::size_t local_total =
+        total / data_centre_count + (data_centre_rank < total % data_centre_count ? 1 : 0);
+    const std::size_t count = std::min(local_total, members.near.size());
     if (count_above(server, members.self, members.near) >= count) return {};
-    const duration pause = in_seconds(static_cast<double>(all) / bound.per_s *
-                                      static_cast<double>(count) / static_cast<double>(here));
-    const auto per_sender_in_a_second = static_cast<duration::rep>(here / count);
+    const duration pause =
+        in_seconds(static_cast<double>(total) / bound.per_s * static_cast<double>(count) /
+                   static_cast<double>(local_total));
+    const auto per_sender_in_a_second = static_cast<duration::rep>(local_total / count);
     return {std::max(pause, cold_second / per_sender_in_a_second), false};
 }
 
