--- a/src/server_table.cpp
+++ b/src/server_table.cpp
@@ -90,9 +90,9 @@
  * cold. */
 void server_table::update_cold(server_entry& row, bool restarted, instant now)
 {
-    const milliseconds told = row.record.cold_for;
-    if (told > milliseconds{}) {
-        mark_cold(row, told, "entry", now);
+    const milliseconds remaining = row.record.cold_for;
+    if (remaining > milliseconds{}) {
+        mark_cold(row, remaining, "entry", now);
     } else if (restarted) {
         mark_cold(row, this->services[row.record.service].traits.cold_start, "restart", now);
     }
@@ -362,17 +362,17 @@
 
 std::vector<stated_load> server_table::take_news(instant now)
 {
-    std::vector<stated_load> news;
+    std::vector<stated_load> reports;
     for (auto& [id, row] : this->table) {
         if (!std::exchange(row.stated_here, false)) continue;
         const auto age = std::min<std::int64_t>((now - row.stated_at) / stated_age_unit, 255);
-        news.push_back({static_cast<std::uint32_t>(row.hash),
-                        static_cast<std::uint16_t>(std::min<std::uint32_t>(row.stated, 65535)),
-                        static_cast<std::uint8_t>(age)});
+        reports.push_back({static_cast<std::uint32_t>(row.hash),
+                           static_cast<std::uint16_t>(std::min<std::uint32_t>(row.stated, 65535)),
+                           static_cast<std::uint8_t>(age)});
     }
-    std::ranges::sort(news, {}, &stated_load::age);
-    news.resize(std::min(news.size(), stated_loads_at_most));
-    return news;
+    std::ranges::sort(reports, {}, &stated_load::age);
+    reports.resize(std::min(reports.size(), stated_loads_at_most));
+    return reports;
 }
 
 void server_table::on_answered(server_entry& row, duration span, bool failed, instant now)
@@ -396,23 +396,23 @@
 std::vector<told_outcomes> server_table::take_outcome_news()
 {
     const auto byte = [](std::int64_t value) {
-        constexpr std::int64_t most = std::numeric_limits<std::uint8_t>::max();
-        return static_cast<std::uint8_t>(std::min(value, most));
+        constexpr std::int64_t byte_max = std::numeric_limits<std::uint8_t>::max();
+        return static_cast<std::uint8_t>(std::min(value, byte_max));
     };
-    std::vector<told_outcomes> news;
+    std::vector<told_outcomes> reports;
     for (auto& [id, row] : this->table) {
         const outcome_sum sum = std::exchange(row.untold, {});
         if (sum.answered + sum.failed == 0) continue;
         if (this->is_engine(row) && row.outcomes.failed() < min_reported_failures) continue;
         const duration mean = sum.time / std::max<std::uint32_t>(sum.answered, 1);
-        news.push_back({static_cast<std::uint32_t>(row.hash), byte(sum.answered), byte(sum.failed),
-                        byte(mean / told_time_unit)});
+        reports.push_back({static_cast<std::uint32_t>(row.hash), byte(sum.answered),
+                           byte(sum.failed), byte(mean / told_time_unit)});
     }
-    std::ranges::sort(news, std::greater{}, [](const told_outcomes& item) {
+    std::ranges::sort(reports, std::greater{}, [](const told_outcomes& item) {
         return std::tuple(item.failed, item.answered);
     });
-    news.resize(std::min(news.size(), told_outcomes_at_most));
-    return news;
+    reports.resize(std::min(reports.size(), told_outcomes_at_most));
+    return reports;
 }
 
 bool server_table::is_engine(const server_entry& row) const
@@ -452,20 +452,21 @@
     }
     // Failures common to all engines come from the requests or the model, so the limit rises with
     // the failure rate of the service.
-    const double usual = failed / (tries + 1);
-    const double limit = std::max(this->policy.failing_share, failing_rate_multiple * usual);
-    fleet_members place = members;
-    place.data_centres = {members.data_centre};
+    const double service_rate = failed / (tries + 1);
+    const double limit = std::max(this->policy.failing_share, failing_rate_multiple * service_rate);
+    fleet_members own_data_centre = members;
+    own_data_centre.data_centres = {members.data_centre};
     for (server_entry* row : group.rows) {
-        const double share = row->outcomes.failed() / (row->outcomes.tries() + 1);
-        if (!row->failing && share > limit && row->outcomes.failed() >= min_failures) {
+        const double failure_rate = row->outcomes.failed() / (row->outcomes.tries() + 1);
+        if (!row->failing && failure_rate > limit && row->outcomes.failed() >= min_failures) {
             this->set_failing(*row, true, now);
-        } else if (row->failing && share < limit / 2) {
+        } else if (row->failing && failure_rate < limit / 2) {
             this->set_failing(*row, false, now);
         }
         if (!row->failing) continue;
         row->trial.extend(now + seconds(1));
-        row->trial.set_share(share_of_cold(trial_bound, row->hash, place, 1), now, this->random);
+        row->trial.set_share(share_of_cold(trial_bound, row->hash, own_data_centre, 1), now,
+                             this->random);
     }
 }
 
