--- a/src/evacuations.cpp
+++ b/src/evacuations.cpp
@@ -28,9 +28,9 @@
     this->replace(std::move(places), revision);
 }
 
-void evacuation_state::take_digest(const fleet_digest& told)
+void evacuation_state::take_digest(const fleet_digest& digest)
 {
-    this->replace({told.evacuated.begin(), told.evacuated.end()}, told.evacuations_revision);
+    this->replace({digest.evacuated.begin(), digest.evacuated.end()}, digest.evacuations_revision);
 }
 
 void evacuation_state::replace(std::set<std::uint32_t> places, std::uint64_t revision)
