--- a/src/cold_servers.h
+++ b/src/cold_servers.h
@@ -60,9 +60,8 @@
 
 /** What one VM may send to one cold server. */
 struct cold_share {
-    std::optional<duration>
-        pause;          ///< minimum time between two requests; std::nullopt: none allowed
-    bool drawn = false; ///< the first request waits for a random part of the pause
+    std::optional<duration> pause; ///< least time between requests; std::nullopt: none allowed
+    bool drawn = false;            ///< the first request waits for a random part of the pause
 };
 
 /** Length of the window in which the requests of one VM are limited. 50 ms longer than the second
