--- a/src/crash_suspects.h
+++ b/src/crash_suspects.h
@@ -4,8 +4,8 @@
  * Such a request is identified by its content, because each repeat has a new id and may arrive at
  * any VM. A server that crashes takes many requests with it, and usually one of them is the cause.
  * Each VM reports the contents of the requests it had in flight there, and digests distribute the
- * reports to all VMs. A content that was in flight when three servers crashed, and that no server
- * has answered since, is blocked. These crashes are then explained, and no longer count against the
+ * reports to all VMs. A content that was in flight when three servers crashed, and that got no
+ * response since, is blocked. These crashes are then explained, and no longer count against the
  * other contents that were in flight there. One VM retries a blocked content after a long pause, so
  * that a content blocked by coincidence is released. Does not read a clock.
  */
@@ -37,7 +37,7 @@
 constexpr std::size_t suspects_at_most = 1024;
 /** Maximum number of remembered crashes that a blocked content explains; the oldest are evicted. */
 constexpr std::size_t explained_at_most = 1024;
-/** Maximum number of remembered crashes per content from before a server answered it. They are
+/** Maximum number of remembered crashes per content from before a response to it. They are
  * kept so that a late report of one does not count again. */
 constexpr std::size_t settled_at_most = 64;
 /** Number of digests in which each report is sent, as datagrams may be lost. */
@@ -64,17 +64,17 @@
     void on_broken(content_key content, server_life server, instant now);
     /** Result of the check of a server whose attempts broke off. \p ended: it no longer runs. */
     void on_checked(server_life server, bool ended, instant now);
-    /** A server answered a request with the content, which clears it. */
+    /** A server responded to a request with the content, which clears it. */
     void on_answered(content_key content, instant now);
 
     /** std::nullopt if the content may be sent. */
     [[nodiscard]] std::optional<block> blocked(content_key content, instant now) const;
     /** Records that the blocked content is sent once. The trial counts as unsuccessful until a
-     * server answers. */
+     * server responds. */
     void begin_trial(content_key content, instant now);
 
-    /** Applies the reports in another VM's digest. \p near: the sender is in this VM's data centre.
-     * Returns whether there is news that other VMs should learn soon. */
+    /** Applies the reports in another VM's digest. \p near: the sender is in the same data centre.
+     * Returns whether there is an update that other VMs should get soon. */
     bool take_digest(const fleet_digest& told, bool near, instant now);
     /** Fills in the blocked contents, and the reports for VMs of this data centre. */
     void describe(fleet_digest& digest, instant now);
@@ -83,7 +83,7 @@
     /** Drops expired entries. */
     void forget(instant now);
 
-    /** Whether other VMs should learn soon of a change since the last call. */
+    /** Whether there was an update since the last call that other VMs should get soon. */
     bool take_urgent() { return std::exchange(this->urgent, false); }
     [[nodiscard]] std::size_t blocked_contents() const;
     [[nodiscard]] std::size_t remembered() const { return this->suspects.size(); }
@@ -91,11 +91,11 @@
 private:
     struct suspect {
         std::set<server_life> ends;             ///< crashes that count against it
-        std::set<server_life> answered_crashes; ///< crashes from before a server answered it
+        std::set<server_life> answered_crashes; ///< crashes from before a response to it
         instant changed{}; ///< last time a crash was added, or it was blocked, retried or cleared
         bool is_blocked = false;
-        bool cleared = false;    ///< a server answered it while it was blocked or close to that
-        std::uint8_t trials = 0; ///< without an answer, since it was blocked
+        bool cleared = false;    ///< a server responded to it while it was blocked or close to that
+        std::uint8_t trials = 0; ///< without a response, since it was blocked
     };
     struct pending_report {
         crash_report report;
