--- a/src/overload_watch.h
+++ b/src/overload_watch.h
@@ -2,7 +2,7 @@
  * Estimates the Retry-After time for requests that are refused during an overload.
  *
  * The duration of an overload is unknown in advance. One that has lasted for some time is likely to
- * last about as long again, so callers are told to retry after the time that it has lasted so far.
+ * last about as long again, so callers are asked to retry after the time that it has lasted so far.
  * A random factor between 0.5 and 1.5 keeps callers refused together from returning together.
  */
 #pragma once
@@ -33,7 +33,7 @@
         return std::clamp(retry_after, shortest_stay, longest_stay);
     }
 
-    /** Whether an overload is going on. */
+    /** Whether there is an overload: the last refusal is recent. */
     [[nodiscard]] bool active(instant now) const { return now - this->last_refusal <= over_after; }
 
 private:
