--- a/src/plain_choice.cpp
+++ b/src/plain_choice.cpp
@@ -8,8 +8,8 @@
 
 namespace {
 
-/** Mean time of an answer over all servers, in seconds; zero if there were none. */
-double mean_answer_s(std::span<server_entry* const> rows)
+/** Mean response time over all servers, in seconds; zero if there was no response. */
+double mean_response_s(std::span<server_entry* const> rows)
 {
     double attempts = 0;
     double time_s = 0;
@@ -50,7 +50,7 @@
 {
     for (server_entry* row : rows)
         row->outcomes.fade(now);
-    const double mean_s = mean_answer_s(rows);
+    const double mean_s = mean_response_s(rows);
     std::vector<double> expected(rows.size());
     std::ranges::transform(rows, expected.begin(), [mean_s](const server_entry* row) {
         return row->outcomes.expected_s(mean_s);
