--- a/src/plain_choice.h
+++ b/src/plain_choice.h
@@ -31,7 +31,7 @@
 /** The selected server. */
 struct plain_choice {
     server_entry* row = nullptr;
-    double expected_s = 0; ///< expected time to a usable answer, from the recent ones
+    double expected_s = 0; ///< expected time to a usable response, from the recent ones
 };
 
 /** Selects a server. \p rows: the candidates, not empty. \p here: the VM's data centre. */
