--- a/src/recent_outcomes.h
+++ b/src/recent_outcomes.h
@@ -26,7 +26,7 @@
     void set_fade(duration given) { this->decay_time = given; }
 
     /** Adds \p answered attempts with a mean time of \p mean, and \p failed ones without a usable
-     * answer. */
+     * response. */
     void add(std::uint32_t answered, std::uint32_t failed, duration mean, instant now)
     {
         this->fade(now);
@@ -46,16 +46,17 @@
         this->decayed_at = now;
     }
 
-    /** Weight of the answered attempts, as of the last `fade` or `add`; so are the others below. */
+    /** Weight of the attempts with a response, as of the last `fade` or `add`; so are the others
+     * below. */
     [[nodiscard]] double weight() const { return this->answers; }
     [[nodiscard]] double seconds_in_all() const { return this->time_s; }
     [[nodiscard]] double failed() const { return this->failures; }
     /** Weight of all attempts. */
     [[nodiscard]] double tries() const { return this->answers + this->failures; }
 
-    /** Expected time to a usable answer in seconds, with retries until there is one. A failed
-     * attempt is taken to last as long as an answered one, however soon it failed. \p usual_s:
-     * prior for the time of an answer, with the weight of one answer. */
+    /** Expected time to a usable response in seconds, with retries until there is one. A failed
+     * attempt is taken to last as long as a successful one, however soon it failed. \p usual_s:
+     * prior for the response time, with the weight of one response. */
     [[nodiscard]] double expected_s(double usual_s) const
     {
         constexpr double max_failing = 0.95;
