--- a/src/server_entry.h
+++ b/src/server_entry.h
@@ -21,7 +21,7 @@
 struct outcome_sum {
     std::uint32_t answered = 0;
     std::uint32_t failed = 0;
-    duration time{}; ///< total time of the answered attempts
+    duration time{}; ///< total time of the attempts with a response
 };
 
 struct server_entry {
@@ -44,8 +44,8 @@
     cold_gate cold;
     bool gone = false;     ///< no longer in the registry; kept until no attempt is in flight
     bool replaced = false; ///< another server answered at its address
-    bool leaving = false;  ///< it announced its shutdown in a response to this VM or another
-    instant rests_until{}; ///< end of the back-off that it asked this VM for; the epoch: none
+    bool leaving = false;  ///< a response to this VM or another said that it will stop
+    instant rests_until{}; ///< backing off until then; the epoch: never
 
     instant heard_at{};    ///< when the last byte of a response arrived
     instant waited_from{}; ///< since then at least one attempt has been in flight
@@ -59,10 +59,11 @@
     cold_gate trial;      ///< while it is failing: when this VM may send it a trial request
     bool slow = false;    ///< compared to the engines of its service, see `mark_slow`
 
-    /** After this time without a byte while attempts are in flight, the server may be unreachable,
-     * which open connections do not show. New requests go elsewhere until it sends something.
-     * Engines send every few tens of ms. With a third of the engines silent twice for 4 s, this
-     * reduced late requests in that time from 160 to 100, and expired deadlines from 34 to none. */
+    /** After this time without a byte while attempts are in flight, the server is unresponsive:
+     * it may be unreachable, which open connections do not show. New requests go elsewhere until it
+     * sends something. Engines send every few tens of ms. With a third of the engines unresponsive
+     * twice for 4 s, this reduced late requests in that time from 160 to 100, and expired deadlines
+     * from 34 to none. */
     static constexpr duration quiet_after = milliseconds(450);
 
     [[nodiscard]] bool quiet(instant now) const
@@ -89,7 +90,7 @@
         this->in_flight_when_stated = this->in_flight;
         this->stated_is_fresh = true;
     }
-    /** Whether the server has asked this VM to back off, and the time is not over. */
+    /** Whether the server is backing off: it asked this VM with Retry-After for a pause. */
     [[nodiscard]] bool rests(instant now) const { return now < this->rests_until; }
     /** Whether to send it nothing because it is failing, and no trial request of this VM is due. */
     [[nodiscard]] bool avoided(instant now) const
