--- a/src/server_table.cpp
+++ b/src/server_table.cpp
@@ -159,8 +159,8 @@
     }
 }
 
-/** Whether the server accepts a request of this VM now: it is in no back-off period, and the limit
- * for cold servers permits one. */
+/** Whether the server accepts a request of this VM now: it is not backing off, and the limit for
+ * cold servers permits one. */
 bool server_table::is_open(const service_state& group, const server_entry& row, instant now) const
 {
     return !row.rests(now) && (!group.traits.limits_cold() || row.cold.open(now));
@@ -452,8 +452,9 @@
     }
     // Failures common to all engines come from the requests or the model, so the limit rises with
     // the failure rate of the service.
-    const double service_rate = failed / (tries + 1);
-    const double limit = std::max(this->policy.failing_share, failing_rate_multiple * service_rate);
+    const double service_failure_rate = failed / (tries + 1);
+    const double limit =
+        std::max(this->policy.failing_share, failing_rate_multiple * service_failure_rate);
     fleet_members own_data_centre = members;
     own_data_centre.data_centres = {members.data_centre};
     for (server_entry* row : group.rows) {
@@ -639,10 +640,10 @@
 
 /** The highest-ranked server other than the selected one. It received the requests with this key
  * before the selected one was added, or receives them normally while the selected one takes its
- * overflow. A server that is shutting down is included, as it answers until it exits; a cold one is
- * not, as its cache is empty. Copying cached tokens costs a tenth of processing them again: on a
- * day without faults with 10 of 18 servers replaced or added, 0.27 million tokens were processed
- * again instead of 0.85 million. */
+ * overflow. A leaving server is included, as it responds until it exits; a cold one is not, as its
+ * cache is empty. Copying cached tokens costs a tenth of processing them again: on a day without
+ * faults with 10 of 18 servers replaced or added, 0.27 million tokens were processed again instead
+ * of 0.85 million. */
 const server_entry* server_table::find_cached(const placing& wanted, const server_entry& chosen,
                                               instant now) const
 {
