--- a/src/server_table.h
+++ b/src/server_table.h
@@ -61,14 +61,14 @@
     double mean_load = 0;
     duration wait{};       ///< forecast waiting time for a slot of the selected server
     bool crowded = false;  ///< no engine is below its bounds on load and on waiting for a slot
-    double expected_s = 0; ///< expected time to a successful answer; plain servers only
+    double expected_s = 0; ///< expected time to a successful response; plain servers only
     /** Server that probably has the shared part of the prompt cached if the selected one does not;
      * nullptr if there is none. */
     const server_entry* cached_at = nullptr;
 };
 
 /** Totals over the engines of a service that accept requests. Engines that are failing,
- * unreachable, cold or in a back-off period are left out. */
+ * unresponsive, cold or backing off are left out. */
 struct service_load {
     std::size_t engines = 0;
     double slots = 0;
@@ -99,12 +99,12 @@
     bool remove(const server_id& id);
     /** Another server answered at the address of this one. */
     void mark_replaced(const server_id& id);
-    /** A response of the server announced that it is shutting down. Returns whether this is new. */
+    /** A response said that the server is leaving: it will stop. Returns whether this is new. */
     bool mark_leaving(server_entry& row);
-    /** Another VM reported such an announcement. Returns whether this is new. */
+    /** Another VM reported that the server is leaving. Returns whether this is new. */
     bool mark_leaving(server_life life);
-    /** Incarnations of servers that announced their shutdown while the registry still lists them as
-     * ready; at most \p count of them. */
+    /** Incarnations of leaving servers that the registry still lists as ready; at most \p count of
+     * them. */
     [[nodiscard]] std::vector<std::uint32_t> leaving_early(std::size_t count) const;
     /** The server rejected a request and asked this VM to send nothing for \p span. */
     void mark_resting(server_entry& row, duration span, instant now);
@@ -125,8 +125,8 @@
     /** Computes how many requests this VM may send to each cold server. Called once per tick. */
     void share_cold(const fleet_members& members, instant now);
     [[nodiscard]] std::size_t cold_servers(instant now) const;
-    /** The earliest time at which a server that is cold or in a back-off period accepts a request
-     * of this VM; std::nullopt if no server of the service is in such a state. */
+    /** The earliest time at which a server that is cold or backing off accepts a request of this
+     * VM; std::nullopt if no server of the service is in such a state. */
     [[nodiscard]] std::optional<instant> opens_at(const placing& wanted, instant now) const;
     [[nodiscard]] server_entry* find(const server_id& id);
     /** nullptr if the incarnation is unknown or no longer the current one of its server. */
@@ -155,7 +155,7 @@
     void take_stated(const stated_load& item, instant heard_at);
     /** Returns the loads that servers reported to this VM since the last call, the newest first. */
     std::vector<stated_load> take_news(instant now);
-    /** An attempt at a server ended. \p failed: without a usable answer. */
+    /** An attempt at a server ended. \p failed: without a usable response. */
     static void on_answered(server_entry& row, duration span, bool failed, instant now);
     /** Applies the results that another VM reports of its attempts at a server. */
     void take_outcomes(const told_outcomes& item, instant now);
@@ -182,7 +182,7 @@
     /** Servers that a request may be sent to now. */
     struct candidate_list {
         row_list rows;
-        double mean_load = 0; ///< also over servers that are cold or in a back-off period
+        double mean_load = 0; ///< also over servers that are cold or backing off
     };
 
     candidate_list candidates(const placing& wanted, instant now);
