--- a/src/server_words.h
+++ b/src/server_words.h
@@ -1,6 +1,6 @@
 /** \file
- * What servers announce about themselves in responses: that they are shutting down, or for how long
- * this VM should send them nothing.
+ * What servers say about themselves in responses: that they are leaving, or for how long they are
+ * backing off.
  *
  * Kept by incarnation, so that it outlives the registry entry, which may expire and reappear while
  * the store is unavailable, and does not apply to the server after a restart.
@@ -18,13 +18,13 @@
 
 namespace worksshift {
 
-/** Maximum number of remembered incarnations that are shutting down; the oldest are evicted. */
+/** Maximum number of remembered incarnations that are leaving; the oldest are evicted. */
 constexpr std::size_t leaving_lives_at_most = 4096;
 
 class server_words {
 public:
-    /** The server is shutting down. This is final: a later response without the announcement may
-     * have been generated before it. Returns whether this is new. */
+    /** The server is leaving. This is final: a later response that does not say so may have been
+     * generated before the one that does. Returns whether this is new. */
     bool note_leaving(server_life server)
     {
         if (!this->leaving_lives.insert(server).second) return false;
@@ -40,7 +40,7 @@
         return this->leaving_lives.contains(server);
     }
 
-    /** The server asked this VM to send nothing until \p until. */
+    /** The server is backing off: this VM sends it nothing before \p until. */
     void note_rest(server_life server, instant until)
     {
         instant& known = this->backoffs[server];
