--- a/test/correctness/evacuated_servers_get_nothing.cpp
+++ b/test/correctness/evacuated_servers_get_nothing.cpp
@@ -86,7 +86,7 @@
         CPPUNIT_ASSERT(fleet->run_until([&] { return asked(*fleet, 0) > 0; }, seconds(5)));
     }
 
-    /** If all data centres are evacuated, callers are told at once that the request was not run,
+    /** If all data centres are evacuated, callers learn at once that the request was not run,
      * and when to retry. */
     static void all_data_centres()
     {
