--- a/test/correctness/failing_engines_are_left.cpp
+++ b/test/correctness/failing_engines_are_left.cpp
@@ -6,7 +6,7 @@
  * A fifth of 112 engines fails six of ten requests, during a load peak of short requests. One VM
  * sends to a given engine only every few seconds, and a failing engine looks idle, as failures take
  * no time. The figures are those of the specified fleet: 65 VMs in four data centres that exchange
- * digests twice a second, 1,800 requests per second, and answers that take 300 ms.
+ * digests twice a second, 1,800 requests per second, and responses that take 300 ms.
  */
 #include <algorithm>
 #include <map>
