--- a/test/correctness/requests_that_end_servers.cpp
+++ b/test/correctness/requests_that_end_servers.cpp
@@ -87,7 +87,7 @@
         return count;
     }
 
-    /** Sends the harmful request through one VM after the other. Returns the last answer. */
+    /** Sends the harmful request through one VM after the other. Returns the last response. */
     std::string ask_harmful(std::size_t times, const std::string& path = "/stream/x")
     {
         std::string answer;
