--- a/test/error/servers_that_leave_or_ask_for_rest.cpp
+++ b/test/error/servers_that_leave_or_ask_for_rest.cpp
@@ -1,10 +1,10 @@
 /** \file
- * Guards against requests to a server that has announced its shutdown in a response, or has
- * rejected a request and asked for a back-off period. It must get no more requests, whatever the
- * registry says; callers are served by other servers or told at once when to retry.
+ * Guards against requests to a server whose responses say that it is leaving, or that it is backing
+ * off after it rejected a request. It must get no more requests, whatever the registry says;
+ * callers are served by other servers, or refused at once with the time for a retry.
  *
  * Before the two headers were decoded, only the registry and failed attempts took a server out of
- * use. Requests reached an engine two seconds after it had announced its shutdown, because its
+ * use. Requests reached an engine two seconds after it had said that it is leaving, because its
  * registry entry was delayed for twelve seconds while the store was unavailable. Engines that had
  * asked for a back-off of three seconds got five requests of one VM in that time. Without the
  * decoding seven of these cases fail.
@@ -114,7 +114,7 @@
     }
 
     /** Checks that the first server gets requests. The second one is removed first, because the
-     * random selection among two may skip one whose only answer so far was slow for a long time. */
+     * random selection among two may long skip one whose only response was slow. */
     void check_first_serves()
     {
         this->rig->table.remove(server_id{"second"});
@@ -152,21 +152,21 @@
         this->serve_again();
     }
 
-    /** A server that announced its shutdown gets no further requests. */
+    /** A leaving server gets no further requests. */
     void leaving_gets_nothing_more()
     {
         this->start("desk", true);
         this->first_headers = "Server-Leaving: 1\r\n";
         this->ask_until_first_answers();
         CPPUNIT_ASSERT_EQUAL(std::size_t{0}, this->first_gets());
-        // Without another server, callers are told so, and that the request was not run.
+        // Without another server, the request is refused as not run, with a time for the retry.
         this->rig->table.remove(server_id{"second"});
         const std::string answer = this->ask();
         CPPUNIT_ASSERT_EQUAL(503, status_of(answer));
         CPPUNIT_ASSERT(!header_in(answer, "retry-after").empty());
     }
 
-    /** The same for an engine whose announcement is in the head of a stream. */
+    /** The same for an engine that says so in the head of a stream. */
     void leaving_engine_ends_its_streams()
     {
         this->start("llm", true);
@@ -175,13 +175,13 @@
         CPPUNIT_ASSERT_EQUAL(std::size_t{0}, this->first_gets(200, "POST", "/stream/x"));
     }
 
-    /** Neither a response without the header nor a new registry entry revokes the announcement. */
+    /** Neither a response without the header nor a new registry entry ends the leaving state. */
     void leaving_is_not_forgotten()
     {
         this->start("desk", true);
         this->first_headers = "Server-Leaving: 1\r\n";
         this->ask_until_first_answers();
-        // A later response without the header may have been generated before the announcement.
+        // A later response without the header may have been generated before the one with it.
         this->serve_again();
         const server_record ready = this->rig->table.find(server_id{"first"})->record;
         this->rig->table.put(ready, std::chrono::steady_clock::now());
@@ -232,7 +232,7 @@
         this->check_first_serves();
     }
 
-    /** If all servers are in a back-off period, callers get the rest of it as Retry-After. */
+    /** If all servers are backing off, callers get the remaining time as Retry-After. */
     void rest_of_all_is_told_to_callers()
     {
         this->start("desk", false);
