--- a/test/fuzz/crash_reports_reach_every_vm.cpp
+++ b/test/fuzz/crash_reports_reach_every_vm.cpp
@@ -49,7 +49,7 @@
     }
 
     /** A request arrives at a VM, which sends it unless it is blocked. Returns whether it was sent.
-     * \p ends: whether it crashes the server, or only its answer is lost. */
+     * \p ends: whether it crashes the server, or only its response is lost. */
     bool ask(std::size_t vm, content_key content, bool ends)
     {
         if (this->known[vm].blocked(content, this->fleet.now)) return false;
@@ -58,8 +58,7 @@
         return true;
     }
 
-    /** A server crashes, or only loses its answers, while a VM has these contents in flight there.
-     */
+    /** A server crashes, or only loses its responses, with these contents of a VM in flight. */
     void end_server(std::size_t vm, std::span<const content_key> contents, bool ends = true)
     {
         const server_life server{++this->servers};
@@ -202,7 +201,7 @@
         CPPUNIT_ASSERT_EQUAL(std::size_t{20}, fleet.sends);
     }
 
-    /** A content that was in flight at crashed servers and was answered since is not blocked. */
+    /** A content in flight at crashed servers that got a response since is not blocked. */
     static void an_answer_frees()
     {
         suspect_fleet fleet(7, 3);
@@ -216,7 +215,7 @@
         CPPUNIT_ASSERT_EQUAL(std::size_t{0}, fleet.blocked_at(often));
     }
 
-    /** A blocked content is retried by one VM, at growing intervals, until a server answers it. */
+    /** A blocked content is retried by one VM, at growing intervals, until a server responds. */
     static void one_vm_tries_again()
     {
         suspect_fleet fleet(7, 3);
