--- a/test/fuzz/evacuations_reach_every_vm.cpp
+++ b/test/fuzz/evacuations_reach_every_vm.cpp
@@ -13,7 +13,7 @@
 using namespace worksshift;
 using support::store_fleet;
 
-/** Less than half of the specified time from the store's answer to the last request sent. */
+/** Less than half of the specified time from the store's response to the last request sent. */
 constexpr duration max_propagation_time = seconds(2);
 
 class evacuations_reach_every_vm : public CppUnit::TestFixture {
