--- a/lab/experiment.cpp
+++ b/lab/experiment.cpp
@@ -18,18 +18,21 @@
 namespace {
 
 const service_id engines_service{"engines"};
-/** The world moves on in steps of this. */
-constexpr duration tick = milliseconds(1);
-/** A router's own tick, in which it marks and sums. */
+/** Time that one step of the simulation covers. */
+constexpr duration simulation_step = milliseconds(1);
+/** Interval at which a router marks slow servers and sums the loads, as in the product. */
 constexpr duration router_tick = milliseconds(25);
-/** One way between callers, VMs and engines. */
-constexpr duration on_the_way = milliseconds(3);
-/** Sums of requests pass up to three VMs in a fleet of several data centres. */
-constexpr int rounds_of_sums = 3;
-constexpr std::size_t vms_of_one_group = 12;
-/** Callers come back so late at most: this share of the time that they have left. */
-constexpr double longest_stay_share = 1.0 / 3;
-constexpr double seconds_before_bound_counts = 1;
+/** One-way network delay between callers, VMs and engines. */
+constexpr duration one_way_delay = milliseconds(3);
+/** Digest rounds until the sums of requests in flight reach every VM of a fleet with several data
+ * centres: they pass through up to three VMs. */
+constexpr int load_sum_rounds = 3;
+/** A fleet with more VMs is spread over several data centres. */
+constexpr std::size_t max_vms_in_one_data_centre = 12;
+/** Upper bound on the delay of a retry, as a share of the time that remains until the deadline. */
+constexpr double max_retry_delay_share = 1.0 / 3;
+/** Sends of this first time are not compared with the load bound. */
+constexpr double warm_up_s = 1;
 
 duration in_seconds(double value)
 {
@@ -41,17 +44,18 @@
     return std::chrono::duration<double, std::milli>(span).count();
 }
 
-/** One router: the product's table and admission, fed with what a router would hear. */
+/** One router: the product's server table and admission control, fed with the updates that a router
+ * would receive. */
 struct vm_model {
     vm_model(const placement_policy& policy, unsigned seed)
-        : table(data_centre_id{"dc"}, seed), admitting(table, seed + 1)
+        : table(data_centre_id{"dc"}, seed), admission_control(table, seed + 1)
     {
         this->table.policy = policy;
     }
 
     server_table table;
-    admission admitting;
-    std::vector<server_entry*> rows; ///< by engine; references to rows stay valid
+    admission admission_control;
+    std::vector<server_entry*> rows; ///< by engine; the table keeps references to its entries valid
 };
 
 struct caller_request {
@@ -63,48 +67,48 @@
     instant first_try{};
     instant sent{};
     instant first_event{};
-    bool came_back = false;
+    bool retried = false;
     bool at_engine = false;
-    bool over = false;
+    bool ended = false;
 };
 
-class world {
+class simulation {
 public:
-    world(const pattern& given, const decision_maker& decides, std::uint64_t seed);
+    simulation(const pattern& given, const decision_maker& chosen_policy, std::uint64_t seed);
     outcome run();
 
 private:
-    struct due {
+    struct scheduled_event {
         instant at;
-        std::uint64_t order;
-        std::function<void()> what;
-        bool operator>(const due& other) const
+        std::uint64_t sequence; ///< keeps events of the same time in the order of scheduling
+        std::function<void()> action;
+        bool operator>(const scheduled_event& other) const
         {
-            return std::tie(this->at, this->order) > std::tie(other.at, other.order);
+            return std::tie(this->at, this->sequence) > std::tie(other.at, other.sequence);
         }
     };
 
-    void at(instant when, std::function<void()> what);
+    void schedule(instant when, std::function<void()> action);
     void make_engines();
     void make_vms(const placement_policy& policy);
-    void plan_faults();
-    void change(const engine_fault& fault, std::size_t engine, bool begins);
-    void arrivals();
-    [[nodiscard]] double times(const request_kind& kind) const;
+    void schedule_faults();
+    void apply_fault(const engine_fault& fault, std::size_t engine, bool begins);
+    void generate_arrivals();
+    [[nodiscard]] double rate_multiple(const request_kind& kind) const;
     [[nodiscard]] double hot_share(const request_kind& kind) const;
-    void ask(std::size_t kind);
+    void start_request(std::size_t kind);
     void dispatch(const std::shared_ptr<caller_request>& item);
     void send(const std::shared_ptr<caller_request>& item, const placed& where);
-    void come_back_later(const std::shared_ptr<caller_request>& item, duration after);
-    void watch_patience(const std::shared_ptr<caller_request>& item);
-    void leave(caller_request& item);
-    void take_first(caller_request& item);
-    void take_end(caller_request& item);
-    void settle(caller_request& item, bool served);
-    void router_ticks();
-    void digests();
+    void schedule_retry(const std::shared_ptr<caller_request>& item, duration after);
+    void schedule_departure(const std::shared_ptr<caller_request>& item);
+    void handle_caller_left(caller_request& item);
+    void handle_first_event(caller_request& item);
+    void handle_end(caller_request& item);
+    void record_outcome(caller_request& item, bool served);
+    void run_router_tick();
+    void exchange_digests();
     [[nodiscard]] double mean_load();
-    [[nodiscard]] duration sums_age() const;
+    [[nodiscard]] duration load_sums_age() const;
     server_entry& row(const caller_request& item);
 
     const pattern& given;
@@ -112,63 +116,65 @@
     std::mt19937_64 random;
     instant now{seconds(1000)};
     instant start{this->now};
-    std::uint64_t orders = 0;
-    std::priority_queue<due, std::vector<due>, std::greater<>> dues;
+    std::uint64_t last_sequence = 0;
+    std::priority_queue<scheduled_event, std::vector<scheduled_event>, std::greater<>> events;
     std::vector<std::unique_ptr<emulated_engine>> engines;
     std::vector<server_id> engine_ids;
     std::vector<std::unique_ptr<vm_model>> vms;
     std::map<std::uint64_t, std::shared_ptr<caller_request>> requests;
     std::uint64_t next_id = 1;
-    std::vector<std::vector<std::uint32_t>> sums; ///< loads of the engines by router tick
+    std::vector<std::vector<std::uint32_t>>
+        load_history; ///< loads of the engines, one entry for each router tick
     std::size_t sends = 0;
     std::size_t sends_over_bound = 0;
     std::vector<double> asked_by_second;
     outcome result;
 };
 
-world::world(const pattern& given, const decision_maker& decides, std::uint64_t seed)
-    : given(given), all_knowing(decides.all_knowing), random(seed)
+simulation::simulation(const pattern& given, const decision_maker& chosen_policy,
+                       std::uint64_t seed)
+    : given(given), all_knowing(chosen_policy.all_knowing), random(seed)
 {
     this->make_engines();
-    this->make_vms(decides.policy);
-    this->plan_faults();
+    this->make_vms(chosen_policy.policy);
+    this->schedule_faults();
     const auto whole = static_cast<std::size_t>(std::ceil(given.seconds));
     this->asked_by_second.resize(whole);
     this->result.on_time_by_second.resize(whole);
 }
 
-void world::at(instant when, std::function<void()> what)
+void simulation::schedule(instant when, std::function<void()> action)
 {
-    this->dues.push({when, ++this->orders, std::move(what)});
+    this->events.push({when, ++this->last_sequence, std::move(action)});
 }
 
-void world::make_engines()
+void simulation::make_engines()
 {
     for (std::size_t i = 0; i < this->given.engines; ++i) {
         this->engine_ids.push_back({"engine-" + std::to_string(i)});
         auto made = std::make_unique<emulated_engine>(this->given.engine);
         made->on_first_event = [this](std::uint64_t id, instant when) {
-            this->at(when + on_the_way, [this, id] {
+            this->schedule(when + one_way_delay, [this, id] {
                 if (const auto found = this->requests.find(id); found != this->requests.end())
-                    this->take_first(*found->second);
+                    this->handle_first_event(*found->second);
             });
         };
         made->on_end = [this](std::uint64_t id, instant when) {
-            this->at(when + on_the_way, [this, id] {
+            this->schedule(when + one_way_delay, [this, id] {
                 if (const auto found = this->requests.find(id); found != this->requests.end())
-                    this->take_end(*found->second);
+                    this->handle_end(*found->second);
             });
         };
         this->engines.push_back(std::move(made));
     }
 }
 
-void world::make_vms(const placement_policy& policy)
+void simulation::make_vms(const placement_policy& policy)
 {
     const std::size_t count = this->all_knowing ? 1 : this->given.vms;
-    milliseconds shortest = this->given.kinds.front().objective;
+    milliseconds min_objective = this->given.kinds.front().objective;
     for (const request_kind& kind : this->given.kinds)
-        shortest = std::min(shortest, kind.objective);
+        min_objective = std::min(min_objective, kind.objective);
     for (std::size_t i = 0; i < count; ++i) {
         auto made = std::make_unique<vm_model>(policy, static_cast<unsigned>(this->random()));
         for (const server_id& id : this->engine_ids) {
@@ -180,12 +186,12 @@
             made->table.put(record);
             made->rows.push_back(made->table.find(id));
         }
-        made->table.set_objective(engines_service, shortest);
+        made->table.set_objective(engines_service, min_objective);
         this->vms.push_back(std::move(made));
     }
 }
 
-void world::plan_faults()
+void simulation::schedule_faults()
 {
     for (const engine_fault& fault : this->given.faults) {
         std::vector<std::size_t> all(this->engines.size());
@@ -194,15 +200,15 @@
         const double count = fault.share * static_cast<double>(all.size());
         all.resize(static_cast<std::size_t>(std::lround(count)));
         for (const std::size_t engine : all) {
-            this->at(this->start + in_seconds(fault.from_s),
-                     [this, &fault, engine] { this->change(fault, engine, true); });
-            this->at(this->start + in_seconds(fault.to_s),
-                     [this, &fault, engine] { this->change(fault, engine, false); });
+            this->schedule(this->start + in_seconds(fault.from_s),
+                           [this, &fault, engine] { this->apply_fault(fault, engine, true); });
+            this->schedule(this->start + in_seconds(fault.to_s),
+                           [this, &fault, engine] { this->apply_fault(fault, engine, false); });
         }
     }
 }
 
-void world::change(const engine_fault& fault, std::size_t engine, bool begins)
+void simulation::apply_fault(const engine_fault& fault, std::size_t engine, bool begins)
 {
     emulated_engine& item = *this->engines[engine];
     switch (fault.what) {
@@ -220,41 +226,41 @@
     }
 }
 
-double world::times(const request_kind& kind) const
+double simulation::rate_multiple(const request_kind& kind) const
 {
     const double second = std::chrono::duration<double>(this->now - this->start).count();
     double value = 1;
     for (const wave& item : this->given.waves) {
-        const bool meant = item.kind.empty() || item.kind == kind.name;
-        if (meant && second >= item.from_s && second < item.to_s) value *= item.times;
+        const bool applies = item.kind.empty() || item.kind == kind.name;
+        if (applies && second >= item.from_s && second < item.to_s) value *= item.times;
     }
     return value;
 }
 
-double world::hot_share(const request_kind& kind) const
+double simulation::hot_share(const request_kind& kind) const
 {
     const double second = std::chrono::duration<double>(this->now - this->start).count();
     double share = 0;
     for (const wave& item : this->given.waves) {
-        const bool now_here = second >= item.from_s && second < item.to_s;
-        if (now_here && item.kind == kind.name) share = std::max(share, item.hot_share);
+        const bool is_active = second >= item.from_s && second < item.to_s;
+        if (is_active && item.kind == kind.name) share = std::max(share, item.hot_share);
     }
     return share;
 }
 
-void world::arrivals()
+void simulation::generate_arrivals()
 {
-    const double span = std::chrono::duration<double>(tick).count();
+    const double span = std::chrono::duration<double>(simulation_step).count();
     for (std::size_t kind = 0; kind < this->given.kinds.size(); ++kind) {
         const double mean =
-            this->given.kinds[kind].per_s * this->times(this->given.kinds[kind]) * span;
+            this->given.kinds[kind].per_s * this->rate_multiple(this->given.kinds[kind]) * span;
         std::poisson_distribution<int> draw(mean);
         for (int left = mean > 0 ? draw(this->random) : 0; left > 0; --left)
-            this->ask(kind);
+            this->start_request(kind);
     }
 }
 
-void world::ask(std::size_t kind)
+void simulation::start_request(std::size_t kind)
 {
     const request_kind& from = this->given.kinds[kind];
     auto item = std::make_shared<caller_request>();
@@ -269,37 +275,37 @@
     item->work.shared_tokens = from.shared_tokens;
     item->work.own_tokens = from.own_tokens;
     item->work.answer_tokens = 1 + static_cast<std::uint32_t>(draw_answer(this->random));
-    kind_outcome& counted = this->result.kinds[from.name];
-    ++counted.asked;
-    counted.owed += from.worth;
+    kind_outcome& kind_totals = this->result.kinds[from.name];
+    ++kind_totals.asked;
+    kind_totals.owed += from.worth;
     const auto second = static_cast<std::size_t>((this->now - this->start) / seconds(1));
     this->asked_by_second[std::min(second, this->asked_by_second.size() - 1)] += 1;
     this->dispatch(item);
 }
 
-server_entry& world::row(const caller_request& item)
+server_entry& simulation::row(const caller_request& item)
 {
     return *this->vms[item.vm]->rows[item.engine];
 }
 
-/** A try: through any VM, as the balancer has it. */
-void world::dispatch(const std::shared_ptr<caller_request>& item)
+/** One attempt, through a VM drawn at random, as a load balancer would pick it. */
+void simulation::dispatch(const std::shared_ptr<caller_request>& item)
 {
     std::uniform_int_distribution<std::size_t> draw_vm(0, this->vms.size() - 1);
     item->vm = draw_vm(this->random);
     vm_model& vm = *this->vms[item->vm];
-    vm.admitting.on_request(engines_service, item->work.shared, this->now);
+    vm.admission_control.on_request(engines_service, item->work.shared, this->now);
     const placing wanted{engines_service, true, item->work.shared, {}, item->work.priority};
-    const verdict decided = vm.admitting.decide(wanted, true, this->now);
+    const verdict decided = vm.admission_control.decide(wanted, true, this->now);
     std::visit(
         visitor{[&](const send_to& to) { this->send(item, to.where); },
-                [&](const come_back& answer) { this->come_back_later(item, answer.retry_after); },
-                [&](const no_server&) { this->settle(*item, false); }},
+                [&](const come_back& answer) { this->schedule_retry(item, answer.retry_after); },
+                [&](const no_server&) { this->record_outcome(*item, false); }},
         decided);
 }
 
-/** Of the engines that take work. */
-double world::mean_load()
+/** Mean load of the engines that accept new requests. */
+double simulation::mean_load()
 {
     double total = 0;
     double count = 0;
@@ -311,7 +317,7 @@
     return count > 0 ? total / count : 0;
 }
 
-void world::send(const std::shared_ptr<caller_request>& item, const placed& where)
+void simulation::send(const std::shared_ptr<caller_request>& item, const placed& where)
 {
     const auto found = std::ranges::find(this->engine_ids, where.row->record.id);
     item->engine = static_cast<std::size_t>(found - this->engine_ids.begin());
@@ -320,7 +326,7 @@
     item->sent = this->now;
     emulated_engine& engine = *this->engines[item->engine];
     const double bound = 2 * this->mean_load() + 3;
-    if (this->now - this->start > in_seconds(seconds_before_bound_counts)) {
+    if (this->now - this->start > in_seconds(warm_up_s)) {
         ++this->sends;
         if (engine.load() > bound) ++this->sends_over_bound;
     }
@@ -330,7 +336,7 @@
         item->work.copied = this->engines[at]->holds(item->work.shared);
     }
     if (!engine.dark && !engine.take(item->work)) {
-        this->come_back_later(item, overload_watch::shortest_stay);
+        this->schedule_retry(item, overload_watch::shortest_stay);
         return;
     }
     item->at_engine = true;
@@ -338,44 +344,44 @@
     server_entry& row = this->row(*item);
     if (row.in_flight++ == 0) row.waited_from = this->now;
     row.health.on_sent(this->now);
-    this->watch_patience(item);
+    this->schedule_departure(item);
 }
 
-void world::come_back_later(const std::shared_ptr<caller_request>& item, duration after)
+void simulation::schedule_retry(const std::shared_ptr<caller_request>& item, duration after)
 {
     const request_kind& kind = this->given.kinds[item->kind];
-    if (std::exchange(item->came_back, true)) {
-        this->settle(*item, false);
+    if (std::exchange(item->retried, true)) {
+        this->record_outcome(*item, false);
         return;
     }
     const duration left = kind.deadline - (this->now - item->first_try);
-    const auto longest = std::chrono::duration_cast<duration>(left * longest_stay_share);
-    this->at(this->now + std::min(after, longest), [this, item] { this->dispatch(item); });
+    const auto max_delay = std::chrono::duration_cast<duration>(left * max_retry_delay_share);
+    this->schedule(this->now + std::min(after, max_delay), [this, item] { this->dispatch(item); });
 }
 
-void world::watch_patience(const std::shared_ptr<caller_request>& item)
+void simulation::schedule_departure(const std::shared_ptr<caller_request>& item)
 {
     const std::uint64_t id = item->id;
     const request_kind& kind = this->given.kinds[item->kind];
-    this->at(this->now + kind.patience, [this, id] {
+    this->schedule(this->now + kind.patience, [this, id] {
         const auto found = this->requests.find(id);
         if (found == this->requests.end() || found->second->first_event != instant{}) return;
-        this->leave(*found->second);
+        this->handle_caller_left(*found->second);
     });
 }
 
-void world::leave(caller_request& item)
+void simulation::handle_caller_left(caller_request& item)
 {
     this->engines[item.engine]->cancel(item.id);
     server_entry& row = this->row(item);
     row.health.on_neutral();
     --row.in_flight;
     ++this->result.kinds[this->given.kinds[item.kind].name].left;
-    item.over = true;
+    item.ended = true;
     this->requests.erase(item.id);
 }
 
-void world::take_first(caller_request& item)
+void simulation::handle_first_event(caller_request& item)
 {
     item.first_event = this->now;
     server_entry& row = this->row(item);
@@ -385,100 +391,101 @@
     row.stated_here = true;
 }
 
-void world::take_end(caller_request& item)
+void simulation::handle_end(caller_request& item)
 {
     server_entry& row = this->row(item);
     --row.in_flight;
     row.heard_at = this->now;
     row.health.on_success(this->now);
     this->vms[item.vm]->table.on_finished(row, this->now - item.first_event);
-    this->settle(item, true);
+    this->record_outcome(item, true);
     this->requests.erase(item.id);
 }
 
-void world::settle(caller_request& item, bool served)
+void simulation::record_outcome(caller_request& item, bool served)
 {
     const request_kind& kind = this->given.kinds[item.kind];
-    kind_outcome& counted = this->result.kinds[kind.name];
+    kind_outcome& kind_totals = this->result.kinds[kind.name];
     if (!served) {
-        ++counted.refused;
+        ++kind_totals.refused;
         return;
     }
     const duration taken = item.first_event - item.first_try;
-    counted.first_event_ms.push_back(to_ms(taken));
+    kind_totals.first_event_ms.push_back(to_ms(taken));
     const bool on_time = taken <= kind.objective;
-    counted.on_time += on_time ? 1 : 0;
-    counted.late += on_time ? 0 : 1;
-    counted.earned += on_time ? kind.worth : kind.worth_late;
+    kind_totals.on_time += on_time ? 1 : 0;
+    kind_totals.late += on_time ? 0 : 1;
+    kind_totals.earned += on_time ? kind.worth : kind.worth_late;
     const auto second = static_cast<std::size_t>((item.first_try - this->start) / seconds(1));
     if (on_time) this->result.on_time_by_second[second] += 1;
 }
 
-duration world::sums_age() const
+duration simulation::load_sums_age() const
 {
     if (this->all_knowing) return {};
-    const int rounds = this->vms.size() > vms_of_one_group ? rounds_of_sums : 1;
+    const int rounds = this->vms.size() > max_vms_in_one_data_centre ? load_sum_rounds : 1;
     return in_seconds(this->given.digest_ms * rounds / 1000);
 }
 
-void world::router_ticks()
+void simulation::run_router_tick()
 {
     std::vector<std::uint32_t> loads(this->engines.size());
     std::ranges::transform(this->engines, loads.begin(),
                            [](const auto& engine) { return engine->load(); });
-    this->sums.push_back(std::move(loads));
-    const auto age = static_cast<std::size_t>(this->sums_age() / router_tick);
-    const std::vector<std::uint32_t>& told =
-        this->sums[this->sums.size() - 1 - std::min(age, this->sums.size() - 1)];
+    this->load_history.push_back(std::move(loads));
+    const auto age = static_cast<std::size_t>(this->load_sums_age() / router_tick);
+    const std::vector<std::uint32_t>& known_loads =
+        this->load_history[this->load_history.size() - 1 -
+                           std::min(age, this->load_history.size() - 1)];
     for (const auto& vm : this->vms) {
         for (std::size_t i = 0; i < this->engines.size(); ++i) {
             server_entry& row = *vm->rows[i];
-            row.peers_in_flight = told[i] - std::min(told[i], row.in_flight);
+            row.peers_in_flight = known_loads[i] - std::min(known_loads[i], row.in_flight);
             if (this->all_knowing) row.state(this->engines[i]->load(), this->now);
         }
         vm->table.expire_stated(this->now);
         vm->table.mark_slow(this->now);
         vm->table.sum_loads(this->now);
-        vm->admitting.set_fleet_demand(static_cast<double>(this->vms.size()));
+        vm->admission_control.set_fleet_demand(static_cast<double>(this->vms.size()));
     }
 }
 
-/** Each VM tells the loads that engines stated to it to the others of its data centre. */
-void world::digests()
+/** Each VM sends the loads that engines reported to it to the other VMs of its data centre. */
+void simulation::exchange_digests()
 {
     constexpr std::size_t data_centres = 4;
-    const std::size_t groups = this->vms.size() > vms_of_one_group ? data_centres : 1;
+    const std::size_t groups = this->vms.size() > max_vms_in_one_data_centre ? data_centres : 1;
     for (std::size_t from = 0; from < this->vms.size(); ++from) {
-        const std::vector<stated_load> news = this->vms[from]->table.take_news(this->now);
+        const std::vector<stated_load> reported = this->vms[from]->table.take_news(this->now);
         for (std::size_t to = from % groups; to < this->vms.size(); to += groups) {
             if (to == from) continue;
-            for (const stated_load& item : news)
+            for (const stated_load& item : reported)
                 this->vms[to]->table.take_stated(item, this->now);
         }
     }
 }
 
-outcome world::run()
+outcome simulation::run()
 {
     const instant end = this->start + in_seconds(this->given.seconds);
-    constexpr duration time_to_finish = seconds(15);
+    constexpr duration drain_time = seconds(15);
     instant next_tick = this->now;
     instant next_digests = this->now;
-    for (; this->now < end + time_to_finish; this->now += tick) {
-        while (!this->dues.empty() && this->dues.top().at <= this->now) {
-            const std::function<void()> what = this->dues.top().what;
-            this->dues.pop();
-            what();
+    for (; this->now < end + drain_time; this->now += simulation_step) {
+        while (!this->events.empty() && this->events.top().at <= this->now) {
+            const std::function<void()> action = this->events.top().action;
+            this->events.pop();
+            action();
         }
         if (this->now >= next_tick) {
-            this->router_ticks();
+            this->run_router_tick();
             next_tick += router_tick;
         }
         if (this->now >= next_digests) {
-            this->digests();
+            this->exchange_digests();
             next_digests += in_seconds(this->given.digest_ms / 1000);
         }
-        if (this->now < end) this->arrivals();
+        if (this->now < end) this->generate_arrivals();
         for (const auto& engine : this->engines)
             engine->step(this->now);
     }
@@ -540,8 +547,8 @@
     policy.busy_from = 0;
 }
 
-/** What each name changes in the product's policy. */
-const std::map<std::string, void (*)(placement_policy&), std::less<>>& changes()
+/** The change that each policy name makes to the product's policy. */
+const std::map<std::string, void (*)(placement_policy&), std::less<>>& policy_changes()
 {
     static const std::map<std::string, void (*)(placement_policy&), std::less<>> all{
         {"product", [](placement_policy&) {}},
@@ -562,9 +569,9 @@
 
 decision_maker make_decision_maker(std::string_view name)
 {
-    const auto found = changes().find(name);
-    if (found == changes().end()) {
-        throw user_error("experiment", std::string(name), "there is no such policy");
+    const auto found = policy_changes().find(name);
+    if (found == policy_changes().end()) {
+        throw user_error("experiment", std::string(name), "unknown policy");
     }
     decision_maker made{std::string(name), {}, name == "all-knowing"};
     found->second(made.policy);
@@ -574,14 +581,14 @@
 std::vector<std::string> decision_maker_names()
 {
     std::vector<std::string> names;
-    for (const auto& [name, change] : changes())
+    for (const auto& [name, change] : policy_changes())
         names.push_back(name);
     return names;
 }
 
-outcome play(const pattern& given, const decision_maker& decides, std::uint64_t seed)
+outcome play(const pattern& given, const decision_maker& chosen_policy, std::uint64_t seed)
 {
-    return world(given, decides, seed).run();
+    return simulation(given, chosen_policy, seed).run();
 }
 
 } // namespace lab
--- a/lab/experiment.h
+++ b/lab/experiment.h
@@ -1,8 +1,9 @@
 /** \file
- * Plays a pattern against the product's own decisions: VMs with their late views, emulated engines,
- * and callers who leave, come back as they are told, and value what they get by when they get it.
+ * Discrete-time simulation of a load pattern against the product's own placement and admission
+ * code: VMs with delayed views of the loads, emulated engines, and callers that leave, retry after
+ * the time they are given, and value a response by when its first event comes.
  *
- * One loop, a clock of its own, no network. The same seed gives the same run.
+ * Runs in one thread on a simulated clock, without a network. The same seed gives the same run.
  */
 #pragma once
 
@@ -16,23 +17,23 @@
 
 namespace lab {
 
-/** What became of the requests of one kind. */
+/** Results of the requests of one kind. */
 struct kind_outcome {
     std::size_t asked = 0;
     std::size_t on_time = 0;
     std::size_t late = 0;
-    std::size_t refused = 0; ///< and not served when they came back, if they did
-    std::size_t left = 0;    ///< the caller gave up
-    double owed = 0;
-    double earned = 0;
-    std::vector<double> first_event_ms; ///< of those that were served, from the first try on
+    std::size_t refused = 0; ///< at the first attempt, and at the retry if there was one
+    std::size_t left = 0;    ///< the caller left before the first event
+    double owed = 0;         ///< sum of the worth of all requests
+    double earned = 0;       ///< sum of the worth, or of the worth when late, of those served
+    std::vector<double> first_event_ms; ///< of those that were served, since the first attempt
 };
 
 struct outcome {
     std::map<std::string, kind_outcome> kinds;
-    std::vector<double> on_time_by_second; ///< share of the requests that were first made in it
-    /** Share of all sends after the first second that met an engine with over twice the mean load
-     * and three. */
+    std::vector<double> on_time_by_second; ///< share of the requests first sent in that second
+    /** Share of the sends after the first second that went to an engine whose load exceeded the
+     * load bound, twice the mean load plus three. */
     double over_bound = 0;
     engine_totals totals;
 
@@ -41,18 +42,19 @@
     [[nodiscard]] double refused_share() const;
 };
 
-/** How decisions are made in a run. */
+/** A placement policy under its name. */
 struct decision_maker {
     std::string name;
     worksshift::placement_policy policy;
-    bool all_knowing = false; ///< one VM that sees each load at once
+    bool all_knowing = false; ///< one VM that sees every load without delay: an upper reference
 };
 
-/** Those that can be named: the product's policy, each of its mechanisms off, the policy that
- * admits all, and one that knows everything. \throws worksshift::user_error for another name. */
+/** The policy with that name: the product's, the product's with one mechanism off, one that admits
+ * every request, or one that sees all loads. \throws worksshift::user_error for an unknown name. */
 decision_maker make_decision_maker(std::string_view name);
 std::vector<std::string> decision_maker_names();
 
-outcome play(const pattern& given, const decision_maker& decides, std::uint64_t seed);
+/** Runs the pattern once. */
+outcome play(const pattern& given, const decision_maker& chosen_policy, std::uint64_t seed);
 
 } // namespace lab
