--- a/lab/emulated_engine.cpp
+++ b/lab/emulated_engine.cpp
@@ -28,7 +28,7 @@
 void emulated_engine::cancel(std::uint64_t id)
 {
     std::erase_if(this->waiting, [id](const engine_request& item) { return item.id == id; });
-    this->running.remove_if([id](const run& item) { return item.request.id == id; });
+    this->running.remove_if([id](const active_request& item) { return item.request.id == id; });
 }
 
 void emulated_engine::restart()
@@ -44,42 +44,42 @@
     while (!this->waiting.empty() && this->running.size() < this->figures.slots) {
         const engine_request request = this->waiting.front();
         this->waiting.erase(this->waiting.begin());
-        run item{request, request.own_tokens, 0};
+        active_request item{request, request.own_tokens, 0};
         const bool shared = request.shared != 0 && !this->holds(request.shared);
         if (shared && request.copied) this->totals.shared_tokens_copied += request.shared_tokens;
         if (shared && !request.copied) {
-            item.unread += request.shared_tokens;
+            item.unread_tokens += request.shared_tokens;
             this->totals.shared_tokens_read += request.shared_tokens;
         }
-        if (request.shared != 0) this->keep(request);
+        if (request.shared != 0) this->add_to_cache(request);
         this->running.push_back(item);
     }
 }
 
-/** The least recently used parts yield. */
-void emulated_engine::keep(const engine_request& request)
+/** Evicts the least recently used prefixes when the cache is full. */
+void emulated_engine::add_to_cache(const engine_request& request)
 {
-    cached& item = this->cache[request.shared];
+    cache_entry& item = this->cache[request.shared];
     if (item.tokens == 0) this->cache_size += request.shared_tokens;
-    item = {std::max(request.shared_tokens, 1U), ++this->uses};
+    item = {std::max(request.shared_tokens, 1U), ++this->use_count};
     while (this->cache_size > this->figures.cache_tokens && this->cache.size() > 1) {
         const auto oldest = std::ranges::min_element(
-            this->cache, {}, [](const auto& entry) { return entry.second.used; });
+            this->cache, {}, [](const auto& entry) { return entry.second.last_use; });
         this->cache_size -= std::min<std::uint64_t>(this->cache_size, oldest->second.tokens);
         this->cache.erase(oldest);
     }
 }
 
-/** Reads the next chunk of prompts. Returns the time that it takes, in milliseconds. */
-double emulated_engine::read_prompts()
+/** Prefills the next chunk of prompt tokens. Returns the time that it takes, in milliseconds. */
+double emulated_engine::prefill_chunk()
 {
-    std::uint32_t left = this->figures.chunk_tokens;
-    for (run& item : this->running) {
-        const std::uint32_t read = std::min(left, item.unread);
-        item.unread -= read;
-        left -= read;
+    std::uint32_t tokens_left = this->figures.chunk_tokens;
+    for (active_request& item : this->running) {
+        const std::uint32_t read = std::min(tokens_left, item.unread_tokens);
+        item.unread_tokens -= read;
+        tokens_left -= read;
     }
-    const std::uint32_t read = this->figures.chunk_tokens - left;
+    const std::uint32_t read = this->figures.chunk_tokens - tokens_left;
     this->totals.tokens_read += read;
     return read / this->figures.prompt_tokens_per_ms;
 }
@@ -89,21 +89,21 @@
     if (this->dark || now < this->busy_until) return;
     this->admit();
     if (this->running.empty()) return;
-    const double reading = this->read_prompts();
-    const double taken =
-        this->figures.step_ms + reading +
+    const double prefill_ms = this->prefill_chunk();
+    const double step_ms_total =
+        this->figures.step_ms + prefill_ms +
         this->figures.step_ms_per_request * static_cast<double>(this->running.size());
-    this->busy_until = now + in_ms(taken * this->slowness);
+    this->busy_until = now + in_ms(step_ms_total * this->slowness);
     std::vector<std::uint64_t> ended;
-    for (run& item : this->running) {
-        if (item.unread > 0) continue;
+    for (active_request& item : this->running) {
+        if (item.unread_tokens > 0) continue;
         const instant first =
             this->busy_until + in_ms(this->figures.first_event_ms * this->slowness);
-        if (item.produced++ == 0) this->on_first_event(item.request.id, first);
-        if (item.produced >= item.request.answer_tokens) ended.push_back(item.request.id);
+        if (item.produced_tokens++ == 0) this->on_first_event(item.request.id, first);
+        if (item.produced_tokens >= item.request.answer_tokens) ended.push_back(item.request.id);
     }
-    this->running.remove_if([](const run& item) {
-        return item.unread == 0 && item.produced >= item.request.answer_tokens;
+    this->running.remove_if([](const active_request& item) {
+        return item.unread_tokens == 0 && item.produced_tokens >= item.request.answer_tokens;
     });
     for (const std::uint64_t id : ended)
         this->on_end(id, this->busy_until + in_ms(this->figures.first_event_ms * this->slowness));
--- a/lab/emulated_engine.h
+++ b/lab/emulated_engine.h
@@ -1,8 +1,8 @@
 /** \file
- * A model engine as the laboratory plays it: continuous batches, prompts read in chunks between the
- * tokens of other requests, a cache of shared prompt parts, a queue by urgency.
+ * Simulated model engine: continuous batching, chunked prefill interleaved with the decoding of
+ * other requests, a cache of shared prompt prefixes, and a priority queue.
  *
- * One call of `step` is one iteration of the engine. It knows no clock but the one it is given.
+ * One call of `step` is one iteration of the engine. The caller supplies the time.
  */
 #pragma once
 
@@ -16,32 +16,33 @@
 
 namespace lab {
 
-/** What an engine can do. The defaults are those of an engine of 48 slots that the users describe:
- * a step takes 3.23 ms and 0.05 ms more for each request, 112 prompt tokens are read in a ms. */
+/** Capacity and speed of an engine. The defaults are those that users state for an engine of 48
+ * slots: a step takes 3.23 ms plus 0.05 ms for each request, and 112 prompt tokens are prefilled in
+ * a millisecond. */
 struct engine_figures {
     std::uint32_t slots = 48;
-    std::uint32_t queue = 144; ///< requests that wait at most; more are turned away
+    std::uint32_t queue = 144; ///< maximum number of waiting requests; further ones are rejected
     double step_ms = 3.23;
     double step_ms_per_request = 0.0483;
-    double step_ms_per_k_context = 0; ///< for each thousand tokens of prompt that it goes by
+    double step_ms_per_k_context = 0; ///< for each thousand tokens of context
     double prompt_tokens_per_ms = 112;
-    std::uint32_t chunk_tokens = 2048; ///< of prompts in one step
-    double first_event_ms = 47;        ///< from the first token to the caller's first event
-    std::uint32_t cache_tokens = 700'000;
+    std::uint32_t chunk_tokens = 2048;    ///< prompt tokens prefilled in one step at most
+    double first_event_ms = 47;           ///< from the first token to the first event at the caller
+    std::uint32_t cache_tokens = 700'000; ///< capacity of the cache of shared prompt prefixes
 };
 
-/** A request at an engine. */
+/** A request as the engine sees it. */
 struct engine_request {
     std::uint64_t id = 0;
-    unsigned priority = 0;    ///< 0 is the most urgent
-    std::uint64_t shared = 0; ///< names the part of the prompt that others share
+    unsigned priority = 0;    ///< 0: the most urgent
+    std::uint64_t shared = 0; ///< identifies the prompt prefix that other requests share; 0: none
     std::uint32_t shared_tokens = 0;
     std::uint32_t own_tokens = 0;
     std::uint32_t answer_tokens = 0;
-    bool copied = false; ///< another engine hands the shared part over
+    bool copied = false; ///< the shared prefix is copied from another engine instead of prefilled
 };
 
-/** What an engine has read and copied so far. */
+/** Prompt tokens that an engine has prefilled and copied so far. */
 struct engine_totals {
     std::uint64_t tokens_read = 0;
     std::uint64_t shared_tokens_read = 0;
@@ -52,13 +53,13 @@
 public:
     explicit emulated_engine(const engine_figures& figures) : figures(figures) {}
 
-    /** Whether the request was taken: not when the queue is full. */
+    /** False if the queue is full. */
     bool take(const engine_request& request);
-    /** The caller has left. */
+    /** Drops the request because its caller has left. */
     void cancel(std::uint64_t id);
-    /** Runs one iteration if the last one is over. */
+    /** Runs one iteration if the last one has ended by \p now. */
     void step(worksshift::instant now);
-    /** All that runs or waits is lost, and so is the cache. */
+    /** Drops all running and waiting requests and clears the cache. */
     void restart();
 
     [[nodiscard]] std::uint32_t load() const
@@ -68,33 +69,33 @@
     [[nodiscard]] bool holds(std::uint64_t shared) const { return this->cache.contains(shared); }
 
     engine_totals totals;
-    double slowness = 1; ///< each iteration takes this many times as long
-    bool dark = false;   ///< does nothing and answers nobody
+    double slowness = 1; ///< factor on the time of each iteration
+    bool dark = false;   ///< accepts requests and never responds
 
     std::function<void(std::uint64_t id, worksshift::instant at)> on_first_event;
     std::function<void(std::uint64_t id, worksshift::instant at)> on_end;
 
 private:
-    struct run {
+    struct active_request {
         engine_request request;
-        std::uint32_t unread = 0;
-        std::uint32_t produced = 0;
+        std::uint32_t unread_tokens = 0;
+        std::uint32_t produced_tokens = 0;
     };
-    struct cached {
+    struct cache_entry {
         std::uint32_t tokens = 0;
-        std::uint64_t used = 0;
+        std::uint64_t last_use = 0;
     };
 
     void admit();
-    double read_prompts();
-    void keep(const engine_request& request);
+    double prefill_chunk();
+    void add_to_cache(const engine_request& request);
 
     engine_figures figures;
-    std::list<run> running;
-    std::vector<engine_request> waiting; ///< by urgency, then by arrival
-    std::unordered_map<std::uint64_t, cached> cache;
+    std::list<active_request> running;
+    std::vector<engine_request> waiting; ///< by priority, then by arrival
+    std::unordered_map<std::uint64_t, cache_entry> cache;
     std::uint64_t cache_size = 0;
-    std::uint64_t uses = 0;
+    std::uint64_t use_count = 0;
     worksshift::instant busy_until{};
 };
 
