--- a/lab/plain_service.cpp
+++ b/lab/plain_service.cpp
@@ -17,14 +17,15 @@
 namespace {
 
 const service_id service{"desk"};
-constexpr unsigned sends_at_most = 4;
-/** Of the work of one request: as the users state it for their plain services. */
+constexpr unsigned max_sends = 4;
+/** Service times as users state them for their plain services: log-normal with this spread (sigma),
+ * and a small share of requests that take several times as long. */
 constexpr double work_spread = 0.5;
 constexpr double long_work_share = 0.01;
-constexpr double long_work_times = 5;
-/** One way, near and to another data centre. */
-constexpr double near_way_s = 0.0005;
-constexpr double distant_way_s = 0.001;
+constexpr double long_work_multiple = 5;
+/** One-way network delay within a data centre and to another one. */
+constexpr double local_delay_s = 0.0005;
+constexpr double remote_delay_s = 0.001;
 
 server_id name_of(std::size_t server)
 {
@@ -56,7 +57,7 @@
     std::deque<std::size_t> waiting;
 };
 
-/** One VM: its view of the servers. */
+/** One VM with its view of the servers. */
 struct router {
     router(std::size_t centre, unsigned seed)
         : centre(centre), table({std::to_string(centre)}, seed)
@@ -66,61 +67,61 @@
     server_table table;
 };
 
-class emulation {
+class simulation {
 public:
-    emulation(const plain_pattern& given, plain_chooser chooser, std::uint64_t seed);
+    simulation(const plain_pattern& given, plain_chooser chooser, std::uint64_t seed);
     plain_outcome run();
 
 private:
     using action = std::function<void()>;
-    struct timed {
+    struct scheduled_event {
         double at = 0;
         std::uint64_t order = 0;
         action act;
-        bool operator>(const timed& other) const
+        bool operator>(const scheduled_event& other) const
         {
             return std::pair(this->at, this->order) > std::pair(other.at, other.order);
         }
     };
 
-    void after(double span_s, action act);
+    void schedule_after(double span_s, action act);
     void arrive();
     void send(std::size_t id);
     std::size_t choose(request& item);
-    void reach(std::size_t id);
+    void handle_at_server(std::size_t id);
     void begin(std::size_t server, std::size_t id);
-    void leave(std::size_t server, std::size_t id);
-    void answer(std::size_t id, bool served);
-    void tell(std::size_t vm);
+    void finish_work(std::size_t server, std::size_t id);
+    void handle_response(std::size_t id, bool served);
+    void send_outcomes(std::size_t vm);
     void sum_loads();
-    double work(std::size_t server);
-    [[nodiscard]] double way(const request& item) const;
-    [[nodiscard]] bool faulty(std::size_t server) const;
+    double draw_work_s(std::size_t server);
+    [[nodiscard]] double network_delay_s(const request& item) const;
+    [[nodiscard]] bool is_faulty(std::size_t server) const;
 
     const plain_pattern& given;
     plain_chooser chooser;
     std::mt19937_64 random;
-    std::priority_queue<timed, std::vector<timed>, std::greater<>> events;
+    std::priority_queue<scheduled_event, std::vector<scheduled_event>, std::greater<>> events;
     std::uint64_t order = 0;
     double now = 0;
     std::vector<std::unique_ptr<router>> routers;
-    std::vector<double> weights; ///< of the VMs among the requests
+    std::vector<double> weights; ///< share of each VM in the requests, not normalised
     std::vector<server> servers;
-    std::deque<std::size_t> queue; ///< of all servers, for the ceiling
+    std::deque<std::size_t> queue; ///< common to all servers, for plain_chooser::single_queue
     std::vector<request> requests;
-    std::vector<double> spans_ms;
+    std::vector<double> response_times_ms;
     plain_outcome result;
 };
 
-emulation::emulation(const plain_pattern& given, plain_chooser chooser, std::uint64_t seed)
+simulation::simulation(const plain_pattern& given, plain_chooser chooser, std::uint64_t seed)
     : given(given), chooser(chooser), random(seed), servers(given.servers)
 {
-    std::uniform_real_distribution<double> part(0.5, 1.5);
+    std::uniform_real_distribution<double> weight(0.5, 1.5);
     for (std::size_t vm = 0; vm < given.vms; ++vm) {
         const std::size_t centre = vm % given.data_centres;
         this->routers.push_back(
             std::make_unique<router>(centre, static_cast<unsigned>(this->random())));
-        this->weights.push_back(part(this->random) * (centre == 0 ? given.uneven : 1));
+        this->weights.push_back(weight(this->random) * (centre == 0 ? given.uneven : 1));
         for (std::size_t i = 0; i < given.servers; ++i) {
             server_record record;
             record.id = name_of(i);
@@ -132,34 +133,34 @@
     }
 }
 
-void emulation::after(double span_s, action act)
+void simulation::schedule_after(double span_s, action act)
 {
     this->events.push({this->now + span_s, this->order++, std::move(act)});
 }
 
-plain_outcome emulation::run()
+plain_outcome simulation::run()
 {
-    this->after(0, [this] { this->arrive(); });
-    this->after(0, [this] { this->sum_loads(); });
+    this->schedule_after(0, [this] { this->arrive(); });
+    this->schedule_after(0, [this] { this->sum_loads(); });
     for (std::size_t vm = 0; vm < this->routers.size(); ++vm) {
-        std::uniform_real_distribution<double> phase(0, this->given.told_after_s);
-        this->after(phase(this->random), [this, vm] { this->tell(vm); });
+        std::uniform_real_distribution<double> initial_delay(0, this->given.told_after_s);
+        this->schedule_after(initial_delay(this->random), [this, vm] { this->send_outcomes(vm); });
     }
     while (!this->events.empty() && this->events.top().at <= this->given.seconds) {
-        const timed next = this->events.top();
+        const scheduled_event next = this->events.top();
         this->events.pop();
         this->now = next.at;
         next.act();
     }
-    this->result.asked = this->spans_ms.size() + this->result.unserved;
-    const auto worst =
-        this->spans_ms.begin() + static_cast<std::ptrdiff_t>(this->spans_ms.size() * 99 / 100);
-    std::ranges::nth_element(this->spans_ms, worst);
+    this->result.asked = this->response_times_ms.size() + this->result.unserved;
+    const auto worst = this->response_times_ms.begin() +
+                       static_cast<std::ptrdiff_t>(this->response_times_ms.size() * 99 / 100);
+    std::ranges::nth_element(this->response_times_ms, worst);
     this->result.p99_ms = *worst;
     return this->result;
 }
 
-void emulation::arrive()
+void simulation::arrive()
 {
     std::discrete_distribution<std::size_t> vms(this->weights.begin(), this->weights.end());
     const double work_s = this->given.work_ms / 1000;
@@ -170,11 +171,11 @@
     item.arrived = this->now;
     this->requests.push_back(item);
     this->send(this->requests.size() - 1);
-    this->after(std::exponential_distribution<double>(per_s)(this->random),
-                [this] { this->arrive(); });
+    this->schedule_after(std::exponential_distribution<double>(per_s)(this->random),
+                         [this] { this->arrive(); });
 }
 
-std::size_t emulation::choose(request& item)
+std::size_t simulation::choose(request& item)
 {
     if (this->chooser == plain_chooser::product) {
         const placing wanted{service, false, 0, item.tried};
@@ -191,31 +192,32 @@
     return chosen;
 }
 
-double emulation::way(const request& item) const
+double simulation::network_delay_s(const request& item) const
 {
-    const bool near = item.server % this->given.data_centres == this->routers[item.vm]->centre;
-    return near ? near_way_s : distant_way_s;
+    const bool same_data_centre =
+        item.server % this->given.data_centres == this->routers[item.vm]->centre;
+    return same_data_centre ? local_delay_s : remote_delay_s;
 }
 
-bool emulation::faulty(std::size_t at) const
+bool simulation::is_faulty(std::size_t at) const
 {
     return at == 0 && this->now >= this->given.seconds / 3;
 }
 
-double emulation::work(std::size_t at)
+double simulation::draw_work_s(std::size_t at)
 {
     std::lognormal_distribution<double> spread(-work_spread * work_spread / 2, work_spread);
     double span_s = this->given.work_ms / 1000 * spread(this->random);
     if (std::uniform_real_distribution<>()(this->random) < long_work_share) {
-        span_s *= long_work_times;
+        span_s *= long_work_multiple;
     }
-    return this->faulty(at) ? span_s * this->given.slow_times : span_s;
+    return this->is_faulty(at) ? span_s * this->given.slow_times : span_s;
 }
 
-void emulation::send(std::size_t id)
+void simulation::send(std::size_t id)
 {
     request& item = this->requests[id];
-    if (item.sends >= std::min<std::size_t>(sends_at_most, this->servers.size())) {
+    if (item.sends >= std::min<std::size_t>(max_sends, this->servers.size())) {
         ++this->result.unserved;
         return;
     }
@@ -223,10 +225,10 @@
     item.sent = this->now;
     ++item.sends;
     item.tried.push_back(name_of(item.server));
-    this->after(this->way(item), [this, id] { this->reach(id); });
+    this->schedule_after(this->network_delay_s(item), [this, id] { this->handle_at_server(id); });
 }
 
-void emulation::reach(std::size_t id)
+void simulation::handle_at_server(std::size_t id)
 {
     const std::size_t at = this->requests[id].server;
     if (this->chooser == plain_chooser::single_queue) {
@@ -240,28 +242,30 @@
         return;
     }
     server& item = this->servers[at];
-    const bool refuses = this->given.sheds_all && this->faulty(at);
+    const bool refuses = this->given.sheds_all && this->is_faulty(at);
     if (!refuses && item.running < this->given.slots) {
         this->begin(at, id);
     } else if (!refuses && item.waiting.size() < this->given.queue) {
         item.waiting.push_back(id);
     } else {
         ++this->result.shed;
-        this->after(this->way(this->requests[id]), [this, id] { this->answer(id, false); });
+        this->schedule_after(this->network_delay_s(this->requests[id]),
+                             [this, id] { this->handle_response(id, false); });
     }
 }
 
-void emulation::begin(std::size_t at, std::size_t id)
+void simulation::begin(std::size_t at, std::size_t id)
 {
     ++this->servers[at].running;
-    this->after(this->work(at), [this, at, id] { this->leave(at, id); });
+    this->schedule_after(this->draw_work_s(at), [this, at, id] { this->finish_work(at, id); });
 }
 
-void emulation::leave(std::size_t at, std::size_t id)
+void simulation::finish_work(std::size_t at, std::size_t id)
 {
     server& item = this->servers[at];
     --item.running;
-    this->after(this->way(this->requests[id]), [this, id] { this->answer(id, true); });
+    this->schedule_after(this->network_delay_s(this->requests[id]),
+                         [this, id] { this->handle_response(id, true); });
     std::deque<std::size_t>& waiting =
         this->chooser == plain_chooser::single_queue ? this->queue : item.waiting;
     if (waiting.empty()) return;
@@ -270,7 +274,7 @@
     this->begin(at, next);
 }
 
-void emulation::answer(std::size_t id, bool served)
+void simulation::handle_response(std::size_t id, bool served)
 {
     request& item = this->requests[id];
     if (this->chooser == plain_chooser::product) {
@@ -284,48 +288,48 @@
         return;
     }
     const double span_ms = (this->now - item.arrived) * 1000;
-    this->spans_ms.push_back(span_ms);
+    this->response_times_ms.push_back(span_ms);
     if (span_ms > this->given.late_ms) ++this->result.late;
 }
 
-/** The VM's round: near VMs come to know how its attempts ended. */
-void emulation::tell(std::size_t vm)
+/** Sends the outcomes of the VM's attempts to the other VMs of its data centre. */
+void simulation::send_outcomes(std::size_t vm)
 {
-    const std::vector<told_outcomes> news = this->routers[vm]->table.take_outcome_news();
-    this->after(this->given.told_after_s, [this, vm, news] {
+    const std::vector<told_outcomes> outcomes = this->routers[vm]->table.take_outcome_news();
+    this->schedule_after(this->given.told_after_s, [this, vm, outcomes] {
         for (std::size_t other = 0; other < this->routers.size(); ++other) {
-            const bool near = this->routers[other]->centre == this->routers[vm]->centre;
-            if (other == vm || !near) continue;
-            for (const told_outcomes& item : news)
+            const bool same_data_centre = this->routers[other]->centre == this->routers[vm]->centre;
+            if (other == vm || !same_data_centre) continue;
+            for (const told_outcomes& item : outcomes)
                 this->routers[other]->table.take_outcomes(item, to_instant(this->now));
         }
     });
-    this->after(this->given.told_after_s, [this, vm] { this->tell(vm); });
+    this->schedule_after(this->given.told_after_s, [this, vm] { this->send_outcomes(vm); });
 }
 
-/** Of all VMs' requests each learns sums, as late as the rest. */
-void emulation::sum_loads()
+/** Sends every VM the sums of all VMs' requests in flight, with the same delay. */
+void simulation::sum_loads()
 {
     std::vector<std::uint32_t> sums(this->servers.size());
     for (const auto& item : this->routers) {
         for (std::size_t i = 0; i < sums.size(); ++i)
             sums[i] += item->table.find(name_of(i))->in_flight;
     }
-    this->after(this->given.told_after_s, [this, sums] {
+    this->schedule_after(this->given.told_after_s, [this, sums] {
         for (const auto& item : this->routers) {
             for (std::size_t i = 0; i < sums.size(); ++i)
                 item->table.find(name_of(i))->peers_in_flight = sums[i];
         }
     });
-    constexpr double every_s = 0.1;
-    this->after(every_s, [this] { this->sum_loads(); });
+    constexpr double interval_s = 0.1;
+    this->schedule_after(interval_s, [this] { this->sum_loads(); });
 }
 
 } // namespace
 
 plain_outcome play(const plain_pattern& given, plain_chooser chooser, std::uint64_t seed)
 {
-    return emulation(given, chooser, seed).run();
+    return simulation(given, chooser, seed).run();
 }
 
 } // namespace lab
--- a/lab/plain_service.h
+++ b/lab/plain_service.h
@@ -1,8 +1,9 @@
 /** \file
- * A plain service under load: emulated servers with few slots and a short queue, and the VMs' own
- * choices of a server, with what they tell each other as late as in a fleet of their number.
+ * Discrete-event simulation of a plain service under load: servers with few slots and a short
+ * queue, and VMs that choose a server with the product's code and receive each other's updates with
+ * the delay of a fleet of their size.
  *
- * One loop, a clock of its own, no network. The same seed gives the same run.
+ * Runs in one thread on a simulated clock, without a network. The same seed gives the same run.
  */
 #pragma once
 
@@ -14,37 +15,38 @@
 
 namespace lab {
 
-/** What a plain service is asked, and what happens to its servers. */
+/** Load on a plain service and faults of its servers. */
 struct plain_pattern {
     std::string name;
     std::size_t vms = 8;
-    std::size_t data_centres = 4; ///< servers and VMs are spread over them in turn
+    std::size_t data_centres = 4; ///< servers and VMs are spread over them round robin
     std::size_t servers = 4;
     std::uint32_t slots = 6;
-    std::size_t queue = 24; ///< requests that wait at a server; it sheds what comes beyond
-    double work_ms = 30;    ///< of a request, mean
-    double used = 0.6;      ///< share of all slots' time that is asked for
-    /** Of the requests, those of the first data centre come this many times as often. */
+    std::size_t queue =
+        24; ///< maximum number of requests that wait at a server; it sheds further ones
+    double work_ms = 30; ///< mean service time of a request
+    double used = 0.6;   ///< offered load as a share of the capacity of all slots
+    /** Factor on the request rate of the VMs of the first data centre. */
     double uneven = 1;
-    /** From a third of the run on, the first server takes this many times as long. */
+    /** Factor on the service time of the first server after a third of the run. */
     double slow_times = 1;
-    /** From a third of the run on, the first server sheds all it gets. */
+    /** The first server sheds all requests after a third of the run. */
     bool sheds_all = false;
-    double told_after_s = 0.15; ///< from an event until other VMs know of it
+    double told_after_s = 0.15; ///< delay until other VMs learn of an event
     double seconds = 20;
-    double late_ms = 150; ///< from the arrival to the answer
+    double late_ms = 150; ///< a response that takes longer than this counts as late
 };
 
-/** Who chooses the servers. */
+/** Method of choosing a server. */
 enum class plain_chooser : std::uint8_t {
-    product,
+    product,      ///< the product's server table
     uniform,      ///< at random
-    single_queue, ///< all slots before one queue, which no router can have: the ceiling
+    single_queue, ///< one queue in front of all slots: the optimum, out of reach of any router
 };
 
 struct plain_outcome {
     std::size_t asked = 0;
-    std::size_t shed = 0; ///< sends that met a full queue
+    std::size_t shed = 0; ///< attempts that the server rejected
     std::size_t unserved = 0;
     std::size_t late = 0;
     double p99_ms = 0;
@@ -55,6 +57,7 @@
     }
 };
 
+/** Runs the pattern once. */
 plain_outcome play(const plain_pattern& given, plain_chooser chooser, std::uint64_t seed);
 
 } // namespace lab
