--- a/lab/pattern.cpp
+++ b/lab/pattern.cpp
@@ -12,22 +12,22 @@
 
 namespace {
 
-/** Reads the fields of one table and knows which were asked for, so that others are refused. */
+/** Reads the fields of one table and records their names, so that unknown fields are rejected. */
 class fields {
 public:
-    fields(const toml::table& table, std::string place, const std::string& file)
-        : table(table), place(std::move(place)), file(file)
+    fields(const toml::table& table, std::string prefix, const std::string& file)
+        : table(table), prefix(std::move(prefix)), file(file)
     {
     }
 
     double number(const char* name, double fallback, double low, double high)
     {
-        this->known.insert(name);
+        this->known_names.insert(name);
         const toml::node* node = this->table.get(name);
         if (node == nullptr) return fallback;
         const auto value = node->value<double>();
         if (!value || *value < low || *value > high) {
-            this->refuse(name, "is not a number from " + std::to_string(low) + " to " +
+            this->refuse(name, "must be a number from " + std::to_string(low) + " to " +
                                    std::to_string(high));
         }
         return *value;
@@ -35,38 +35,38 @@
 
     std::uint32_t count(const char* name, std::uint32_t fallback)
     {
-        constexpr double most = 1e7;
-        return static_cast<std::uint32_t>(this->number(name, fallback, 0, most));
+        constexpr double max_count = 1e7;
+        return static_cast<std::uint32_t>(this->number(name, fallback, 0, max_count));
     }
 
     milliseconds span(const char* name)
     {
-        constexpr double longest_ms = 3.6e6;
-        const double value = this->number(name, -1, 0, longest_ms);
+        constexpr double max_span_ms = 3.6e6;
+        const double value = this->number(name, -1, 0, max_span_ms);
         if (value < 0) this->refuse(name, "is missing");
         return milliseconds(static_cast<std::int64_t>(value));
     }
 
-    std::string text(const char* name, bool needed)
+    std::string text(const char* name, bool required)
     {
-        this->known.insert(name);
+        this->known_names.insert(name);
         const toml::node* node = this->table.get(name);
-        if (node == nullptr && !needed) return {};
+        if (node == nullptr && !required) return {};
         const auto value = node == nullptr ? std::nullopt : node->value<std::string>();
-        if (!value || value->empty()) this->refuse(name, "is missing or no text");
+        if (!value || value->empty()) this->refuse(name, "must be a non-empty string");
         return *value;
     }
 
-    /** The tables of a list. */
+    /** The tables of an array; empty if there is no such field. */
     std::vector<const toml::table*> list(const char* name)
     {
-        this->known.insert(name);
+        this->known_names.insert(name);
         std::vector<const toml::table*> found;
         const toml::node* node = this->table.get(name);
         if (node == nullptr) return found;
-        if (!node->is_array()) this->refuse(name, "is no list of tables");
+        if (!node->is_array()) this->refuse(name, "must be an array of tables");
         for (const toml::node& item : *node->as_array()) {
-            if (!item.is_table()) this->refuse(name, "is no list of tables");
+            if (!item.is_table()) this->refuse(name, "must be an array of tables");
             found.push_back(item.as_table());
         }
         return found;
@@ -74,40 +74,40 @@
 
     [[noreturn]] void refuse(const std::string& name, const std::string& why) const
     {
-        throw user_error("pattern", this->file, this->place + name + " " + why);
+        throw user_error("pattern", this->file, this->prefix + name + " " + why);
     }
 
-    /** Fails if there is a field that nobody asked for. */
+    /** Fails if the table has a field that was not read. */
     void finish() const
     {
         for (const auto& [key, node] : this->table) {
             const std::string name(key.str());
-            if (!this->known.contains(name)) this->refuse(name, "is not known");
+            if (!this->known_names.contains(name)) this->refuse(name, "is not a known field");
         }
     }
 
 private:
     const toml::table& table;
-    std::string place;
+    std::string prefix;
     const std::string& file;
-    std::set<std::string> known;
+    std::set<std::string> known_names;
 };
 
-constexpr double most_per_s = 1e6;
-constexpr double longest_s = 3600;
-constexpr double most_times = 1000;
+constexpr double max_per_s = 1e6;
+constexpr double max_s = 3600;
+constexpr double max_factor = 1000;
 
 request_kind read_kind(fields from)
 {
     request_kind made;
     made.name = from.text("name", true);
-    made.per_s = from.number("per_s", 0, 0, most_per_s);
+    made.per_s = from.number("per_s", 0, 0, max_per_s);
     made.objective = from.span("objective_ms");
     made.deadline = from.span("deadline_ms");
     made.patience = from.span("patience_ms");
     made.priority = from.count("priority", made.priority);
-    made.worth = from.number("worth", made.worth, 0, most_times);
-    made.worth_late = from.number("worth_late", made.worth_late, 0, most_times);
+    made.worth = from.number("worth", made.worth, 0, max_factor);
+    made.worth_late = from.number("worth_late", made.worth_late, 0, max_factor);
     made.prompts = std::max(from.count("prompts", made.prompts), 1U);
     made.shared_tokens = from.count("shared_tokens", made.shared_tokens);
     made.own_tokens = from.count("own_tokens", made.own_tokens);
@@ -119,9 +119,9 @@
 wave read_wave(fields from)
 {
     wave made;
-    made.from_s = from.number("from_s", 0, 0, longest_s);
-    made.to_s = from.number("to_s", 0, 0, longest_s);
-    made.times = from.number("times", made.times, 0, most_times);
+    made.from_s = from.number("from_s", 0, 0, max_s);
+    made.to_s = from.number("to_s", 0, 0, max_s);
+    made.times = from.number("times", made.times, 0, max_factor);
     made.kind = from.text("kind", false);
     made.hot_share = from.number("hot_share", 0, 0, 1);
     from.finish();
@@ -137,12 +137,12 @@
     } else if (what == "leave") {
         made.what = engine_fault::effect::leave;
     } else if (what != "dark") {
-        from.refuse("what", "is not one of dark, slow, leave");
+        from.refuse("what", "must be one of dark, slow, leave");
     }
-    made.from_s = from.number("from_s", 0, 0, longest_s);
-    made.to_s = from.number("to_s", longest_s, 0, longest_s);
+    made.from_s = from.number("from_s", 0, 0, max_s);
+    made.to_s = from.number("to_s", max_s, 0, max_s);
     made.share = from.number("share", 0, 0, 1);
-    made.times = from.number("times", 1, 1, most_times);
+    made.times = from.number("times", 1, 1, max_factor);
     from.finish();
     return made;
 }
@@ -152,14 +152,14 @@
     engine_figures made;
     made.slots = from.count("slots", made.slots);
     made.queue = from.count("queue", made.queue);
-    made.step_ms = from.number("step_ms", made.step_ms, 0.01, most_times);
+    made.step_ms = from.number("step_ms", made.step_ms, 0.01, max_factor);
     made.step_ms_per_request =
-        from.number("step_ms_per_request", made.step_ms_per_request, 0, most_times);
+        from.number("step_ms_per_request", made.step_ms_per_request, 0, max_factor);
     made.step_ms_per_k_context =
-        from.number("step_ms_per_k_context", made.step_ms_per_k_context, 0, most_times);
+        from.number("step_ms_per_k_context", made.step_ms_per_k_context, 0, max_factor);
     made.prompt_tokens_per_ms =
-        from.number("prompt_tokens_per_ms", made.prompt_tokens_per_ms, 0.1, most_per_s);
-    made.first_event_ms = from.number("first_event_ms", made.first_event_ms, 0, most_times);
+        from.number("prompt_tokens_per_ms", made.prompt_tokens_per_ms, 0.1, max_per_s);
+    made.first_event_ms = from.number("first_event_ms", made.first_event_ms, 0, max_factor);
     made.cache_tokens = from.count("cache_tokens", made.cache_tokens);
     from.finish();
     return made;
@@ -180,11 +180,11 @@
     made.name = from.text("name", true);
     made.answers = from.text("answers", true);
     made.grounds = from.text("grounds", true);
-    made.seconds = from.number("seconds", made.seconds, 1, longest_s);
-    constexpr double most_vms = 10000;
-    made.vms = static_cast<std::size_t>(from.number("vms", 8, 1, most_vms));
-    made.engines = static_cast<std::size_t>(from.number("engines", 18, 1, most_vms));
-    made.digest_ms = from.number("digest_ms", made.digest_ms, 1, longest_s * 1000);
+    made.seconds = from.number("seconds", made.seconds, 1, max_s);
+    constexpr double max_vms = 10000;
+    made.vms = static_cast<std::size_t>(from.number("vms", 8, 1, max_vms));
+    made.engines = static_cast<std::size_t>(from.number("engines", 18, 1, max_vms));
+    made.digest_ms = from.number("digest_ms", made.digest_ms, 1, max_s * 1000);
     for (const toml::table* item : from.list("engine"))
         made.engine = read_engine({*item, "engine.", path});
     for (const toml::table* item : from.list("kind"))
