--- a/lab/experiment_page.cpp
+++ b/lab/experiment_page.cpp
@@ -53,19 +53,19 @@
 void write_plot(std::ostream& out, std::span<const played> all, const std::string& pattern)
 {
     out << "<h2>" << pattern
-        << "</h2><p>Share on time by second of the first try.</p>\n<svg width='" << plot_width + 220
-        << "' height='" << plot_height + 10 << "' viewBox='-5 -5 " << plot_width + 220 << ' '
-        << plot_height + 10 << "'>\n<rect width='" << plot_width << "' height='" << plot_height
-        << "' fill='none' stroke='#999'/>\n";
-    std::set<std::string> drawn;
+        << "</h2><p>Share on time by second of the first attempt.</p>\n<svg width='"
+        << plot_width + 220 << "' height='" << plot_height + 10 << "' viewBox='-5 -5 "
+        << plot_width + 220 << ' ' << plot_height + 10 << "'>\n<rect width='" << plot_width
+        << "' height='" << plot_height << "' fill='none' stroke='#999'/>\n";
+    std::set<std::string> drawn_policies;
     for (const played& item : all) {
-        // The first seed of each policy.
-        if (item.pattern != pattern || !drawn.insert(item.policy).second) continue;
-        const char* colour = colours[(drawn.size() - 1) % colours.size()];
+        // Only the first seed of each policy is drawn.
+        if (item.pattern != pattern || !drawn_policies.insert(item.policy).second) continue;
+        const char* colour = colours[(drawn_policies.size() - 1) % colours.size()];
         write_line(out, item.result.on_time_by_second, colour);
         constexpr double line_height = 18;
         out << "<text x='" << plot_width + 10 << "' y='"
-            << line_height * static_cast<double>(drawn.size()) << "' fill='" << colour
+            << line_height * static_cast<double>(drawn_policies.size()) << "' fill='" << colour
             << "' font-family='sans-serif' font-size='13'>" << item.policy << "</text>\n";
     }
     out << "</svg>\n";
--- a/lab/experiment_page.h
+++ b/lab/experiment_page.h
@@ -1,6 +1,6 @@
 /** \file
- * One page of what an experiment showed: a table, and for each pattern the share of requests that
- * were on time in each second, by policy.
+ * HTML report of an experiment: a table of results and, for each pattern, a plot of the share of
+ * requests served on time in each second, by policy.
  */
 #pragma once
 
@@ -11,13 +11,14 @@
 
 namespace lab {
 
+/** Result of one run. */
 struct played {
     std::string pattern;
     std::string policy;
     outcome result;
 };
 
-/** HTML with drawings in it; needs no other file. */
+/** A self-contained HTML document with inline SVG plots. */
 std::string write_page(std::span<const played> all);
 
 } // namespace lab
