--- a/test/soak/loopback_proxy.cpp
+++ b/test/soak/loopback_proxy.cpp
@@ -7,27 +7,27 @@
 
 using namespace worksshift;
 
-/** One direction of a connection: what is read from `socket` goes to the other half. */
-struct loopback_proxy::half {
-    struct late_bytes {
+/** One side of a connection: bytes read from `socket` go to the other side. */
+struct loopback_proxy::connection_side {
+    struct delayed_bytes {
         instant due;
         std::string bytes;
     };
 
-    pair* owner = nullptr;
+    proxied_connection* owner = nullptr;
     bool is_target = false;
     event_ptr<bufferevent> socket;
-    std::deque<late_bytes> late;
+    std::deque<delayed_bytes> pending;
 };
 
-struct loopback_proxy::pair {
+struct loopback_proxy::proxied_connection {
     loopback_proxy* owner = nullptr;
-    half caller;
-    half target;
+    connection_side caller;
+    connection_side target;
     wire_fault kind = wire_fault::none;
-    bool mute = false;  ///< silent for good
-    bool ended = false; ///< one side has closed
-    bool over = false;  ///< to be freed
+    bool drops_bytes = false;  ///< all bytes are discarded, without closing
+    bool ended = false;        ///< one side has closed
+    bool is_removable = false; ///< to be freed
 };
 
 loopback_proxy::loopback_proxy(event_base* base, const link_address& target)
@@ -43,24 +43,24 @@
 
 void loopback_proxy::accept(evutil_socket_t socket)
 {
-    this->pairs.push_back(std::make_unique<pair>());
-    pair& item = *this->pairs.back();
+    this->connections.push_back(std::make_unique<proxied_connection>());
+    proxied_connection& item = *this->connections.back();
     item.owner = this;
     item.kind = this->kind;
     item.caller.socket.reset(bufferevent_socket_new(this->base, socket, BEV_OPT_CLOSE_ON_FREE));
     item.target.socket.reset(bufferevent_socket_new(this->base, -1, BEV_OPT_CLOSE_ON_FREE));
     item.target.is_target = true;
-    for (half* side : {&item.caller, &item.target}) {
+    for (connection_side* side : {&item.caller, &item.target}) {
         side->owner = &item;
         bufferevent_setcb(
             side->socket.get(),
             [](bufferevent*, void* given) {
-                auto* from = static_cast<half*>(given);
-                from->owner->owner->take(*from);
+                auto* from = static_cast<connection_side*>(given);
+                from->owner->owner->handle_bytes(*from);
             },
             nullptr,
             [](bufferevent*, short what, void* given) {
-                auto* from = static_cast<half*>(given);
+                auto* from = static_cast<connection_side*>(given);
                 if ((what & (BEV_EVENT_EOF | BEV_EVENT_ERROR)) == 0) return;
                 from->owner->owner->end(*from->owner);
             },
@@ -72,45 +72,46 @@
                                sizeof to);
 }
 
-void loopback_proxy::take(half& from)
+void loopback_proxy::handle_bytes(connection_side& from)
 {
     evbuffer* input = bufferevent_get_input(from.socket.get());
     std::string bytes = read_all(input);
     evbuffer_drain(input, evbuffer_get_length(input));
-    pair& item = *from.owner;
-    const bool held = item.kind == wire_fault::silent ||
-                      (item.kind == wire_fault::to_target && !from.is_target) ||
-                      (item.kind == wire_fault::from_target && from.is_target);
-    if (item.mute || item.over) return;
-    if (held || item.kind == wire_fault::delayed || !from.late.empty()) {
-        const instant due = held ? instant::max() : std::chrono::steady_clock::now() + this->delay;
-        from.late.push_back({due, std::move(bytes)});
+    proxied_connection& item = *from.owner;
+    const bool is_held = item.kind == wire_fault::silent ||
+                         (item.kind == wire_fault::to_target && !from.is_target) ||
+                         (item.kind == wire_fault::from_target && from.is_target);
+    if (item.drops_bytes || item.is_removable) return;
+    if (is_held || item.kind == wire_fault::delayed || !from.pending.empty()) {
+        const instant due =
+            is_held ? instant::max() : std::chrono::steady_clock::now() + this->delay;
+        from.pending.push_back({due, std::move(bytes)});
         return;
     }
-    const half& other = from.is_target ? item.caller : item.target;
+    const connection_side& other = from.is_target ? item.caller : item.target;
     bufferevent_write(other.socket.get(), bytes.data(), bytes.size());
 }
 
-/** A side has closed. The other hears of it, unless the connection is silent. */
-void loopback_proxy::end(pair& item)
+/** One side has closed. The other side is closed too, unless a fault holds the connection. */
+void loopback_proxy::end(proxied_connection& item)
 {
     item.ended = true;
-    const bool nothing_late = item.caller.late.empty() && item.target.late.empty();
-    if (item.kind == wire_fault::none && !item.mute && nothing_late) {
-        item.over = true;
+    const bool nothing_delayed = item.caller.pending.empty() && item.target.pending.empty();
+    if (item.kind == wire_fault::none && !item.drops_bytes && nothing_delayed) {
+        item.is_removable = true;
     }
 }
 
-void loopback_proxy::set_fault(wire_fault given, duration late_by)
+void loopback_proxy::set_fault(wire_fault given, duration new_delay)
 {
     this->kind = given;
-    this->delay = late_by;
+    this->delay = new_delay;
     const instant now = std::chrono::steady_clock::now();
-    for (const auto& item : this->pairs) {
+    for (const auto& item : this->connections) {
         item->kind = given;
         if (given != wire_fault::none && given != wire_fault::delayed) continue;
-        for (half* side : {&item->caller, &item->target}) {
-            for (auto& bytes : side->late)
+        for (connection_side* side : {&item->caller, &item->target}) {
+            for (auto& bytes : side->pending)
                 bytes.due = std::min(bytes.due, now);
         }
     }
@@ -118,40 +119,42 @@
 
 void loopback_proxy::silence_open()
 {
-    for (const auto& item : this->pairs)
-        item->mute = true;
+    for (const auto& item : this->connections)
+        item->drops_bytes = true;
 }
 
 void loopback_proxy::reset_open()
 {
-    for (const auto& item : this->pairs) {
+    for (const auto& item : this->connections) {
         support::close_by_reset(bufferevent_getfd(item->caller.socket.get()));
         support::close_by_reset(bufferevent_getfd(item->target.socket.get()));
-        item->over = true;
+        item->is_removable = true;
     }
 }
 
 void loopback_proxy::tick(instant now)
 {
-    for (const auto& item : this->pairs) {
-        for (half* side : {&item->caller, &item->target}) {
-            const half& other = side->is_target ? item->caller : item->target;
-            while (!side->late.empty() && side->late.front().due <= now) {
-                const std::string& bytes = side->late.front().bytes;
+    for (const auto& item : this->connections) {
+        for (connection_side* side : {&item->caller, &item->target}) {
+            const connection_side& other = side->is_target ? item->caller : item->target;
+            while (!side->pending.empty() && side->pending.front().due <= now) {
+                const std::string& bytes = side->pending.front().bytes;
                 bufferevent_write(other.socket.get(), bytes.data(), bytes.size());
-                side->late.pop_front();
+                side->pending.pop_front();
             }
         }
-        const bool nothing_late = item->caller.late.empty() && item->target.late.empty();
-        const bool tells = item->kind == wire_fault::none || item->kind == wire_fault::delayed;
-        if (item->ended && !item->mute && tells && nothing_late) item->over = true;
+        const bool nothing_delayed = item->caller.pending.empty() && item->target.pending.empty();
+        const bool passes_end_on =
+            item->kind == wire_fault::none || item->kind == wire_fault::delayed;
+        if (item->ended && !item->drops_bytes && passes_end_on && nothing_delayed)
+            item->is_removable = true;
     }
-    // What was written to the side that is still open leaves before it closes.
-    std::erase_if(this->pairs, [](const auto& item) {
-        const auto unsent = [](const half& side) {
+    // Bytes written to the caller are flushed before its connection closes.
+    std::erase_if(this->connections, [](const auto& item) {
+        const auto unsent = [](const connection_side& side) {
             return evbuffer_get_length(bufferevent_get_output(side.socket.get()));
         };
-        return item->over && (!item->ended || unsent(item->caller) == 0);
+        return item->is_removable && (!item->ended || unsent(item->caller) == 0);
     });
 }
 
--- a/test/soak/loopback_proxy.h
+++ b/test/soak/loopback_proxy.h
@@ -1,6 +1,6 @@
 /** \file
- * A TCP proxy on loopback in front of one address, with faults that are switched on from outside:
- * bytes that come late, connections that are reset, cut one way, or fall silent.
+ * TCP proxy on loopback in front of one address that injects network faults: delayed bytes, reset
+ * connections, loss in one direction, and connections that stall without being closed.
  */
 #pragma once
 
@@ -15,10 +15,11 @@
 
 namespace soak {
 
+/** Fault of all connections of a proxy. */
 enum class wire_fault : std::uint8_t {
     none,
-    delayed,    ///< bytes come late, in order
-    silent,     ///< bytes are held until the fault is over, and nobody is told
+    delayed,    ///< bytes are delayed, in order
+    silent,     ///< bytes and the end of connections are held until the fault is over
     to_target,  ///< bytes towards the target are held
     from_target ///< bytes from the target are held
 };
@@ -34,30 +35,31 @@
 
     [[nodiscard]] worksshift::link_address address() const { return this->listener.address(); }
 
-    /** Concerns connections that are open and those that come, until the next call. */
+    /** Applies to open and new connections until the next call. \p delay is used by
+     * wire_fault::delayed. */
     void set_fault(wire_fault kind, worksshift::duration delay = {});
-    /** Open connections fall silent for good; new ones work. */
+    /** Open connections drop all bytes from now on; new ones work. */
     void silence_open();
     void reset_open();
-    /** Moves late bytes on and frees what has ended. */
+    /** Forwards delayed bytes that are due and frees ended connections. */
     void tick(worksshift::instant now);
 
     [[nodiscard]] wire_fault fault() const { return this->kind; }
 
 private:
-    struct pair;
-    struct half;
+    struct proxied_connection;
+    struct connection_side;
 
     void accept(evutil_socket_t socket);
-    void take(half& from);
-    void end(pair& item);
+    void handle_bytes(connection_side& from);
+    void end(proxied_connection& item);
 
     event_base* base;
     worksshift::link_address target;
     support::loopback_listener listener;
     wire_fault kind = wire_fault::none;
     worksshift::duration delay{};
-    std::list<std::unique_ptr<pair>> pairs;
+    std::list<std::unique_ptr<proxied_connection>> connections;
 };
 
 } // namespace soak
