--- a/test/soak/soak_server.h
+++ b/test/soak/soak_server.h
@@ -1,5 +1,6 @@
 /** \file
- * A server whose answers come over time, and that notices when the router leaves before they end.
+ * Test server that sends scripted responses over time and reports when each one or its connection
+ * has ended.
  */
 #pragma once
 
@@ -15,11 +16,12 @@
 
 namespace soak {
 
-/** How a connection goes on behind an answer. */
+/** What happens to the connection after a response. */
 enum class answer_end : std::uint8_t { keep, close, reset, say_nothing };
 
+/** A part of a response. */
 struct answer_piece {
-    worksshift::duration after{}; ///< since the request came
+    worksshift::duration after{}; ///< since the request was received
     std::string bytes;
 };
 
@@ -30,8 +32,9 @@
 
 class soak_server {
 public:
+    /** Plans the response to a request. */
     using script = std::function<answer_plan(const std::string& request)>;
-    /** Called with a request's text when its answer has ended, or its connection has. */
+    /** Called with a request's text when its response or its connection has ended. */
     using listener = std::function<void(const std::string& request)>;
 
     soak_server(event_base* base, script answer, listener ended);
@@ -42,7 +45,7 @@
     soak_server& operator=(soak_server&&) = delete;
 
     [[nodiscard]] worksshift::link_address address() const { return this->acceptor.address(); }
-    /** Sends what is due and frees connections that have ended. */
+    /** Sends the parts that are due and frees ended connections. */
     void tick(worksshift::instant now);
 
 private:
