--- a/test/soak/promise_ledger.cpp
+++ b/test/soak/promise_ledger.cpp
@@ -14,19 +14,19 @@
 
 namespace {
 
-/** Statuses that promise that nothing ran. */
-constexpr std::array not_run{408, 421, 429, 503};
-/** A configuration that was seen in force stays so; requests that were on their way then may still
- * be handled by the one before. */
+/** Statuses that guarantee that the request was not run. */
+constexpr std::array not_run_statuses{408, 421, 429, 503};
+/** A configuration that was in force must not be replaced by an older one. Requests that were in
+ * flight when it came into force may still be handled by the one before. */
 constexpr duration rollback_slack = milliseconds(250);
-/** Requests are kept for so long, so that one that runs after its answer is noticed. */
-constexpr duration remembered_for = seconds(10);
+/** Time for which requests are retained, so that a run after the response is detected. */
+constexpr duration request_retention = seconds(10);
 constexpr int unauthorized = 401;
 constexpr int ok = 200;
 
-bool promises_not_run(int status)
+bool guarantees_not_run(int status)
 {
-    return std::ranges::find(not_run, status) != not_run.end();
+    return std::ranges::find(not_run_statuses, status) != not_run_statuses.end();
 }
 
 } // namespace
@@ -55,9 +55,9 @@
 {
     ++this->asked;
     asked_request item = given;
-    item.router_life = this->lives[item.router].number;
+    item.router_life = this->incarnations[item.router].number;
     this->recent.push_back(item.id);
-    this->to_service[item.route->service].firsts.push_back(item.sent);
+    this->arrivals_by_service[item.route->service].first_attempts.push_back(item.sent);
     return this->requests[item.id] = item;
 }
 
@@ -77,26 +77,26 @@
 
 void promise_ledger::disturb(std::size_t router, instant now)
 {
-    this->lives[router].disturbed = now;
+    this->incarnations[router].disturbed = now;
 }
 
 void promise_ledger::disturb_all(instant now)
 {
-    for (std::size_t router = 0; router < this->lives.size(); ++router)
+    for (std::size_t router = 0; router < this->incarnations.size(); ++router)
         this->disturb(router, now);
 }
 
 void promise_ledger::start_life(std::size_t router, instant now)
 {
-    router_life& life = this->lives[router];
+    router_life& life = this->incarnations[router];
     life = {life.number + 1, 0, {}, now, {}};
 }
 
-bool promise_ledger::calm(const asked_request& item, bool bounds) const
+bool promise_ledger::is_undisturbed(const asked_request& item, bool must_be_running) const
 {
-    const router_life& life = this->lives[item.router];
+    const router_life& life = this->incarnations[item.router];
     if (life.number != item.router_life || item.sent - life.disturbed < calm_after) return false;
-    return !bounds || life.stopped == instant{};
+    return !must_be_running || life.stopped == instant{};
 }
 
 instant promise_ledger::confirmed_at(std::uint64_t version) const
@@ -119,10 +119,10 @@
 
 void promise_ledger::take_leaving(const std::string& server, instant now)
 {
-    this->left_at.try_emplace(server, now);
+    this->leaving_since.try_emplace(server, now);
 }
 
-/** What a server gets is what the caller sent, with the account in place of its key. */
+/** The server must receive the caller's request, with the account instead of the API key. */
 void promise_ledger::check_forwarded(const asked_request& item, const std::string& request)
 {
     const std::string line =
@@ -140,26 +140,27 @@
 void promise_ledger::check_leaving(const std::string& server, const asked_request& item,
                                    instant now)
 {
-    const auto left = this->left_at.find(server);
-    if (left == this->left_at.end() || now - left->second <= in_force_within) return;
-    // The router must have been calm since the server left, not only since the request came.
-    const router_life& life = this->lives[item.router];
-    if (!this->calm(item, true) || left->second - life.disturbed < calm_after) return;
+    const auto left = this->leaving_since.find(server);
+    if (left == this->leaving_since.end() || now - left->second <= in_force_within) return;
+    // The router must have had no fault since the server left, not only since the request was sent.
+    const router_life& life = this->incarnations[item.router];
+    if (!this->is_undisturbed(item, true) || left->second - life.disturbed < calm_after) return;
     this->report("new work for " + server + " after it had left", item);
 }
 
-void promise_ledger::check_retries(const route_facts& route, instant now, bool repeat)
+void promise_ledger::check_retries(const route_facts& route, instant now, bool is_retry)
 {
-    arrivals& all = this->to_service[route.service];
-    if (repeat) all.repeats.push_back(now);
-    while (!all.repeats.empty() && now - all.repeats.front() > retry_window)
-        all.repeats.pop_front();
-    while (!all.firsts.empty() && now - all.firsts.front() > retry_window * 2)
-        all.firsts.pop_front();
-    const double allowed = retry_ratio * static_cast<double>(all.firsts.size()) + retry_slack;
-    if (!repeat || static_cast<double>(all.repeats.size()) <= allowed) return;
+    arrivals& all = this->arrivals_by_service[route.service];
+    if (is_retry) all.retries.push_back(now);
+    while (!all.retries.empty() && now - all.retries.front() > retry_window)
+        all.retries.pop_front();
+    while (!all.first_attempts.empty() && now - all.first_attempts.front() > retry_window * 2)
+        all.first_attempts.pop_front();
+    const double allowed =
+        retry_ratio * static_cast<double>(all.first_attempts.size()) + retry_slack;
+    if (!is_retry || static_cast<double>(all.retries.size()) <= allowed) return;
     this->broken.push_back("too many repeats for " + std::string(route.service) + ": " +
-                           std::to_string(all.repeats.size()));
+                           std::to_string(all.retries.size()));
 }
 
 void promise_ledger::take_run(const std::string& server, const std::string& request, bool sound,
@@ -178,19 +179,22 @@
     item->sound_runs += sound ? 1 : 0;
     item->servers.push_back(server);
     if (item->runs > item->route->attempts) this->report("ran too often", *item);
-    if (promises_not_run(item->status)) this->report("refused as not run, and ran", *item);
-    const bool gone = item->left != instant{} && now - item->left > cancelled_within;
-    if (gone && this->calm(*item, true)) this->report("sent on after its caller left", *item);
+    if (guarantees_not_run(item->status)) this->report("refused as not run, and ran", *item);
+    const bool caller_left = item->left != instant{} && now - item->left > cancelled_within;
+    if (caller_left && this->is_undisturbed(*item, true))
+        this->report("sent on after its caller left", *item);
     if (item->key == 0) return;
-    const bool taken_back = item->sent - this->replaced_at(item->key) > in_force_within;
-    if (taken_back && this->calm(*item, true)) this->report("ran by a key taken back", *item);
-    router_life& life = this->lives[item->router];
-    const bool reverted = life.newest_key > item->key && item->sent - life.seen > rollback_slack;
+    const bool key_was_revoked = item->sent - this->replaced_at(item->key) > in_force_within;
+    if (key_was_revoked && this->is_undisturbed(*item, true))
+        this->report("ran by a key taken back", *item);
+    router_life& life = this->incarnations[item->router];
+    const bool config_regressed =
+        life.newest_key > item->key && item->sent - life.newest_key_seen_at > rollback_slack;
     if (life.number != item->router_life) return;
-    if (reverted) this->report("an older configuration came back", *item);
+    if (config_regressed) this->report("an older configuration came back", *item);
     if (item->key > life.newest_key) {
         life.newest_key = item->key;
-        life.seen = now;
+        life.newest_key_seen_at = now;
     }
 }
 
@@ -214,20 +218,21 @@
     if (item.whole && body != expected) this->report("broken, and looks whole", item);
 }
 
-bool promise_ledger::was_harmed(const asked_request& item, instant now) const
+bool promise_ledger::had_server_fault(const asked_request& item, instant now) const
 {
     return std::ranges::any_of(item.servers, [&](const std::string& server) {
-        const auto found = this->harmed.find(server);
-        return found != this->harmed.end() && now - found->second < calm_after;
+        const auto found = this->faulty_since.find(server);
+        return found != this->faulty_since.end() && now - found->second < calm_after;
     });
 }
 
-/** A sound server had the request, and the caller got no whole answer. */
+/** A correct server ran the request, and the caller got no complete response. */
 void promise_ledger::check_lost(const asked_request& item, instant now)
 {
     if (item.whole || item.left != instant{} || item.sound_runs == 0) return;
-    if (now - item.sent >= timeout || !this->calm(item, false)) return;
-    if (!this->was_harmed(item, now) && item.runs == item.sound_runs) this->report("cut off", item);
+    if (now - item.sent >= timeout || !this->is_undisturbed(item, false)) return;
+    if (!this->had_server_fault(item, now) && item.runs == item.sound_runs)
+        this->report("cut off", item);
 }
 
 void promise_ledger::check_key(const asked_request& item)
@@ -239,7 +244,8 @@
     }
     const bool in_force = item.sent - this->confirmed_at(item.key) > in_force_within &&
                           item.answered < this->replaced_at(item.key);
-    if (in_force && this->calm(item, true)) this->report("a key in force was refused", item);
+    if (in_force && this->is_undisturbed(item, true))
+        this->report("a key in force was refused", item);
 }
 
 void promise_ledger::take_answer(asked_request& item, const std::string& received, instant now)
@@ -248,7 +254,7 @@
     item.status = support::status_in(received);
     item.whole = support::is_whole(received);
     if (item.left == instant{}) ++this->by_status[item.status];
-    if (promises_not_run(item.status) && item.runs > 0) {
+    if (guarantees_not_run(item.status) && item.runs > 0) {
         this->report("refused as not run, and ran", item);
     }
     if (item.status == ok) this->check_body(item, received);
@@ -256,22 +262,23 @@
     this->check_lost(item, now);
     this->check_key(item);
     const bool late = now - item.sent > timeout + answer_slack;
-    if (late && this->calm(item, true)) this->report("held past its time", item);
+    if (late && this->is_undisturbed(item, true)) this->report("held past its time", item);
 }
 
 void promise_ledger::check(instant now)
 {
     while (!this->recent.empty()) {
         const auto found = this->requests.find(this->recent.front());
-        if (now - found->second.sent < remembered_for) break;
+        if (now - found->second.sent < request_retention) break;
         this->requests.erase(found);
         this->recent.pop_front();
     }
     for (auto& [id, item] : this->requests) {
-        const bool gone = item.left != instant{} && now - item.left > cancelled_within;
-        if (!gone || item.at_work == 0) continue;
-        const bool stoppable = item.route->stream || item.route->repeatable;
-        if (stoppable && this->calm(item, true) && !this->was_harmed(item, now)) {
+        const bool caller_left = item.left != instant{} && now - item.left > cancelled_within;
+        if (!caller_left || item.at_work == 0) continue;
+        const bool can_be_cancelled = item.route->stream || item.route->repeatable;
+        if (can_be_cancelled && this->is_undisturbed(item, true) &&
+            !this->had_server_fault(item, now)) {
             this->report("a server works on after the caller left", item);
         }
         item.at_work = 0;
--- a/test/soak/promise_ledger.h
+++ b/test/soak/promise_ledger.h
@@ -1,5 +1,6 @@
 /** \file
- * What callers asked and got, what servers ran, and which promises that breaks.
+ * Records the requests that callers sent, their responses and the runs at servers, and reports the
+ * guarantees of the router that were violated.
  */
 #pragma once
 
@@ -19,60 +20,62 @@
     std::string_view path;
     std::string_view method;
     std::string_view service;
-    unsigned attempts;
+    unsigned attempts; ///< maximum number of runs of a request
     bool stream;
-    bool repeatable;
+    bool repeatable; ///< may be run again at another server
 };
 
 const std::vector<route_facts>& routes();
 
-/** Events of each whole stream. */
+/** Number of events of a complete stream. */
 constexpr unsigned events_in_stream = 4;
 
-/** The body of the whole answer to a request. */
+/** The body of a complete response to a request. */
 std::string whole_body(const route_facts& route, const std::string& id);
 
-/** One request, from both sides. */
+/** One request, as seen by its caller and by the servers. */
 struct asked_request {
     std::string id;
     const route_facts* route = nullptr;
     std::size_t router = 0;
     unsigned router_life = 0;
-    std::uint64_t key = 0; ///< version of the configuration that added its key; 0: always allowed
+    std::uint64_t key = 0; ///< configuration version that added its API key; 0: in all versions
     worksshift::instant sent{};
-    worksshift::instant left{};     ///< the caller went away; the epoch: it did not
-    worksshift::instant answered{}; ///< or its connection ended; the epoch: not yet
+    worksshift::instant left{};     ///< when the caller left; the epoch: it did not
+    worksshift::instant answered{}; ///< response or end of connection; the epoch: none yet
     int status = 0;
-    bool whole = false;
-    unsigned runs = 0;
-    unsigned sound_runs = 0;          ///< of which the server answered, or would have, as it should
+    bool whole = false;               ///< the response is complete
+    unsigned runs = 0;                ///< number of runs at servers that began
+    unsigned sound_runs = 0;          ///< runs whose server responds correctly, unless cancelled
     unsigned at_work = 0;             ///< runs that have not ended
-    std::vector<std::string> servers; ///< that ran it
+    std::vector<std::string> servers; ///< ids of the servers that ran it
 };
 
-/** One configuration that the store confirmed. */
+/** A configuration whose write the store confirmed. */
 struct confirmed_config {
     std::uint64_t version = 0;
     worksshift::instant at{};
 };
 
+/** Checks the guarantees while a run goes on; violations are collected in `broken`. */
 class promise_ledger {
 public:
-    /** After a confirmation, until it is in force; of servers that leave, too. */
+    /** Time after which a confirmed configuration must be in force, and a leaving server must get
+     * no new requests. */
     static constexpr worksshift::duration in_force_within = worksshift::milliseconds(2000);
-    /** Undisturbed for so long, a router must keep the promises that have a time. */
+    /** A router must keep guarantees with a time limit once it had no fault for this time. */
     static constexpr worksshift::duration calm_after = worksshift::milliseconds(3000);
-    /** Of the routes, and for the answer to come after it. */
+    /** Timeout of the routes, and the further time in which the response must reach the caller. */
     static constexpr worksshift::duration timeout = worksshift::milliseconds(1500);
     static constexpr worksshift::duration answer_slack = worksshift::milliseconds(700);
-    /** After a caller has left, until its server is told. */
+    /** Time after a caller leaves in which the run of its request must be cancelled. */
     static constexpr worksshift::duration cancelled_within = worksshift::milliseconds(800);
-    /** Bound on repeats to a service. */
+    /** Bound on retries to a service: ratio of the requests in two windows, plus the slack. */
     static constexpr double retry_ratio = 0.2;
     static constexpr double retry_slack = 50;
     static constexpr worksshift::duration retry_window = worksshift::seconds(10);
 
-    explicit promise_ledger(std::size_t routers) : lives(routers) {}
+    explicit promise_ledger(std::size_t routers) : incarnations(routers) {}
 
     asked_request& ask(const asked_request& given);
     [[nodiscard]] asked_request* find(const std::string& id);
@@ -80,33 +83,43 @@
                   worksshift::instant now);
     void take_refusal(const std::string& request, worksshift::instant now);
     void end_run(const std::string& request);
-    /** The caller's connection has all that will come: the answer, or its end. */
+    /** Called when the response is complete or the caller's connection has ended. */
     void take_answer(asked_request& item, const std::string& received, worksshift::instant now);
-    /** Looks at what should have happened by now. */
+    /** Checks the guarantees whose time limit has passed, and forgets old requests. */
     void check(worksshift::instant now);
 
     void take_config(std::uint64_t version, worksshift::instant now);
     void take_leaving(const std::string& server, worksshift::instant now);
-    /** A router was killed, paused, or cut off from something. */
+    /** A router was killed, paused, or a connection of it failed. */
     void disturb(std::size_t router, worksshift::instant now);
     void disturb_all(worksshift::instant now);
-    /** A router was told to stop; its bounds in time are off, what it took must be answered. */
-    void stop(std::size_t router, worksshift::instant now) { this->lives[router].stopped = now; }
-    /** The way to a server, or the server, fails for a while. */
-    void harm(const std::string& server, worksshift::instant now) { this->harmed[server] = now; }
+    /** A router was asked to stop. Guarantees with a time limit are off, but it must still answer
+     * the requests that it accepted. */
+    void stop(std::size_t router, worksshift::instant now)
+    {
+        this->incarnations[router].stopped = now;
+    }
+    /** A server or the connections to it have a fault. */
+    void harm(const std::string& server, worksshift::instant now)
+    {
+        this->faulty_since[server] = now;
+    }
     void start_life(std::size_t router, worksshift::instant now);
-    [[nodiscard]] unsigned life(std::size_t router) const { return this->lives[router].number; }
+    [[nodiscard]] unsigned life(std::size_t router) const
+    {
+        return this->incarnations[router].number;
+    }
 
     std::vector<std::string> broken;
     std::size_t asked = 0;
     std::size_t served = 0;
-    std::map<int, std::size_t> by_status; ///< 0: no answer; of callers that stayed
+    std::map<int, std::size_t> by_status; ///< responses to callers that did not leave; 0: none
 
 private:
     struct router_life {
         unsigned number = 0;
-        std::uint64_t newest_key = 0; ///< seen in force
-        worksshift::instant seen{};
+        std::uint64_t newest_key = 0;             ///< newest configuration whose key was accepted
+        worksshift::instant newest_key_seen_at{}; ///< when it was first accepted
         worksshift::instant disturbed{};
         worksshift::instant stopped{};
     };
@@ -115,28 +128,29 @@
     void check_forwarded(const asked_request& item, const std::string& request);
     void check_leaving(const std::string& server, const asked_request& item,
                        worksshift::instant now);
-    void check_retries(const route_facts& route, worksshift::instant now, bool repeat);
+    void check_retries(const route_facts& route, worksshift::instant now, bool is_retry);
     void check_body(const asked_request& item, const std::string& received);
-    /** Whether a server that ran it, or the way there, failed lately. */
-    [[nodiscard]] bool was_harmed(const asked_request& item, worksshift::instant now) const;
+    /** Whether a server that ran it, or the connections to that server, had a fault recently. */
+    [[nodiscard]] bool had_server_fault(const asked_request& item, worksshift::instant now) const;
     void check_lost(const asked_request& item, worksshift::instant now);
     void check_key(const asked_request& item);
-    /** Undisturbed from some seconds before a request until now; \p bounds: not stopped either. */
-    [[nodiscard]] bool calm(const asked_request& item, bool bounds) const;
+    /** Whether the router had no fault from calm_after before the request until now; with \p
+     * bounds, whether it was not asked to stop either. */
+    [[nodiscard]] bool is_undisturbed(const asked_request& item, bool must_be_running) const;
     [[nodiscard]] worksshift::instant replaced_at(std::uint64_t version) const;
     [[nodiscard]] worksshift::instant confirmed_at(std::uint64_t version) const;
 
     std::map<std::string, asked_request> requests;
-    std::deque<std::string> recent; ///< ids in the order in which they were asked
+    std::deque<std::string> recent; ///< ids, oldest first
     std::vector<confirmed_config> configs;
-    std::map<std::string, worksshift::instant> left_at;
-    std::map<std::string, worksshift::instant> harmed;
-    std::vector<router_life> lives;
+    std::map<std::string, worksshift::instant> leaving_since;
+    std::map<std::string, worksshift::instant> faulty_since;
+    std::vector<router_life> incarnations;
     struct arrivals {
-        std::deque<worksshift::instant> firsts;
-        std::deque<worksshift::instant> repeats;
+        std::deque<worksshift::instant> first_attempts;
+        std::deque<worksshift::instant> retries;
     };
-    std::map<std::string_view, arrivals> to_service;
+    std::map<std::string_view, arrivals> arrivals_by_service;
 };
 
 } // namespace soak
