--- a/test/soak/soak.cpp
+++ b/test/soak/soak.cpp
@@ -1,11 +1,11 @@
 /** \file
- * Fault soak of router processes; see soak_run.h for what is done to them and promise_ledger.h for
- * what is checked.
+ * Fault-injection soak test of router processes; see soak_run.h for the faults and promise_ledger.h
+ * for the guarantees that are checked.
  *
  *     soak [--first SEED] [--seeds N] [--seconds S] [--routers N] [--regressions FILE]
  *
- * Each line of a broken promise names its seed. With --regressions the seeds that stand first in
- * the lines of FILE are run. Exit status 1 when a promise was broken.
+ * Each violated guarantee is printed with its seed. With --regressions the seeds at the start of
+ * the lines of FILE are run. Exit status 1 if a guarantee was violated.
  */
 #include <charconv>
 #include <csignal>
@@ -20,6 +20,7 @@
 
 using namespace worksshift;
 
+/** The value behind an option of the form `--name value`. */
 std::string option(int count, char** values, const std::string& name, const std::string& fallback)
 {
     for (int i = 1; i + 1 < count; i += 2) {
--- a/test/soak/soak_run.cpp
+++ b/test/soak/soak_run.cpp
@@ -13,15 +13,15 @@
 
 namespace {
 
-constexpr std::size_t servers_of_service = 4;
-constexpr std::size_t servers_left_at_least = 2;
-constexpr std::size_t callers_of_router = 5;
+constexpr std::size_t servers_per_service = 4;
+constexpr std::size_t min_servers_left = 2;
+constexpr std::size_t callers_per_router = 5;
 constexpr duration fault_period = milliseconds(200);
-constexpr duration recovered_within = seconds(10);
-/** A step that took longer held up callers, servers and the store alike. */
-constexpr duration longest_step = milliseconds(150);
+constexpr duration max_recovery_time = seconds(10);
+/** A longer step delays callers, servers and the store alike, so it counts as a stall. */
+constexpr duration max_step_time = milliseconds(150);
 
-/** The example's configuration with a key of its own for each version. */
+/** The example configuration with one API key more, specific to the version. */
 std::string config_text(std::uint64_t version)
 {
     std::string text = support::example_config(version);
@@ -34,15 +34,15 @@
 } // namespace
 
 soak_run::soak_run(std::uint64_t seed, std::size_t routers, duration span)
-    : random(seed), span(span), fleet(routers), promises(routers),
+    : random(seed), span(span), fleet(routers), guarantees(routers),
       now(std::chrono::steady_clock::now())
 {
     for (std::size_t i = 0; i < routers; ++i) {
-        this->ways_to_store.push_back(
+        this->store_proxies.push_back(
             std::make_unique<loopback_proxy>(this->fleet.base.get(), this->fleet.store_address(i)));
-        this->fleet.set_store_address(i, this->ways_to_store.back()->address());
+        this->fleet.set_store_address(i, this->store_proxies.back()->address());
     }
-    this->callers.resize(routers * callers_of_router);
+    this->callers.resize(routers * callers_per_router);
 }
 
 std::size_t soak_run::draw(std::size_t below)
@@ -50,60 +50,60 @@
     return std::uniform_int_distribution<std::size_t>(0, below - 1)(this->random);
 }
 
-duration soak_run::draw_span(int least_ms, int most_ms)
+duration soak_run::draw_span(int min_ms, int max_ms)
 {
-    return milliseconds(std::uniform_int_distribution<int>(least_ms, most_ms)(this->random));
+    return milliseconds(std::uniform_int_distribution<int>(min_ms, max_ms)(this->random));
 }
 
 void soak_run::prepare()
 {
     this->change_config();
-    for (std::size_t i = 0; i < servers_of_service; ++i) {
+    for (std::size_t i = 0; i < servers_per_service; ++i) {
         this->add_server("desk");
         this->add_server("llm");
     }
     for (std::size_t i = 0; i < this->fleet.routers.size(); ++i) {
         this->fleet.start(i);
-        this->promises.start_life(i, this->now);
+        this->guarantees.start_life(i, this->now);
     }
-    if (!this->fleet.all_ready()) this->promises.broken.emplace_back("not ready after the start");
+    if (!this->fleet.all_ready()) this->guarantees.broken.emplace_back("not ready after the start");
     this->now = std::chrono::steady_clock::now();
 }
 
 void soak_run::add_server(const std::string& service)
 {
-    served made;
+    proxied_server made;
     made.id = service + std::to_string(this->next_server++);
     made.service = service;
     made.server = std::make_unique<soak_server>(
         this->fleet.base.get(),
         [this, id = made.id](const std::string& request) { return this->plan(id, request); },
-        [this](const std::string& request) { this->promises.end_run(request); });
-    made.way = std::make_unique<loopback_proxy>(this->fleet.base.get(), made.server->address());
-    this->fleet.list_server(made.id, service, made.way->address());
-    this->listed.push_back(made.id);
+        [this](const std::string& request) { this->guarantees.end_run(request); });
+    made.proxy = std::make_unique<loopback_proxy>(this->fleet.base.get(), made.server->address());
+    this->fleet.list_server(made.id, service, made.proxy->address());
+    this->active_servers.push_back(made.id);
     this->servers.push_back(std::move(made));
 }
 
-/** The whole answer over some time, or what a failing server makes of it. */
+/** A correct response spread over time, or a faulty one while servers fail. */
 answer_plan soak_run::plan(const std::string& server, const std::string& request)
 {
     const bool failing = std::chrono::steady_clock::now() < this->servers_fail_until;
-    const std::size_t conduct = failing ? this->draw(10) : 9;
+    const std::size_t behaviour = failing ? this->draw(10) : 9;
     const instant time = std::chrono::steady_clock::now();
-    if (conduct == 0) {
-        this->promises.take_refusal(request, time);
+    if (behaviour == 0) {
+        this->guarantees.take_refusal(request, time);
         return {{{{}, answer_text(503, request, "", "X-Not-Executed: 1\r\n")}}, answer_end::keep};
     }
-    const asked_request* item = this->promises.find(header_in(request, "x-request-id"));
-    constexpr std::size_t first_sound = 7;
-    this->promises.take_run(server, request, conduct >= first_sound, time);
+    const asked_request* item = this->guarantees.find(header_in(request, "x-request-id"));
+    constexpr std::size_t first_correct_behaviour = 7;
+    this->guarantees.take_run(server, request, behaviour >= first_correct_behaviour, time);
     if (item == nullptr) return {};
     answer_plan whole;
     if (!item->route->stream) {
         whole.pieces.push_back({this->draw_span(0, 40),
                                 answer_text(200, request, whole_body(*item->route, item->id))});
-        return this->spoil(conduct, request, whole);
+        return this->apply_failure(behaviour, request, whole);
     }
     const std::string last = header_in(request, "last-event-id");
     whole.pieces.push_back({{}, stream_head(request)});
@@ -114,13 +114,14 @@
         whole.pieces.push_back({at, event_chunk(event, item->id)});
     }
     whole.pieces.push_back({at, "0\r\n\r\n"});
-    return this->spoil(conduct, request, whole);
+    return this->apply_failure(behaviour, request, whole);
 }
 
-answer_plan soak_run::spoil(std::size_t conduct, const std::string& request, answer_plan whole)
+answer_plan soak_run::apply_failure(std::size_t behaviour, const std::string& request,
+                                    answer_plan whole)
 {
     std::string& last = whole.pieces.back().bytes;
-    switch (conduct) {
+    switch (behaviour) {
     case 1:
         last.resize(last.size() / 2);
         whole.end = answer_end::close;
@@ -155,41 +156,41 @@
     instant next_fault = this->now + promise_ledger::calm_after;
     while (this->now < end) {
         if (this->now >= next_fault) {
-            this->disturb();
+            this->inject_random_fault();
             next_fault = this->now + fault_period;
         }
         this->step();
     }
-    this->recover();
+    this->check_recovery();
 }
 
 void soak_run::step()
 {
-    this->tend_routers();
-    this->tend_ways();
-    this->tend_callers();
+    this->update_routers();
+    this->update_faults();
+    this->update_callers();
     event_base_loop(this->fleet.base.get(), EVLOOP_ONCE);
     const instant before = std::exchange(this->now, std::chrono::steady_clock::now());
-    if (this->now - before > longest_step) {
+    if (this->now - before > max_step_time) {
         ++this->stalls;
-        this->promises.disturb_all(this->now);
+        this->guarantees.disturb_all(this->now);
     }
-    for (const served& item : this->servers) {
+    for (const proxied_server& item : this->servers) {
         item.server->tick(this->now);
-        item.way->tick(this->now);
+        item.proxy->tick(this->now);
     }
-    for (const auto& way : this->ways_to_store)
-        way->tick(this->now);
-    this->promises.check(this->now);
+    for (const auto& proxy : this->store_proxies)
+        proxy->tick(this->now);
+    this->guarantees.check(this->now);
 }
 
-/** Starts what has ended, and wakes what was paused for long enough. */
-void soak_run::tend_routers()
+/** Restarts routers that have exited and resumes those whose pause is over. */
+void soak_run::update_routers()
 {
     for (std::size_t i = 0; i < this->fleet.routers.size(); ++i) {
         const auto wake = this->paused.find(i);
         if (wake != this->paused.end()) {
-            this->promises.disturb(i, this->now);
+            this->guarantees.disturb(i, this->now);
             if (this->now > wake->second) {
                 this->fleet.routers[i].signal(SIGCONT);
                 this->paused.erase(wake);
@@ -197,25 +198,25 @@
         }
         if (!this->fleet.routers[i].ended()) continue;
         this->fleet.start(i);
-        this->promises.start_life(i, this->now);
+        this->guarantees.start_life(i, this->now);
     }
 }
 
-void soak_run::tend_ways()
+void soak_run::update_faults()
 {
-    for (std::size_t i = 0; i < this->ways_to_store.size(); ++i) {
+    for (std::size_t i = 0; i < this->store_proxies.size(); ++i) {
         const bool store = this->fleet.store->fault != fakes::store_fault::none;
-        if (store || this->ways_to_store[i]->fault() != wire_fault::none) {
-            this->promises.disturb(i, this->now);
+        if (store || this->store_proxies[i]->fault() != wire_fault::none) {
+            this->guarantees.disturb(i, this->now);
         }
     }
-    for (const served& item : this->servers) {
+    for (const proxied_server& item : this->servers) {
         const bool failing = this->now < this->servers_fail_until;
-        if (failing || item.way->fault() != wire_fault::none) {
-            this->promises.harm(item.id, this->now);
+        if (failing || item.proxy->fault() != wire_fault::none) {
+            this->guarantees.harm(item.id, this->now);
         }
     }
-    std::erase_if(this->faulty_ways, [this](const auto& entry) {
+    std::erase_if(this->faulty_proxies, [this](const auto& entry) {
         if (this->now < entry.second) return false;
         entry.first->set_fault(wire_fault::none);
         return true;
@@ -223,18 +224,18 @@
     if (this->now >= this->store_fails_until) this->fleet.store->fault = fakes::store_fault::none;
 }
 
-void soak_run::tend_callers()
+void soak_run::update_callers()
 {
     for (caller& item : this->callers) {
-        if (!item.asking.empty()) {
-            this->take(item);
+        if (!item.request_id.empty()) {
+            this->update_request(item);
         } else if (this->now >= item.next) {
             this->ask(item);
         }
     }
 }
 
-/** Sends the next request, on the open connection if there is one. */
+/** Sends the next request; opens a connection to a random router if none is open. */
 void soak_run::ask(caller& from)
 {
     if (from.connection == nullptr || from.connection->closed) {
@@ -247,51 +248,52 @@
     item.route = &routes()[this->draw(routes().size())];
     item.router = from.router;
     item.sent = this->now;
-    // One request in four brings the key of one of the newest three configurations.
+    // One request in four uses the API key of one of the newest three configurations.
     const std::size_t age = this->draw(12);
     if (age < 3 && this->version > age) item.key = this->version - age;
-    from.asking = item.id;
+    from.request_id = item.id;
     from.leave_at = this->draw(12) == 0 ? this->now + this->draw_span(1, 150) : instant{};
-    this->promises.ask(item);
-    const bool post = item.route->method == "POST";
-    std::string text = support::request_text(
-        std::string(item.route->method), std::string(item.route->path), item.id, post ? "{}" : "");
-    const std::string key = item.key == 0 ? "k1" : "r" + std::to_string(item.key);
-    from.connection->send(text.replace(text.find(": k1") + 2, 2, key));
+    this->guarantees.ask(item);
+    const bool is_post = item.route->method == "POST";
+    std::string text =
+        support::request_text(std::string(item.route->method), std::string(item.route->path),
+                              item.id, is_post ? "{}" : "");
+    const std::string api_key = item.key == 0 ? "k1" : "r" + std::to_string(item.key);
+    from.connection->send(text.replace(text.find(": k1") + 2, 2, api_key));
 }
 
-void soak_run::take(caller& from)
+void soak_run::update_request(caller& from)
 {
-    asked_request* item = this->promises.find(from.asking);
+    asked_request* item = this->guarantees.find(from.request_id);
     const std::string& got = from.connection->received;
     const bool ended = from.connection->closed || support::is_whole(got);
-    if (item != nullptr && ended) this->promises.take_answer(*item, got, this->now);
-    const bool leaves = from.leave_at != instant{} && this->now >= from.leave_at;
-    constexpr duration given_up_after = seconds(4);
-    const bool hopeless = item == nullptr || this->now - item->sent > given_up_after;
-    if (!ended && !leaves && !hopeless) return;
+    if (item != nullptr && ended) this->guarantees.take_answer(*item, got, this->now);
+    const bool caller_leaves = from.leave_at != instant{} && this->now >= from.leave_at;
+    constexpr duration max_wait = seconds(4);
+    const bool gave_up = item == nullptr || this->now - item->sent > max_wait;
+    if (!ended && !caller_leaves && !gave_up) return;
     if (!ended && item != nullptr) {
         item->left = this->now;
-        if (hopeless) this->promises.take_answer(*item, got, this->now);
+        if (gave_up) this->guarantees.take_answer(*item, got, this->now);
     }
     if (!ended) from.connection.reset();
-    from.asking.clear();
+    from.request_id.clear();
     from.next = this->now + this->draw_span(0, 60);
 }
 
-void soak_run::disturb()
+void soak_run::inject_random_fault()
 {
     const std::size_t router = this->draw(this->fleet.routers.size());
     switch (this->draw(6)) {
     case 0:
     case 1:
-        this->disturb_router(router);
+        this->inject_router_fault(router);
         break;
     case 2:
-        this->disturb_store(router);
+        this->inject_store_fault(router);
         break;
     case 3:
-        this->disturb_way();
+        this->inject_server_link_fault();
         break;
     case 4:
         this->change_config();
@@ -300,7 +302,7 @@
         if (this->draw(3) == 0) {
             this->servers_fail_until = this->now + this->draw_span(300, 1500);
         } else if (this->draw(2) == 0) {
-            this->leave();
+            this->retire_server();
         } else {
             this->add_server(this->draw(2) == 0 ? "desk" : "llm");
         }
@@ -308,114 +310,115 @@
     }
 }
 
-void soak_run::disturb_router(std::size_t router)
+void soak_run::inject_router_fault(std::size_t router)
 {
     const support::child& process = this->fleet.routers[router];
     switch (this->draw(4)) {
     case 0:
         process.signal(SIGCONT);
         process.signal(SIGKILL);
-        this->promises.disturb(router, this->now);
+        this->guarantees.disturb(router, this->now);
         break;
     case 1:
         process.signal(SIGSTOP);
         this->paused[router] = this->now + this->draw_span(100, 1500);
-        this->promises.disturb(router, this->now);
+        this->guarantees.disturb(router, this->now);
         break;
     default:
         process.signal(SIGTERM);
-        this->promises.stop(router, this->now);
+        this->guarantees.stop(router, this->now);
         break;
     }
 }
 
-/** The store fails for all, or the way of one router to it does. */
-void soak_run::disturb_store(std::size_t router)
+/** A fault of the store, or of one router's connections to it. */
+void soak_run::inject_store_fault(std::size_t router)
 {
-    loopback_proxy& way = *this->ways_to_store[router];
+    loopback_proxy& proxy = *this->store_proxies[router];
     switch (this->draw(7)) {
     case 0:
         this->fleet.store->fault = static_cast<fakes::store_fault>(1 + this->draw(3));
         this->store_fails_until = this->now + this->draw_span(300, 2500);
-        this->promises.disturb_all(this->now);
+        this->guarantees.disturb_all(this->now);
         break;
     case 1:
         this->fleet.store->lose_waiting();
-        this->promises.disturb_all(this->now);
+        this->guarantees.disturb_all(this->now);
         break;
     case 2:
         this->fleet.store->forget_history();
         break;
     case 3:
-        way.reset_open();
-        this->promises.disturb(router, this->now);
+        proxy.reset_open();
+        this->guarantees.disturb(router, this->now);
         break;
     case 4:
-        way.silence_open();
-        this->promises.disturb(router, this->now);
+        proxy.silence_open();
+        this->guarantees.disturb(router, this->now);
         break;
     default:
-        way.set_fault(static_cast<wire_fault>(1 + this->draw(4)), this->draw_span(20, 400));
-        this->faulty_ways[&way] = this->now + this->draw_span(300, 2500);
-        this->promises.disturb(router, this->now);
+        proxy.set_fault(static_cast<wire_fault>(1 + this->draw(4)), this->draw_span(20, 400));
+        this->faulty_proxies[&proxy] = this->now + this->draw_span(300, 2500);
+        this->guarantees.disturb(router, this->now);
         break;
     }
 }
 
-/** The way to one server fails. */
-void soak_run::disturb_way()
+/** A fault of the connections to one server. */
+void soak_run::inject_server_link_fault()
 {
-    const served& item = this->servers[this->draw(this->servers.size())];
-    this->promises.harm(item.id, this->now);
+    const proxied_server& item = this->servers[this->draw(this->servers.size())];
+    this->guarantees.harm(item.id, this->now);
     switch (this->draw(4)) {
     case 0:
-        item.way->reset_open();
+        item.proxy->reset_open();
         break;
     case 1:
-        item.way->silence_open();
+        item.proxy->silence_open();
         break;
     default:
-        item.way->set_fault(static_cast<wire_fault>(1 + this->draw(4)), this->draw_span(20, 400));
-        this->faulty_ways[item.way.get()] = this->now + this->draw_span(300, 2000);
+        item.proxy->set_fault(static_cast<wire_fault>(1 + this->draw(4)), this->draw_span(20, 400));
+        this->faulty_proxies[item.proxy.get()] = this->now + this->draw_span(300, 2000);
         break;
     }
 }
 
-/** A server drains, or is taken off the list; some of each service always stay. */
-void soak_run::leave()
+/** A server is set to draining or removed; min_servers_left of its service stay. */
+void soak_run::retire_server()
 {
-    const std::string id = this->listed[this->draw(this->listed.size())];
+    const std::string id = this->active_servers[this->draw(this->active_servers.size())];
     const std::string service = id.substr(0, id.find_first_of("0123456789"));
     const auto others = std::ranges::count_if(
-        this->listed, [&](const std::string& each) { return each.starts_with(service); });
-    if (static_cast<std::size_t>(others) <= servers_left_at_least) return;
+        this->active_servers, [&](const std::string& each) { return each.starts_with(service); });
+    if (static_cast<std::size_t>(others) <= min_servers_left) return;
     if (this->draw(2) == 0) {
         this->fleet.set_server_state(id, "draining");
     } else {
         this->fleet.remove_server(id);
     }
-    std::erase(this->listed, id);
-    this->promises.take_leaving(id, this->now);
+    std::erase(this->active_servers, id);
+    this->guarantees.take_leaving(id, this->now);
 }
 
 void soak_run::change_config()
 {
     this->fleet.set_config(config_text(++this->version));
-    this->promises.take_config(this->version, this->now);
+    this->guarantees.take_config(this->version, this->now);
 }
 
-/** All faults end; every router must serve again soon, by the newest configuration. */
-void soak_run::recover()
+/** Ends all faults; every router must then serve requests by the newest configuration within
+ * max_recovery_time. */
+void soak_run::check_recovery()
 {
     this->servers_fail_until = instant{};
     this->store_fails_until = instant{};
-    for (auto& [way, until] : this->faulty_ways)
+    for (auto& [proxy, until] : this->faulty_proxies)
         until = instant{};
     for (auto& [router, until] : this->paused)
         until = instant{};
     this->change_config();
-    const std::string key = "r" + std::to_string(this->version);
-    const instant end = this->now + recovered_within;
+    const std::string api_key = "r" + std::to_string(this->version);
+    const instant end = this->now + max_recovery_time;
     for (std::size_t router = 0; router < this->fleet.routers.size(); ++router) {
         bool served = false;
         while (!served && this->now < end) {
@@ -424,23 +427,23 @@
             last.route = routes().data();
             last.router = router;
             last.sent = this->now;
-            this->promises.ask(last);
+            this->guarantees.ask(last);
             const auto connection = this->fleet.connect(router);
             std::string text = support::request_text("GET", "/safe/x", last.id);
-            connection->send(text.replace(text.find(": k1") + 2, 2, key));
+            connection->send(text.replace(text.find(": k1") + 2, 2, api_key));
             const instant limit = this->now + seconds(1);
             while (!connection->closed && !support::is_whole(connection->received) &&
                    this->now < limit) {
                 this->step();
             }
             served = support::status_in(connection->received) == 200;
-            const instant again = this->now + milliseconds(50);
-            while (!served && this->now < again)
+            const instant retry_at = this->now + milliseconds(50);
+            while (!served && this->now < retry_at)
                 this->step();
         }
         if (!served) {
-            this->promises.broken.push_back("does not serve again: router " +
-                                            std::to_string(router));
+            this->guarantees.broken.push_back("does not serve again: router " +
+                                              std::to_string(router));
         }
     }
 }
--- a/test/soak/soak_run.h
+++ b/test/soak/soak_run.h
@@ -1,6 +1,6 @@
 /** \file
- * One seeded run: routers as separate processes under a drawn series of faults from outside, while
- * callers ask all the time and servers answer as drawn.
+ * One seeded run: router processes under a random series of faults, while callers send requests all
+ * the time and servers respond correctly or fail at random.
  */
 #pragma once
 
@@ -23,56 +23,57 @@
 
     void run();
 
-    [[nodiscard]] const promise_ledger& ledger() const { return this->promises; }
-    /** Times at which this process itself was held up; nothing with a time is checked then. */
+    [[nodiscard]] const promise_ledger& ledger() const { return this->guarantees; }
+    /** Number of steps in which this process itself was delayed; guarantees with a time limit are
+     * not checked then. */
     std::size_t stalls = 0;
 
 private:
-    /** A caller that keeps its connection for as long as it is open. */
+    /** A caller; reuses its connection while it is open. */
     struct caller {
         std::unique_ptr<support::raw_caller> connection;
         std::size_t router = 0;
-        std::string asking; ///< id of the request under way; empty: none
-        worksshift::instant next{};
-        worksshift::instant leave_at{}; ///< the epoch: it stays
+        std::string request_id;         ///< id of the request in flight; empty: none
+        worksshift::instant next{};     ///< time of the next request
+        worksshift::instant leave_at{}; ///< the epoch: never
     };
-    struct served {
+    struct proxied_server {
         std::string id;
         std::string service;
         std::unique_ptr<soak_server> server;
-        std::unique_ptr<loopback_proxy> way;
+        std::unique_ptr<loopback_proxy> proxy;
     };
 
     [[nodiscard]] std::size_t draw(std::size_t below);
-    [[nodiscard]] worksshift::duration draw_span(int least_ms, int most_ms);
+    [[nodiscard]] worksshift::duration draw_span(int min_ms, int max_ms);
     void prepare();
     void add_server(const std::string& service);
     answer_plan plan(const std::string& server, const std::string& request);
-    answer_plan spoil(std::size_t conduct, const std::string& request, answer_plan whole);
+    answer_plan apply_failure(std::size_t behaviour, const std::string& request, answer_plan whole);
     void step();
-    void tend_routers();
-    void tend_callers();
-    void tend_ways();
+    void update_routers();
+    void update_callers();
+    void update_faults();
     void ask(caller& from);
-    void take(caller& from);
-    void disturb();
-    void disturb_router(std::size_t router);
-    void disturb_store(std::size_t router);
-    void disturb_way();
-    void leave();
+    void update_request(caller& from);
+    void inject_random_fault();
+    void inject_router_fault(std::size_t router);
+    void inject_store_fault(std::size_t router);
+    void inject_server_link_fault();
+    void retire_server();
     void change_config();
-    void recover();
+    void check_recovery();
 
     std::mt19937_64 random;
     worksshift::duration span;
     support::router_fleet fleet;
-    promise_ledger promises;
-    std::vector<std::unique_ptr<loopback_proxy>> ways_to_store; ///< one a router
-    std::vector<served> servers;
-    std::vector<std::string> listed; ///< servers that take work
+    promise_ledger guarantees;
+    std::vector<std::unique_ptr<loopback_proxy>> store_proxies; ///< one for each router
+    std::vector<proxied_server> servers;
+    std::vector<std::string> active_servers; ///< ids of the servers that accept new requests
     std::vector<caller> callers;
-    std::map<std::size_t, worksshift::instant> paused;          ///< routers, and when they wake
-    std::map<loopback_proxy*, worksshift::instant> faulty_ways; ///< and when they are mended
+    std::map<std::size_t, worksshift::instant> paused; ///< routers, and when they are resumed
+    std::map<loopback_proxy*, worksshift::instant> faulty_proxies; ///< and when their fault ends
     worksshift::instant store_fails_until{};
     worksshift::instant servers_fail_until{};
     worksshift::instant now{};
