--- a/test/fakes/fake_engine.cpp
+++ b/test/fakes/fake_engine.cpp
@@ -23,16 +23,16 @@
 
 } // namespace
 
-/** One answer being made. */
+/** One response that is being produced. */
 struct fake_engine::stream {
     fake_engine* owner = nullptr;
     evhttp_request* request = nullptr;
     evhttp_connection* connection = nullptr;
     std::uint64_t key = 0;
-    std::uint32_t next = 0;
+    std::uint32_t next = 0; ///< index of the next token
     std::uint32_t tokens = 0;
-    std::uint32_t prompt_cost = 0; ///< prompt tokens to compute
-    std::uint32_t break_after = 0; ///< closes after so many tokens, 0 never
+    std::uint32_t prompt_cost = 0; ///< prompt tokens that are not cached
+    std::uint32_t break_after = 0; ///< token index at which the connection is closed; 0: never
     bool sse = false;
     bool begun = false;
     bool over = false;
@@ -42,7 +42,8 @@
 
 fake_engine::fake_engine(event_base* base, const engine_settings& options)
     : base(base), options(options),
-      http(base, options.listen, [this](evhttp_request* request) { this->take(request); }),
+      http(base, options.listen,
+           [this](evhttp_request* request) { this->handle_request(request); }),
       ticker(base, [this] { this->step(); })
 {
     this->loaded.insert(options.version);
@@ -51,23 +52,23 @@
 
 fake_engine::~fake_engine() = default;
 
-void fake_engine::take(evhttp_request* request)
+void fake_engine::handle_request(evhttp_request* request)
 {
     const std::string path = path_of(request);
     if (path == "/v1/chat/completions") {
-        this->take_chat(request);
+        this->handle_chat(request);
     } else if (path == "/load") {
         this->finish_loads();
-        std::vector<std::string> under_way;
-        std::ranges::transform(this->loading, std::back_inserter(under_way),
+        std::vector<std::string> loading_versions;
+        std::ranges::transform(this->loading, std::back_inserter(loading_versions),
                                [](const auto& entry) { return entry.first; });
         const nlohmann::json body{{"running", this->running},
                                   {"waiting", this->waiting.size()},
                                   {"versions", this->loaded},
-                                  {"loading", under_way}};
+                                  {"loading", loading_versions}};
         reply_json(request, 200, body.dump());
     } else if (path == "/orders") {
-        this->take_order(request);
+        this->handle_order(request);
     } else if (path == "/stats") {
         reply_json(request, 200, this->stats());
     } else if (path == "/fault") {
@@ -90,7 +91,7 @@
     });
 }
 
-void fake_engine::take_order(evhttp_request* request)
+void fake_engine::handle_order(evhttp_request* request)
 {
     const auto order = nlohmann::json::parse(body_of(request));
     const std::uint64_t number = order.at("fence");
@@ -109,7 +110,7 @@
     reply_json(request, 200, "{}");
 }
 
-/** Faults that end the request at once. */
+/** Applies a requested fault that ends the request at once. Returns whether there was one. */
 bool fake_engine::fail_on_demand(evhttp_request* request, std::uint64_t key)
 {
     if (this->next_fault.count == 0) return false;
@@ -124,8 +125,8 @@
     }
     if (mode == "garbage") {
         --this->next_fault.count;
-        const std::string noise = "this is not HTTP\r\n\r\n\x01\x02";
-        evbuffer_add(bufferevent_get_output(socket), noise.data(), noise.size());
+        const std::string garbage = "this is not HTTP\r\n\r\n\x01\x02";
+        evbuffer_add(bufferevent_get_output(socket), garbage.data(), garbage.size());
         bufferevent_enable(socket, EV_WRITE);
         return true;
     }
@@ -152,8 +153,9 @@
     return false;
 }
 
-/** Looks the prompt's prefixes up and takes them into the cache. Returns the tokens to compute. */
-std::uint32_t fake_engine::take_prompt(const std::string& body)
+/** Looks up the prompt's prefixes and adds them to the cache. Returns the number of tokens that
+ * were not cached. */
+std::uint32_t fake_engine::look_up_prompt(const std::string& body)
 {
     const auto request = nlohmann::json::parse(body);
     std::uint64_t prefix = 0;
@@ -164,18 +166,18 @@
         prefix = worksshift::hash_of(std::to_string(prefix) + text);
         const auto tokens = static_cast<std::uint32_t>(text.size()) / characters_per_token;
         total += tokens;
-        if (const auto found = this->cached.find(prefix); found != this->cached.end()) {
+        if (const auto found = this->cache_index.find(prefix); found != this->cache_index.end()) {
             hit += tokens;
             this->cache.splice(this->cache.begin(), this->cache, found->second);
             continue;
         }
         this->cache.emplace_front(prefix, tokens);
-        this->cached[prefix] = this->cache.begin();
-        this->cache_used += tokens;
+        this->cache_index[prefix] = this->cache.begin();
+        this->cached_tokens += tokens;
     }
-    while (this->cache_used > this->options.cache_tokens) {
-        this->cache_used -= this->cache.back().second;
-        this->cached.erase(this->cache.back().first);
+    while (this->cached_tokens > this->options.cache_tokens) {
+        this->cached_tokens -= this->cache.back().second;
+        this->cache_index.erase(this->cache.back().first);
         this->cache.pop_back();
     }
     this->prompt_tokens += total;
@@ -183,7 +185,7 @@
     return total - hit;
 }
 
-void fake_engine::take_chat(evhttp_request* request)
+void fake_engine::handle_chat(evhttp_request* request)
 {
     const std::string body = body_of(request);
     const auto parsed = nlohmann::json::parse(body, nullptr, false);
@@ -218,21 +220,22 @@
     item->sse = parsed.value("stream", false);
     const std::string resume = header_of(request, "X-Resume-From");
     item->next = resume.empty() ? 0 : static_cast<std::uint32_t>(std::stoul(resume));
-    item->prompt_cost = this->take_prompt(body);
+    item->prompt_cost = this->look_up_prompt(body);
     if (this->next_fault.count > 0 && this->next_fault.mode == "break") {
         --this->next_fault.count;
         item->break_after = item->next + this->next_fault.after;
     }
-    const auto hung_up = [](evutil_socket_t, short, void* context) {
-        auto* left = static_cast<stream*>(context);
-        ++left->owner->cancelled;
-        evhttp_connection* connection = left->connection;
-        left->owner->drop(*left);
+    const auto on_caller_closed = [](evutil_socket_t, short, void* context) {
+        auto* closed_stream = static_cast<stream*>(context);
+        ++closed_stream->owner->cancelled;
+        evhttp_connection* connection = closed_stream->connection;
+        closed_stream->owner->remove_stream(*closed_stream);
         evhttp_connection_free(connection);
     };
     bufferevent* socket = evhttp_connection_get_bufferevent(item->connection);
     worksshift::set_no_delay(bufferevent_getfd(socket));
-    item->closed.reset(event_new(this->base, bufferevent_getfd(socket), EV_CLOSED, hung_up, item));
+    item->closed.reset(
+        event_new(this->base, bufferevent_getfd(socket), EV_CLOSED, on_caller_closed, item));
     event_add(item->closed.get(), nullptr);
     if (this->running < this->options.slots) {
         this->begin(*item);
@@ -281,7 +284,7 @@
     item.due += milliseconds(this->options.token_interval_ms);
     if (item.break_after > 0 && item.next >= item.break_after) {
         evhttp_connection* connection = item.connection;
-        this->drop(item);
+        this->remove_stream(item);
         evhttp_connection_free(connection);
         return;
     }
@@ -301,7 +304,7 @@
 
 void fake_engine::finish(stream& item)
 {
-    this->drop(item);
+    this->remove_stream(item);
     if (!item.sse) {
         reply_json(item.request, 200, whole_body(item.key, item.tokens));
         return;
@@ -313,8 +316,8 @@
     evhttp_send_reply_end(item.request);
 }
 
-/** Takes the stream off the books. */
-void fake_engine::drop(stream& item)
+/** Ends the stream and removes it from the counts and the queue. */
+void fake_engine::remove_stream(stream& item)
 {
     item.over = true;
     item.closed.reset();
@@ -324,12 +327,12 @@
 
 std::string fake_engine::stats() const
 {
-    nlohmann::json most = 0;
+    nlohmann::json max_runs = 0;
     const auto busiest =
         std::ranges::max_element(this->runs, {}, [](const auto& entry) { return entry.second; });
-    if (busiest != this->runs.end()) most = busiest->second;
+    if (busiest != this->runs.end()) max_runs = busiest->second;
     const nlohmann::json body{{"requests", this->runs.size()},
-                              {"most_runs_of_one_request", most},
+                              {"most_runs_of_one_request", max_runs},
                               {"runs", this->runs},
                               {"runs_by_version", this->runs_by_version},
                               {"loaded", this->loaded},
--- a/test/fakes/fake_engine.h
+++ b/test/fakes/fake_engine.h
@@ -1,11 +1,11 @@
 /** \file
- * A small stand-in of a model engine: streams deterministic tokens in batches, caches prompt
- * prefixes, reports its load, resumes and cancels streams, and fails on demand.
+ * A fake model engine: streams deterministic tokens in batches, caches prompt prefixes, reports its
+ * load, resumes and cancels streams, and fails on demand.
  *
- * Interface: `POST /v1/chat/completions` (with `X-Resume-From: N` the answer starts at token N),
+ * Interface: `POST /v1/chat/completions` (with `X-Resume-From: N` the response starts at token N),
  * `GET /load` gives running, waiting and the versions loaded and loading, `POST /orders` with
- * `{"order":"load"|"unload","version":V,"fence":N}` changes them (409 with the highest number seen
- * when N is lower), `X-Model-Version` asks for one, `GET /stats` gives counts, `POST
+ * `{"order":"load"|"unload","version":V,"fence":N}` changes them (409 with the highest fence seen
+ * if N is lower), `X-Model-Version` requires a version, `GET /stats` gives counters, `POST
  * /fault?mode=M&count=N&after=K` makes the next N chat requests fail in mode M (after K tokens,
  * where that applies).
  */
@@ -23,13 +23,13 @@
 
 struct engine_settings {
     worksshift::link_address listen;
-    std::uint32_t slots = 64;            ///< streams that it runs at once; more wait
-    std::uint32_t token_interval_ms = 5; ///< of each stream
-    double prefill_us_per_token = 20;    ///< of prompt tokens that are not cached
-    std::size_t cache_tokens = 1'000'000;
-    bool stop_when_full = false; ///< refuses, with X-Not-Run, rather than queue
-    std::string version = "v1";  ///< of its model, loaded at the start
-    std::uint32_t load_ms = 500; ///< to load another
+    std::uint32_t slots = 64; ///< maximum number of concurrent streams; further ones wait
+    std::uint32_t token_interval_ms = 5;  ///< between the tokens of a stream
+    double prefill_us_per_token = 20;     ///< for prompt tokens that are not cached
+    std::size_t cache_tokens = 1'000'000; ///< capacity of the prefix cache
+    bool stop_when_full = false; ///< rejects requests with X-Not-Run instead of queueing them
+    std::string version = "v1";  ///< model version that is loaded at the start
+    std::uint32_t load_ms = 500; ///< time to load another version
 };
 
 class fake_engine {
@@ -49,18 +49,18 @@
         std::uint32_t after = 0;
     };
 
-    void take(evhttp_request* request);
-    void take_chat(evhttp_request* request);
-    void take_order(evhttp_request* request);
+    void handle_request(evhttp_request* request);
+    void handle_chat(evhttp_request* request);
+    void handle_order(evhttp_request* request);
     void finish_loads();
     bool fail_on_demand(evhttp_request* request, std::uint64_t key);
     void begin(stream& item);
     void step();
     void advance(stream& item);
     void finish(stream& item);
-    void drop(stream& item);
+    void remove_stream(stream& item);
     void start_waiting();
-    std::uint32_t take_prompt(const std::string& body);
+    std::uint32_t look_up_prompt(const std::string& body);
     [[nodiscard]] std::string stats() const;
 
     event_base* base;
@@ -69,15 +69,16 @@
     worksshift::timer ticker;
     std::list<std::unique_ptr<stream>> streams;
     std::list<stream*> waiting;
-    std::map<std::string, std::uint32_t> runs;                ///< by request id
-    std::list<std::pair<std::uint64_t, std::uint32_t>> cache; ///< prefix and its tokens, LRU
+    std::map<std::string, std::uint32_t> runs; ///< by request id
+    std::list<std::pair<std::uint64_t, std::uint32_t>>
+        cache; ///< prefix hash and tokens, most recently used first
     std::unordered_map<std::uint64_t, std::list<std::pair<std::uint64_t, std::uint32_t>>::iterator>
-        cached;
-    std::size_t cache_used = 0;
+        cache_index;
+    std::size_t cached_tokens = 0;
     fault next_fault;
     std::set<std::string> loaded;
-    std::map<std::string, worksshift::instant> loading; ///< and when each is there
-    std::uint64_t fence = 0;                            ///< highest seen
+    std::map<std::string, worksshift::instant> loading; ///< versions, and when each is loaded
+    std::uint64_t fence = 0;                            ///< highest fence seen
     std::map<std::string, std::uint64_t> runs_by_version;
     std::uint64_t orders = 0;
     std::uint32_t running = 0;
--- a/test/fakes/main_fake_engine.cpp
+++ b/test/fakes/main_fake_engine.cpp
@@ -1,5 +1,5 @@
 /** \file
- * The fake engine as a program.
+ * Command-line program that runs the fake engine of fake_engine.h.
  */
 #include "fakes/fake_engine.h"
 #include "settings.h"
