--- a/test/fakes/fake_http.h
+++ b/test/fakes/fake_http.h
@@ -1,5 +1,5 @@
 /** \file
- * The HTTP server that the fakes share.
+ * HTTP server, request accessors and command-line options that the fakes share.
  */
 #pragma once
 
@@ -12,7 +12,7 @@
 
 namespace fakes {
 
-/** Options of a fake's command line, `--name value`. */
+/** Command-line options of a fake, of the form `--name value`. */
 class arguments {
 public:
     arguments(int count, char** values);
@@ -24,7 +24,7 @@
     std::map<std::string, std::string> values;
 };
 
-/** An evhttp server on a loopback address that hands every request to one function. */
+/** An evhttp server on a loopback address that passes every request to one function. */
 class fake_http {
 public:
     using handler = std::function<void(evhttp_request*)>;
@@ -38,7 +38,7 @@
 void reply_json(evhttp_request* request, int status, const std::string& body);
 std::string body_of(evhttp_request* request);
 std::string header_of(evhttp_request* request, const char* name);
-/** The value of a parameter of the query, or empty. */
+/** The value of a query parameter; empty if there is none. */
 std::string query_of(evhttp_request* request, const char* name);
 std::string path_of(evhttp_request* request);
 
