--- a/test/fakes/load_run.cpp
+++ b/test/fakes/load_run.cpp
@@ -28,7 +28,7 @@
 
 } // namespace
 
-/** A chat with its history; at most one request at a time. */
+/** A chat with its history; it has at most one request in flight. */
 struct load_run::chat {
     std::string id;
     std::uint32_t account = 0;
@@ -37,7 +37,6 @@
     bool busy = false;
 };
 
-/** One request. */
 struct load_run::call {
     load_run* owner = nullptr;
     chat* about = nullptr;
@@ -47,12 +46,13 @@
     bool over = false;
     bool head = false;
     instant sent{};
-    instant last_piece{};
+    instant last_chunk_at{};
 };
 
 load_run::load_run(event_base* base, load_settings options)
     : base(base), options(std::move(options)), random(this->options.seed),
-      arrivals(base, [this] { this->arrive(); }), sweeper(base, [this] { this->sweep(); })
+      arrival_timer(base, [this] { this->send_due_requests(); }),
+      cleanup_timer(base, [this] { this->remove_ended_calls(); })
 {
     for (std::uint32_t i = 0; i < this->options.accounts; ++i) {
         this->account_weights.push_back(1 / std::pow(i + 1, this->options.zipf));
@@ -87,13 +87,13 @@
     return *this->chats.back();
 }
 
-void load_run::arrive()
+void load_run::send_due_requests()
 {
     const instant time = now();
     const auto span = std::chrono::duration<double>(time - this->started).count();
     if (span > this->options.duration_s) {
         this->arriving = false;
-        this->arrivals.stop();
+        this->arrival_timer.stop();
         return;
     }
     std::exponential_distribution<double> gap(this->options.rate);
@@ -126,22 +126,22 @@
         this->base, nullptr, nullptr, target.address.c_str(), target.port));
     const auto done = [](evhttp_request* answer, void* context) {
         auto* ended = static_cast<call*>(context);
-        ended->owner->take_end(*ended, answer);
+        ended->owner->handle_end(*ended, answer);
     };
-    const auto piece = [](evhttp_request* answer, void* context) {
-        auto* taker = static_cast<call*>(context);
+    const auto on_chunk = [](evhttp_request* answer, void* context) {
+        auto* receiver = static_cast<call*>(context);
         const instant time = now();
-        load_run& owner = *taker->owner;
-        if (taker->received.empty()) {
-            owner.first_token_ms.push_back(ms_between(taker->sent, time));
+        load_run& owner = *receiver->owner;
+        if (receiver->received.empty()) {
+            owner.first_token_ms.push_back(ms_between(receiver->sent, time));
         } else {
-            owner.between_tokens_ms.push_back(ms_between(taker->last_piece, time));
+            owner.between_tokens_ms.push_back(ms_between(receiver->last_chunk_at, time));
         }
-        taker->last_piece = time;
-        taker->received += worksshift::read_all(evhttp_request_get_input_buffer(answer));
+        receiver->last_chunk_at = time;
+        receiver->received += worksshift::read_all(evhttp_request_get_input_buffer(answer));
     };
     evhttp_request* http = evhttp_request_new(done, request);
-    evhttp_request_set_chunked_cb(http, piece);
+    evhttp_request_set_chunked_cb(http, on_chunk);
     evkeyvalq* headers = evhttp_request_get_output_headers(http);
     evhttp_add_header(headers, "Host", target.address.c_str());
     evhttp_add_header(headers, "Connection", "close");
@@ -159,11 +159,11 @@
     this->open_at_most = std::max(this->open_at_most, this->calls.size());
     if (evhttp_make_request(request->connection.get(), http, EVHTTP_REQ_POST,
                             "/v1/chat/completions") != 0) {
-        this->take_end(*request, nullptr);
+        this->handle_end(*request, nullptr);
     }
 }
 
-void load_run::take_end(call& item, evhttp_request* answer)
+void load_run::handle_end(call& item, evhttp_request* answer)
 {
     if (item.over) return;
     item.over = true;
@@ -174,10 +174,10 @@
             evhttp_find_header(evhttp_request_get_input_headers(answer), "X-Worksshift-Outcome");
         outcome = value == nullptr ? "" : value;
     }
-    this->judge(item, status, outcome);
+    this->classify_response(item, status, outcome);
 }
 
-void load_run::judge(call& item, int status, const std::string& outcome)
+void load_run::classify_response(call& item, int status, const std::string& outcome)
 {
     constexpr int status_ok = 200;
     if (status == 0) {
@@ -190,14 +190,14 @@
         const std::string expected = this->options.stream
                                          ? stream_text(item.key, this->options.tokens)
                                          : whole_body(item.key, this->options.tokens);
-        const bool right = status == status_ok && item.received == expected;
-        ++(right ? this->counts.whole : this->counts.wrong);
-        if (right) {
+        const bool is_expected = status == status_ok && item.received == expected;
+        ++(is_expected ? this->counts.whole : this->counts.wrong);
+        if (is_expected) {
             this->finish_chat_turn(item);
             return;
         }
     }
-    // The turn did not happen: the question is taken back, to be asked again later.
+    // The turn failed: its message is removed, so that a later request repeats it.
     item.about->messages.erase(item.about->messages.size() - 1);
     item.about->busy = false;
 }
@@ -212,24 +212,24 @@
     std::erase_if(this->chats, [&](const auto& entry) { return entry.get() == &about; });
 }
 
-void load_run::sweep()
+void load_run::remove_ended_calls()
 {
     std::erase_if(this->calls, [](const auto& item) { return item->over; });
     const auto span = std::chrono::duration<double>(now() - this->started).count();
-    const bool late = span > this->options.duration_s + this->options.drain_s;
-    if (!this->arriving && (this->calls.empty() || late)) event_base_loopbreak(this->base);
+    const bool drain_expired = span > this->options.duration_s + this->options.drain_s;
+    if (!this->arriving && (this->calls.empty() || drain_expired)) event_base_loopbreak(this->base);
 }
 
 nlohmann::json load_run::run()
 {
     this->started = now();
     this->next_arrival = this->started;
-    this->arrivals.start_every(milliseconds(2));
-    this->sweeper.start_every(milliseconds(20));
+    this->arrival_timer.start_every(milliseconds(2));
+    this->cleanup_timer.start_every(milliseconds(20));
     event_base_dispatch(this->base);
     this->counts.unfinished = static_cast<std::uint64_t>(
         std::ranges::count_if(this->calls, [](const auto& item) { return !item->over; }));
-    const double spent = ms_between(this->started, now()) / milliseconds_per_second;
+    const double total_s = ms_between(this->started, now()) / milliseconds_per_second;
     return {{"sent", this->counts.sent},
             {"whole", this->counts.whole},
             {"not_run", this->counts.not_run},
@@ -239,7 +239,7 @@
             {"refused_connections", this->counts.refused_connections},
             {"unfinished", this->counts.unfinished},
             {"open_at_most", this->open_at_most},
-            {"seconds", spent},
+            {"seconds", total_s},
             {"first_token_ms",
              {{"p50", support::percentile(this->first_token_ms, 0.5)},
               {"p95", support::percentile(this->first_token_ms, 0.95)},
--- a/test/fakes/load_run.h
+++ b/test/fakes/load_run.h
@@ -1,6 +1,6 @@
 /** \file
- * The load generator: open-loop arrivals of chats that return after pauses, each answer compared
- * byte for byte with what the fake engine must say.
+ * Load generator: open-loop arrivals of chat requests with several turns a chat. Each response is
+ * compared byte for byte with the one that the fake engine must give.
  */
 #pragma once
 
@@ -20,31 +20,31 @@
 struct load_settings {
     std::vector<worksshift::link_address> targets;
     std::string model = "assist";
-    std::string key_prefix = "key-"; ///< account i has the key `key-i`
+    std::string key_prefix = "key-"; ///< account i uses the API key `key-i`
     std::uint32_t accounts = 10;
-    double zipf = 1.0;
-    double rate = 50;                      ///< requests a second
-    double duration_s = 10;                ///< of arrivals
-    double drain_s = 60;                   ///< wait for the last answers
-    std::uint32_t chats = 100;             ///< open at a time
-    std::uint32_t turns = 6;               ///< of a chat, then a new one takes its place
-    std::uint32_t tokens = 50;             ///< of an answer
-    std::uint32_t prompt_characters = 400; ///< of the first message
-    std::uint32_t deadline_ms = 0;
+    double zipf = 1.0;                     ///< exponent of the distribution of chats over accounts
+    double rate = 50;                      ///< requests per second
+    double duration_s = 10;                ///< time in which requests are sent
+    double drain_s = 60;                   ///< maximum wait for the last responses
+    std::uint32_t chats = 100;             ///< number of concurrent chats
+    std::uint32_t turns = 6;               ///< turns of a chat, after which a new chat replaces it
+    std::uint32_t tokens = 50;             ///< tokens of a response
+    std::uint32_t prompt_characters = 400; ///< length of the first message
+    std::uint32_t deadline_ms = 0;         ///< 0: none is sent
     bool stream = true;
     std::uint64_t seed = 1;
 };
 
-/** Counts by how the request ended, as its caller sees it. */
+/** Number of requests by their result, as the caller sees it. */
 struct load_counts {
     std::uint64_t sent = 0;
-    std::uint64_t whole = 0; ///< the right answer, byte for byte, with its end
-    std::uint64_t not_run = 0;
-    std::uint64_t unknown = 0;             ///< an error that says so
-    std::uint64_t broken = 0;              ///< broke off without passing for whole
-    std::uint64_t wrong = 0;               ///< passed for whole, and was not the right answer
-    std::uint64_t refused_connections = 0; ///< no connection to the router
-    std::uint64_t unfinished = 0;          ///< no end by the end of the run
+    std::uint64_t whole = 0;               ///< the expected response, byte for byte, with its end
+    std::uint64_t not_run = 0;             ///< an error that states that the request was not run
+    std::uint64_t unknown = 0;             ///< an error that states that the result is unknown
+    std::uint64_t broken = 0;              ///< truncated, and recognisable as such
+    std::uint64_t wrong = 0;               ///< looked complete, but was not the expected response
+    std::uint64_t refused_connections = 0; ///< no connection, or closed before the first byte
+    std::uint64_t unfinished = 0;          ///< not ended by the end of the run
 };
 
 class load_run {
@@ -56,19 +56,19 @@
     load_run(load_run&&) = delete;
     load_run& operator=(load_run&&) = delete;
 
-    /** Runs to the end and returns the report. */
+    /** Runs to the end and returns the report as JSON. */
     nlohmann::json run();
 
 private:
     struct chat;
     struct call;
 
-    void arrive();
+    void send_due_requests();
     void send(chat& item);
-    void take_end(call& item, evhttp_request* answer);
-    void judge(call& item, int status, const std::string& outcome);
+    void handle_end(call& item, evhttp_request* answer);
+    void classify_response(call& item, int status, const std::string& outcome);
     void finish_chat_turn(call& item);
-    void sweep();
+    void remove_ended_calls();
     std::uint32_t draw_account();
     chat& draw_chat();
 
@@ -80,8 +80,8 @@
     std::vector<std::unique_ptr<call>> calls;
     std::size_t next_target = 0;
     std::uint64_t next_chat = 0;
-    worksshift::timer arrivals;
-    worksshift::timer sweeper;
+    worksshift::timer arrival_timer;
+    worksshift::timer cleanup_timer;
     worksshift::instant started{};
     worksshift::instant next_arrival{};
     bool arriving = true;
--- a/test/fakes/main_worksshift-load.cpp
+++ b/test/fakes/main_worksshift-load.cpp
@@ -1,6 +1,6 @@
 /** \file
- * The load tool. Prints a report as JSON, or with `--table 1` as a table. Exit status 1 if an
- * answer passed for whole and was not, or a request never ended.
+ * The load tool. Prints a report as JSON, or with `--table 1` as a table. Exit status 1 if a
+ * response looked complete but was wrong, or a request did not end.
  */
 #include <csignal>
 #include <iostream>
