--- a/test/fakes/main_fake_platform.cpp
+++ b/test/fakes/main_fake_platform.cpp
@@ -1,9 +1,9 @@
 /** \file
- * A small stand-in of the platform's object API (docs/platform-api.md) and VM list, in memory.
+ * A fake of the platform's object API (docs/platform-api.md) and VM list, in memory.
  *
  * Faults: `POST /control/faults` with `{"down":B,"slow_ms":N,"lose_answers":N,"lose_watches":N}`;
- * lost answers belong to writes that took effect. `POST /control/restore` goes back to the objects
- * of the last `POST /control/backup`. `GET /control/calls` counts the calls.
+ * the response to a write is lost after the write took effect. `POST /control/restore` restores the
+ * objects of the last `POST /control/backup`. `GET /control/calls` gives the number of calls.
  */
 #include <list>
 #include <map>
@@ -22,13 +22,13 @@
 class fake_platform {
 public:
     fake_platform(event_base* base, const worksshift::link_address& listen)
-        : http(base, listen, [this](evhttp_request* request) { this->take(request); }),
-          sweeper(base, [this] {
+        : http(base, listen, [this](evhttp_request* request) { this->handle_request(request); }),
+          poll_timer(base, [this] {
               this->expire_watches();
-              this->answer_late();
+              this->answer_delayed_calls();
           })
     {
-        this->sweeper.start_every(worksshift::milliseconds(10));
+        this->poll_timer.start_every(worksshift::milliseconds(10));
     }
 
 private:
@@ -41,17 +41,17 @@
         std::string name;
         std::uint64_t after = 0;
         worksshift::instant until{};
-        bool gone = false;
+        bool is_over = false;
     };
 
-    /** A call that is answered late, as by a slow platform. */
+    /** A call whose response is delayed, as by a slow platform. */
     struct delayed {
         evhttp_request* request = nullptr;
         worksshift::instant due{};
-        bool gone = false;
+        bool is_over = false;
     };
 
-    void take(evhttp_request* request)
+    void handle_request(evhttp_request* request)
     {
         const std::string path = fakes::path_of(request);
         if (path.starts_with("/control/")) {
@@ -66,25 +66,25 @@
     void delay(evhttp_request* request)
     {
         const auto due = std::chrono::steady_clock::now() + worksshift::milliseconds(this->slow_ms);
-        this->late.push_back(std::make_unique<delayed>(delayed{request, due, false}));
+        this->delayed_calls.push_back(std::make_unique<delayed>(delayed{request, due, false}));
         const auto closed = [](evhttp_connection*, void* context) {
-            static_cast<delayed*>(context)->gone = true;
+            static_cast<delayed*>(context)->is_over = true;
         };
         evhttp_connection_set_closecb(evhttp_request_get_connection(request), closed,
-                                      this->late.back().get());
+                                      this->delayed_calls.back().get());
     }
 
-    void answer_late()
+    void answer_delayed_calls()
     {
         const auto now = std::chrono::steady_clock::now();
-        for (const auto& item : this->late) {
-            if (item->gone || item->due > now) continue;
-            item->gone = true;
+        for (const auto& item : this->delayed_calls) {
+            if (item->is_over || item->due > now) continue;
+            item->is_over = true;
             evhttp_connection_set_closecb(evhttp_request_get_connection(item->request), nullptr,
                                           nullptr);
             this->answer(item->request, fakes::path_of(item->request));
         }
-        std::erase_if(this->late, [](const auto& item) { return item->gone; });
+        std::erase_if(this->delayed_calls, [](const auto& item) { return item->is_over; });
     }
 
     void answer(evhttp_request* request, const std::string& path)
@@ -100,13 +100,13 @@
         if (path == "/v1/vms") {
             fakes::reply_json(request, 200, this->vms.dump());
         } else if (path.starts_with(object_prefix)) {
-            this->take_object(request, path.substr(std::string_view(object_prefix).size()));
+            this->handle_object(request, path.substr(std::string_view(object_prefix).size()));
         } else {
             fakes::reply_json(request, 404, "{}");
         }
     }
 
-    void take_object(evhttp_request* request, const std::string& name)
+    void handle_object(evhttp_request* request, const std::string& name)
     {
         if (evhttp_request_get_command(request) == EVHTTP_REQ_PUT) {
             this->write(request, name);
@@ -121,7 +121,7 @@
             this->watches.push_back(std::make_unique<watch>(
                 watch{request, name, seen, std::chrono::steady_clock::now() + wait, false}));
             const auto closed = [](evhttp_connection*, void* context) {
-                static_cast<watch*>(context)->gone = true;
+                static_cast<watch*>(context)->is_over = true;
             };
             evhttp_connection_set_closecb(evhttp_request_get_connection(request), closed,
                                           this->watches.back().get());
@@ -165,7 +165,7 @@
     void notify(const std::string& name)
     {
         for (const auto& item : this->watches) {
-            if (item->name != name || item->gone) continue;
+            if (item->name != name || item->is_over) continue;
             if (this->lose_watches > 0) {
                 --this->lose_watches;
                 continue;
@@ -173,22 +173,22 @@
             evhttp_connection_set_closecb(evhttp_request_get_connection(item->request), nullptr,
                                           nullptr);
             send(item->request, this->objects[name]);
-            item->gone = true;
+            item->is_over = true;
         }
-        std::erase_if(this->watches, [](const auto& item) { return item->gone; });
+        std::erase_if(this->watches, [](const auto& item) { return item->is_over; });
     }
 
     void expire_watches()
     {
         const auto now = std::chrono::steady_clock::now();
         for (const auto& item : this->watches) {
-            if (item->gone || item->until > now) continue;
+            if (item->is_over || item->until > now) continue;
             evhttp_connection_set_closecb(evhttp_request_get_connection(item->request), nullptr,
                                           nullptr);
             evhttp_send_reply(item->request, 204, nullptr, nullptr);
-            item->gone = true;
+            item->is_over = true;
         }
-        std::erase_if(this->watches, [](const auto& item) { return item->gone; });
+        std::erase_if(this->watches, [](const auto& item) { return item->is_over; });
     }
 
     void control(evhttp_request* request, const std::string& path)
@@ -217,11 +217,11 @@
     }
 
     fakes::fake_http http;
-    worksshift::timer sweeper;
+    worksshift::timer poll_timer;
     std::map<std::string, object> objects;
     std::map<std::string, object> backup;
     std::list<std::unique_ptr<watch>> watches;
-    std::list<std::unique_ptr<delayed>> late;
+    std::list<std::unique_ptr<delayed>> delayed_calls;
     std::map<std::string, std::uint64_t> calls;
     json vms = json::array();
     std::uint64_t last_version = 0;
