--- a/test/fakes/main_fake_service.cpp
+++ b/test/fakes/main_fake_service.cpp
@@ -1,7 +1,7 @@
 /** \file
- * A small stand-in of a plain service. `POST …/tickets` creates a ticket and counts how often each
- * body was run; `GET` echoes the path; `GET /stats` gives the counts; `--delay-ms` delays answers;
- * `POST /fault?mode=close&count=N` makes the next N calls run and then close without an answer.
+ * A fake plain service. `POST …/tickets` creates a ticket and counts how often each body was run;
+ * `GET` echoes the path; `GET /stats` gives the counts; `--delay-ms` delays responses;
+ * `POST /fault?mode=close&count=N` makes the next N calls run and then close without a response.
  */
 #include <map>
 
@@ -16,7 +16,7 @@
 public:
     fake_service(event_base* base, const worksshift::link_address& listen, std::uint32_t delay_ms)
         : base(base), delay_ms(delay_ms),
-          http(base, listen, [this](evhttp_request* request) { this->take(request); })
+          http(base, listen, [this](evhttp_request* request) { this->handle_request(request); })
     {
     }
 
@@ -28,18 +28,18 @@
         std::string body;
     };
 
-    void take(evhttp_request* request)
+    void handle_request(evhttp_request* request)
     {
         const std::string path = fakes::path_of(request);
         if (path == "/stats") {
-            std::uint32_t most = 0;
+            std::uint32_t max_runs = 0;
             for (const auto& [body, count] : this->runs)
-                most = std::max(most, count);
+                max_runs = std::max(max_runs, count);
             const nlohmann::json stats{
-                {"bodies", this->runs.size()}, {"most_runs", most}, {"runs", this->runs}};
+                {"bodies", this->runs.size()}, {"most_runs", max_runs}, {"runs", this->runs}};
             fakes::reply_json(request, 200, stats.dump());
         } else if (path == "/fault") {
-            this->closes =
+            this->closes_left =
                 static_cast<std::uint32_t>(std::stoul(fakes::query_of(request, "count")));
             fakes::reply_json(request, 200, "{}");
         } else if (evhttp_request_get_command(request) == EVHTTP_REQ_POST) {
@@ -53,19 +53,19 @@
     {
         const std::string body = fakes::body_of(request);
         ++this->runs[body];
-        if (this->closes > 0) {
-            --this->closes;
+        if (this->closes_left > 0) {
+            --this->closes_left;
             evhttp_connection_free(evhttp_request_get_connection(request));
             return;
         }
         const nlohmann::json answer{{"ticket", ++this->tickets}, {"for", body}};
-        auto* later = new delayed{this, request, 201, answer.dump()};
+        auto* pending = new delayed{this, request, 201, answer.dump()};
         const auto answer_now = [](evutil_socket_t, short, void* context) {
             const std::unique_ptr<delayed> item(static_cast<delayed*>(context));
             fakes::reply_json(item->request, item->status, item->body);
         };
         const timeval wait = worksshift::to_timeval(worksshift::milliseconds(this->delay_ms));
-        event_base_once(this->base, -1, EV_TIMEOUT, answer_now, later, &wait);
+        event_base_once(this->base, -1, EV_TIMEOUT, answer_now, pending, &wait);
     }
 
     event_base* base;
@@ -73,7 +73,7 @@
     fakes::fake_http http;
     std::map<std::string, std::uint32_t> runs;
     std::uint32_t tickets = 0;
-    std::uint32_t closes = 0;
+    std::uint32_t closes_left = 0;
 };
 
 } // namespace
