--- a/apps/worksshift_experiment.cpp
+++ b/apps/worksshift_experiment.cpp
@@ -1,5 +1,5 @@
 /** \file
- * Plays patterns of load and faults against ways to decide, and writes what each earned.
+ * Simulates patterns of load and faults under placement policies and prints the results of each.
  */
 #include <cstdio>
 #include <exception>
@@ -19,11 +19,12 @@
 
 namespace options = boost::program_options;
 
-struct request {
+/** The command line. */
+struct command_line {
     std::vector<std::string> patterns;
     std::vector<std::string> policies;
     unsigned seeds = 1;
-    std::string folder; ///< for the page; empty: none
+    std::string folder; ///< for the HTML report; empty: no report
 };
 
 std::vector<std::string> split(const std::string& text)
@@ -44,19 +45,20 @@
                            });
 }
 
-/** Empty patterns: only help was asked for. */
-request read(int count, char** arguments)
+/** `patterns` is empty if only the help text was printed. */
+command_line read_command_line(int count, char** arguments)
 {
-    request made;
+    command_line made;
     std::string policies;
     options::options_description all("worksshift-experiment PATTERN... settings");
     auto add = all.add_options();
-    add("help", "prints this");
+    add("help", "prints this help");
     add("pattern", options::value(&made.patterns), "TOML files of patterns");
     add("policy", options::value(&policies)->default_value("product,admit-all,all-knowing"),
         ("comma-separated: " + joined(lab::decision_maker_names())).c_str());
-    add("seeds", options::value(&made.seeds)->default_value(1), "runs of each, 1 to 100");
-    add("out", options::value(&made.folder), "folder for a page with plots");
+    add("seeds", options::value(&made.seeds)->default_value(1),
+        "number of runs of each pattern and policy, 1 to 100");
+    add("out", options::value(&made.folder), "folder for an HTML report with plots");
     options::positional_options_description positions;
     positions.add("pattern", -1);
     options::variables_map values;
@@ -64,13 +66,13 @@
         options::command_line_parser(count, arguments).options(all).positional(positions).run(),
         values);
     options::notify(values);
-    constexpr unsigned most_seeds = 100;
+    constexpr unsigned max_seeds = 100;
     if (values.count("help") > 0 || made.patterns.empty()) {
         std::cout << all << '\n';
         made.patterns.clear();
     }
-    if (made.seeds < 1 || made.seeds > most_seeds) {
-        throw worksshift::user_error("settings", "", "seeds is not a number from 1 to 100");
+    if (made.seeds < 1 || made.seeds > max_seeds) {
+        throw worksshift::user_error("settings", "", "seeds must be a number from 1 to 100");
     }
     made.policies = split(policies);
     return made;
@@ -97,14 +99,14 @@
 int main(int count, char** arguments)
 {
     try {
-        const request asked = read(count, arguments);
+        const command_line asked = read_command_line(count, arguments);
         std::vector<lab::played> all;
         for (const std::string& file : asked.patterns) {
             const lab::pattern given = lab::read_pattern(file);
             for (const std::string& policy : asked.policies) {
-                const lab::decision_maker decides = lab::make_decision_maker(policy);
+                const lab::decision_maker chosen_policy = lab::make_decision_maker(policy);
                 for (unsigned seed = 1; seed <= asked.seeds; ++seed) {
-                    all.push_back({given.name, policy, lab::play(given, decides, seed)});
+                    all.push_back({given.name, policy, lab::play(given, chosen_policy, seed)});
                     print(all.back().result, given, policy, seed);
                 }
             }
