--- a/test/correctness/heavy_days_are_served.cpp
+++ b/test/correctness/heavy_days_are_served.cpp
@@ -1,7 +1,8 @@
 /** \file
- * The heaviest days, played by the laboratory with fixed seeds: what callers get stays above a
- * bound, and close to what a router that knows everything would give them. Each pattern names the
- * load that it answers and the grounds of its figures.
+ * Days of the highest load, simulated with fixed seeds. Guards against placement and admission that
+ * serve callers worse than a router that admits every request, or much worse than one that sees all
+ * loads without delay. Each pattern file states the load that it represents and the source of its
+ * figures.
  */
 #include <algorithm>
 
@@ -13,10 +14,10 @@
 
 using namespace lab;
 
-/** Share of what the router that knows everything earns. */
-constexpr double least_of_all_knowing = 0.85;
-/** Sends that meet an engine over twice the mean load and three. */
-constexpr double most_over_bound = 0.03;
+/** Lower bound on the earned share, relative to the policy `all-knowing`. */
+constexpr double min_share_of_all_knowing = 0.85;
+/** Upper bound on the share of sends to an engine whose load exceeds twice the mean plus three. */
+constexpr double max_over_bound = 0.03;
 
 class heavy_days_are_served : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(heavy_days_are_served);
@@ -40,7 +41,7 @@
         return play(read(name), make_decision_maker(policy), seed);
     }
 
-    /** Mean over the seeds. */
+    /** Mean earned share over seeds 1 to \p seeds. */
     static double earned(const std::string& name, std::string_view policy, std::uint64_t seeds)
     {
         double sum = 0;
@@ -49,20 +50,21 @@
         return sum / static_cast<double>(seeds);
     }
 
-    /** The product earns more than a router that admits all, by \p more at least. */
+    /** The product earns at least \p more than a router that admits every request. */
     static void better_than_admitting_all(const std::string& name, double more,
                                           std::uint64_t seeds = 1)
     {
         const double product = earned(name, "product", seeds);
-        const double all = earned(name, "admit-all", seeds);
-        const double most = run(name, "all-knowing").earned_share();
-        const std::string seen = name + ": " + std::to_string(product) + " against " +
-                                 std::to_string(all) + " and " + std::to_string(most);
-        CPPUNIT_ASSERT_MESSAGE(seen, product >= all + more);
-        CPPUNIT_ASSERT_MESSAGE(seen, product >= least_of_all_knowing * most);
+        const double admit_all_share = earned(name, "admit-all", seeds);
+        const double all_knowing_share = run(name, "all-knowing").earned_share();
+        const std::string message = name + ": " + std::to_string(product) + " against " +
+                                    std::to_string(admit_all_share) + " and " +
+                                    std::to_string(all_knowing_share);
+        CPPUNIT_ASSERT_MESSAGE(message, product >= admit_all_share + more);
+        CPPUNIT_ASSERT_MESSAGE(message, product >= min_share_of_all_knowing * all_knowing_share);
     }
 
-    /** No kind is served less often than a less urgent one of its service, by over 5 in 100. */
+    /** The share of a kind that is served is at most 0.05 below that of any less urgent kind. */
     static void urgent_kinds_first(const std::string& name)
     {
         const pattern given = read(name);
@@ -82,50 +84,56 @@
     }
 
 public:
+    /** Guards against long prompts at five times their usual rate keeping urgent kinds from
+     * service. */
     static void long_prompts()
     {
         better_than_admitting_all("long_prompts_small", 0.08);
         urgent_kinds_first("long_prompts_small");
     }
 
+    /** Guards against many requests for one prompt overloading the engine that has it cached. */
     static void hot_prompt()
     {
         better_than_admitting_all("hot_prompt_small", 0.01);
-        CPPUNIT_ASSERT(run("hot_prompt_small", "product").over_bound <= most_over_bound);
+        CPPUNIT_ASSERT(run("hot_prompt_small", "product").over_bound <= max_over_bound);
     }
 
+    /** Guards against requests that come late because half of the engines are slow. */
     static void slow_engines() { better_than_admitting_all("slow_engines_small", 0.04); }
 
+    /** As long_prompts, with the delayed load sums of a large fleet. */
     static void long_prompts_large_fleet()
     {
         better_than_admitting_all("long_prompts_large", 0.02);
         urgent_kinds_first("long_prompts_large");
     }
 
-    /** Without the spread of hot prompts the load bound is broken in this fleet. */
+    /** Without the spreading of hot prompts the load bound is exceeded in this fleet. */
     static void hot_prompt_large_fleet()
     {
-        CPPUNIT_ASSERT(run("hot_prompt_large", "no-hot-prompts").over_bound > most_over_bound);
+        CPPUNIT_ASSERT(run("hot_prompt_large", "no-hot-prompts").over_bound > max_over_bound);
         for (const std::uint64_t seed : {1, 2, 3})
-            CPPUNIT_ASSERT(run("hot_prompt_large", "product", seed).over_bound <= most_over_bound);
+            CPPUNIT_ASSERT(run("hot_prompt_large", "product", seed).over_bound <= max_over_bound);
         better_than_admitting_all("hot_prompt_large", 0.01, 3);
     }
 
+    /** Guards against losing most of the value when 60 % of the engines stop responding. */
     static void engines_dark()
     {
         const double product = run("engines_dark_small", "product").earned_share();
-        const double most = run("engines_dark_small", "all-knowing").earned_share();
-        CPPUNIT_ASSERT(product >= least_of_all_knowing * most);
+        const double all_knowing_share = run("engines_dark_small", "all-knowing").earned_share();
+        CPPUNIT_ASSERT(product >= min_share_of_all_knowing * all_knowing_share);
     }
 
-    /** Nothing is refused while there are free slots. */
+    /** Guards against refusals and late responses while slots are free. */
     static void quiet_days()
     {
         for (const char* name : {"quiet_small", "quiet_large"}) {
             const outcome result = run(name, "product");
             CPPUNIT_ASSERT_EQUAL(0.0, result.refused_share());
             CPPUNIT_ASSERT(result.on_time_share() >= 0.995);
-            CPPUNIT_ASSERT(result.over_bound <= most_over_bound);
+            CPPUNIT_ASSERT(result.over_bound <= max_over_bound);
         }
     }
 };
