--- a/test/correctness/plain_services_at_size.cpp
+++ b/test/correctness/plain_services_at_size.cpp
@@ -1,11 +1,12 @@
 /** \file
- * A plain service of few servers before fleets of 8 to 480 VMs. Each VM asks one of its servers
- * once in seconds, hears of the others' requests a second late, and together they must neither move
- * as a herd nor stay with a server that is slow or full.
+ * A plain service with few servers behind fleets of 8 to 480 VMs. Each VM sends a server a request
+ * only every few seconds and learns of other VMs' requests about a second late. Guards against VMs
+ * that all move to the same server at once, and against VMs that keep using a slow or full server.
  *
  * The figures are those of the users' ticket service: six servers of six slots, a queue of 24
- * before a server sheds, 30 ms of work, answers of use within 150 ms, six tenths of the slots' time
- * in use; loads are told as late as `measure fleet` shows for each size.
+ * requests before a server sheds, 30 ms of work, responses useful within 150 ms, and 60 % of the
+ * slots' time in use. The delay of load updates is the one that `measure fleet` shows for each
+ * size.
  */
 #include <array>
 
@@ -39,7 +40,7 @@
     CPPUNIT_TEST(more_is_asked_than_can_be_served);
     CPPUNIT_TEST_SUITE_END();
 
-    static std::string seen(const plain_pattern& given, const plain_outcome& result)
+    static std::string describe(const plain_pattern& given, const plain_outcome& result)
     {
         return std::to_string(given.vms) + " VMs: shed " +
                std::to_string(result.share(result.shed)) + " a request, late " +
@@ -48,43 +49,47 @@
                std::to_string(result.p99_ms) + " ms";
     }
 
-    /** Nothing is shed, and the slowest of a hundred answers comes little later than it would out
-     * of one queue for all slots. */
-    static void little_worse_than_one_queue(const plain_pattern& given, double times)
+    /** At most 0.2 % of the requests are shed, and the 99th percentile of the response time is at
+     * most \p times that of one queue in front of all slots. */
+    static void assert_close_to_one_queue(const plain_pattern& given, double times)
     {
         const plain_outcome result = play(given, plain_chooser::product, 1);
-        const plain_outcome least = play(given, plain_chooser::single_queue, 1);
-        const std::string text = seen(given, result) + "; " + seen(given, least);
+        const plain_outcome optimum = play(given, plain_chooser::single_queue, 1);
+        const std::string text = describe(given, result) + "; " + describe(given, optimum);
         CPPUNIT_ASSERT_MESSAGE(text, result.share(result.shed) <= 0.002);
-        CPPUNIT_ASSERT_MESSAGE(text, result.p99_ms <= times * least.p99_ms);
+        CPPUNIT_ASSERT_MESSAGE(text, result.p99_ms <= times * optimum.p99_ms);
         CPPUNIT_ASSERT_MESSAGE(text, result.share(result.late) <= 0.012);
     }
 
 public:
+    /** Guards against shedding and queueing at one server while others have free slots. */
     static void usual_load()
     {
         for (const std::size_t vms : sizes)
-            little_worse_than_one_queue(fleet_of(vms), 1.25);
+            assert_close_to_one_queue(fleet_of(vms), 1.25);
     }
 
+    /** As usual_load, with 80 % of the slots' time in use. */
     static void high_load()
     {
         for (const std::size_t vms : sizes) {
             plain_pattern given = fleet_of(vms);
             given.used = 0.8;
-            little_worse_than_one_queue(given, 1.6);
+            assert_close_to_one_queue(given, 1.6);
         }
     }
 
+    /** Guards against one data centre's VMs overloading the servers that are close to them. */
     static void one_data_centre_asks_more()
     {
         for (const std::size_t vms : sizes) {
             plain_pattern given = fleet_of(vms);
             given.uneven = 3;
-            little_worse_than_one_queue(given, 1.35);
+            assert_close_to_one_queue(given, 1.35);
         }
     }
 
+    /** Guards against VMs that go on sending to a server that became four times as slow. */
     static void one_server_turns_slow()
     {
         for (const std::size_t vms : sizes) {
@@ -92,26 +97,28 @@
             given.slow_times = 4;
             const plain_outcome result = play(given, plain_chooser::product, 1);
             const plain_outcome uniform = play(given, plain_chooser::uniform, 1);
-            const std::string text = seen(given, result) + "; " + seen(given, uniform);
+            const std::string text = describe(given, result) + "; " + describe(given, uniform);
             CPPUNIT_ASSERT_MESSAGE(text, result.share(result.late) <= 0.04);
             CPPUNIT_ASSERT_MESSAGE(text, result.late * 2 <= uniform.late);
         }
     }
 
+    /** Guards against VMs that go on sending to a server that sheds every request. */
     static void one_server_sheds_all()
     {
         for (const std::size_t vms : sizes) {
             plain_pattern given = fleet_of(vms);
             given.sheds_all = true;
             const plain_outcome result = play(given, plain_chooser::product, 1);
-            const std::string text = seen(given, result);
+            const std::string text = describe(given, result);
             CPPUNIT_ASSERT_MESSAGE(text, result.unserved == 0);
             CPPUNIT_ASSERT_MESSAGE(text, result.share(result.shed) <= 0.06);
             CPPUNIT_ASSERT_MESSAGE(text, result.share(result.late) <= 0.012);
         }
     }
 
-    /** What is beyond the servers is shed by them; the herd made it worse. */
+    /** Servers shed the load beyond their capacity. VMs that all move to the same server at once
+     * shed more than random choice does. */
     static void more_is_asked_than_can_be_served()
     {
         for (const std::size_t vms : sizes) {
@@ -119,7 +126,7 @@
             given.used = 1.2;
             const plain_outcome result = play(given, plain_chooser::product, 1);
             const plain_outcome uniform = play(given, plain_chooser::uniform, 1);
-            const std::string text = seen(given, result) + "; " + seen(given, uniform);
+            const std::string text = describe(given, result) + "; " + describe(given, uniform);
             CPPUNIT_ASSERT_MESSAGE(text, result.share(result.unserved) <=
                                              uniform.share(uniform.unserved) + 0.01);
         }
