--- a/apps/worksshift_experiment.cpp
+++ b/apps/worksshift_experiment.cpp
@@ -20,7 +20,7 @@
 namespace options = boost::program_options;
 
 /** The command line. */
-struct command_line {
+struct request {
     std::vector<std::string> patterns;
     std::vector<std::string> policies;
     unsigned seeds = 1;
@@ -46,9 +46,9 @@
 }
 
 /** `patterns` is empty if only the help text was printed. */
-command_line read_command_line(int count, char** arguments)
+request read_command_line(int count, char** arguments)
 {
-    command_line made;
+    request made;
     std::string policies;
     options::options_description all("worksshift-experiment PATTERN... settings");
     auto add = all.add_options();
@@ -99,7 +99,7 @@
 int main(int count, char** arguments)
 {
     try {
-        const command_line asked = read_command_line(count, arguments);
+        const request asked = read_command_line(count, arguments);
         std::vector<lab::played> all;
         for (const std::string& file : asked.patterns) {
             const lab::pattern given = lab::read_pattern(file);
--- a/lab/emulated_engine.cpp
+++ b/lab/emulated_engine.cpp
@@ -28,7 +28,7 @@
 void emulated_engine::cancel(std::uint64_t id)
 {
     std::erase_if(this->waiting, [id](const engine_request& item) { return item.id == id; });
-    this->running.remove_if([id](const active_request& item) { return item.request.id == id; });
+    this->running.remove_if([id](const run& item) { return item.request.id == id; });
 }
 
 void emulated_engine::restart()
@@ -44,7 +44,7 @@
     while (!this->waiting.empty() && this->running.size() < this->figures.slots) {
         const engine_request request = this->waiting.front();
         this->waiting.erase(this->waiting.begin());
-        active_request item{request, request.own_tokens, 0};
+        run item{request, request.own_tokens, 0};
         const bool shared = request.shared != 0 && !this->holds(request.shared);
         if (shared && request.copied) this->totals.shared_tokens_copied += request.shared_tokens;
         if (shared && !request.copied) {
@@ -74,7 +74,7 @@
 double emulated_engine::prefill_chunk()
 {
     std::uint32_t tokens_left = this->figures.chunk_tokens;
-    for (active_request& item : this->running) {
+    for (run& item : this->running) {
         const std::uint32_t read = std::min(tokens_left, item.unread_tokens);
         item.unread_tokens -= read;
         tokens_left -= read;
@@ -95,14 +95,14 @@
         this->figures.step_ms_per_request * static_cast<double>(this->running.size());
     this->busy_until = now + in_ms(step_ms_total * this->slowness);
     std::vector<std::uint64_t> ended;
-    for (active_request& item : this->running) {
+    for (run& item : this->running) {
         if (item.unread_tokens > 0) continue;
         const instant first =
             this->busy_until + in_ms(this->figures.first_event_ms * this->slowness);
         if (item.produced_tokens++ == 0) this->on_first_event(item.request.id, first);
         if (item.produced_tokens >= item.request.answer_tokens) ended.push_back(item.request.id);
     }
-    this->running.remove_if([](const active_request& item) {
+    this->running.remove_if([](const run& item) {
         return item.unread_tokens == 0 && item.produced_tokens >= item.request.answer_tokens;
     });
     for (const std::uint64_t id : ended)
--- a/lab/emulated_engine.h
+++ b/lab/emulated_engine.h
@@ -76,7 +76,7 @@
     std::function<void(std::uint64_t id, worksshift::instant at)> on_end;
 
 private:
-    struct active_request {
+    struct run {
         engine_request request;
         std::uint32_t unread_tokens = 0;
         std::uint32_t produced_tokens = 0;
@@ -91,7 +91,7 @@
     void add_to_cache(const engine_request& request);
 
     engine_figures figures;
-    std::list<active_request> running;
+    std::list<run> running;
     std::vector<engine_request> waiting; ///< by priority, then by arrival
     std::unordered_map<std::uint64_t, cache_entry> cache;
     std::uint64_t cache_size = 0;
--- a/lab/experiment.cpp
+++ b/lab/experiment.cpp
@@ -80,28 +80,28 @@
 private:
     struct scheduled_event {
         instant at;
-        std::uint64_t sequence; ///< keeps events of the same time in the order of scheduling
-        std::function<void()> action;
+        std::uint64_t order; ///< keeps events of the same time in the order of scheduling
+        std::function<void()> what;
         bool operator>(const scheduled_event& other) const
         {
-            return std::tie(this->at, this->sequence) > std::tie(other.at, other.sequence);
+            return std::tie(this->at, this->order) > std::tie(other.at, other.order);
         }
     };
 
-    void schedule(instant when, std::function<void()> action);
+    void schedule(instant when, std::function<void()> what);
     void make_engines();
     void make_vms(const placement_policy& policy);
     void schedule_faults();
     void apply_fault(const engine_fault& fault, std::size_t engine, bool begins);
     void generate_arrivals();
-    [[nodiscard]] double rate_multiple(const request_kind& kind) const;
+    [[nodiscard]] double times(const request_kind& kind) const;
     [[nodiscard]] double hot_share(const request_kind& kind) const;
     void start_request(std::size_t kind);
     void dispatch(const std::shared_ptr<caller_request>& item);
     void send(const std::shared_ptr<caller_request>& item, const placed& where);
     void schedule_retry(const std::shared_ptr<caller_request>& item, duration after);
     void schedule_departure(const std::shared_ptr<caller_request>& item);
-    void handle_caller_left(caller_request& item);
+    void leave(caller_request& item);
     void handle_first_event(caller_request& item);
     void handle_end(caller_request& item);
     void record_outcome(caller_request& item, bool served);
@@ -116,15 +116,14 @@
     std::mt19937_64 random;
     instant now{seconds(1000)};
     instant start{this->now};
-    std::uint64_t last_sequence = 0;
+    std::uint64_t orders = 0;
     std::priority_queue<scheduled_event, std::vector<scheduled_event>, std::greater<>> events;
     std::vector<std::unique_ptr<emulated_engine>> engines;
     std::vector<server_id> engine_ids;
     std::vector<std::unique_ptr<vm_model>> vms;
     std::map<std::uint64_t, std::shared_ptr<caller_request>> requests;
     std::uint64_t next_id = 1;
-    std::vector<std::vector<std::uint32_t>>
-        load_history; ///< loads of the engines, one entry for each router tick
+    std::vector<std::vector<std::uint32_t>> load_history; ///< by router tick, then by engine
     std::size_t sends = 0;
     std::size_t sends_over_bound = 0;
     std::vector<double> asked_by_second;
@@ -143,9 +142,9 @@
     this->result.on_time_by_second.resize(whole);
 }
 
-void simulation::schedule(instant when, std::function<void()> action)
+void simulation::schedule(instant when, std::function<void()> what)
 {
-    this->events.push({when, ++this->last_sequence, std::move(action)});
+    this->events.push({when, ++this->orders, std::move(what)});
 }
 
 void simulation::make_engines()
@@ -226,7 +225,7 @@
     }
 }
 
-double simulation::rate_multiple(const request_kind& kind) const
+double simulation::times(const request_kind& kind) const
 {
     const double second = std::chrono::duration<double>(this->now - this->start).count();
     double value = 1;
@@ -253,7 +252,7 @@
     const double span = std::chrono::duration<double>(simulation_step).count();
     for (std::size_t kind = 0; kind < this->given.kinds.size(); ++kind) {
         const double mean =
-            this->given.kinds[kind].per_s * this->rate_multiple(this->given.kinds[kind]) * span;
+            this->given.kinds[kind].per_s * this->times(this->given.kinds[kind]) * span;
         std::poisson_distribution<int> draw(mean);
         for (int left = mean > 0 ? draw(this->random) : 0; left > 0; --left)
             this->start_request(kind);
@@ -366,11 +365,11 @@
     this->schedule(this->now + kind.patience, [this, id] {
         const auto found = this->requests.find(id);
         if (found == this->requests.end() || found->second->first_event != instant{}) return;
-        this->handle_caller_left(*found->second);
+        this->leave(*found->second);
     });
 }
 
-void simulation::handle_caller_left(caller_request& item)
+void simulation::leave(caller_request& item)
 {
     this->engines[item.engine]->cancel(item.id);
     server_entry& row = this->row(item);
@@ -473,9 +472,9 @@
     instant next_digests = this->now;
     for (; this->now < end + drain_time; this->now += simulation_step) {
         while (!this->events.empty() && this->events.top().at <= this->now) {
-            const std::function<void()> action = this->events.top().action;
+            const std::function<void()> what = this->events.top().what;
             this->events.pop();
-            action();
+            what();
         }
         if (this->now >= next_tick) {
             this->run_router_tick();
@@ -548,7 +547,7 @@
 }
 
 /** The change that each policy name makes to the product's policy. */
-const std::map<std::string, void (*)(placement_policy&), std::less<>>& policy_changes()
+const std::map<std::string, void (*)(placement_policy&), std::less<>>& changes()
 {
     static const std::map<std::string, void (*)(placement_policy&), std::less<>> all{
         {"product", [](placement_policy&) {}},
@@ -569,8 +568,8 @@
 
 decision_maker make_decision_maker(std::string_view name)
 {
-    const auto found = policy_changes().find(name);
-    if (found == policy_changes().end()) {
+    const auto found = changes().find(name);
+    if (found == changes().end()) {
         throw user_error("experiment", std::string(name), "unknown policy");
     }
     decision_maker made{std::string(name), {}, name == "all-knowing"};
@@ -581,7 +580,7 @@
 std::vector<std::string> decision_maker_names()
 {
     std::vector<std::string> names;
-    for (const auto& [name, change] : policy_changes())
+    for (const auto& [name, change] : changes())
         names.push_back(name);
     return names;
 }
--- a/lab/plain_service.cpp
+++ b/lab/plain_service.cpp
@@ -84,14 +84,14 @@
         }
     };
 
-    void schedule_after(double span_s, action act);
+    void after(double span_s, action act);
     void arrive();
     void send(std::size_t id);
     std::size_t choose(request& item);
     void handle_at_server(std::size_t id);
     void begin(std::size_t server, std::size_t id);
-    void finish_work(std::size_t server, std::size_t id);
-    void handle_response(std::size_t id, bool served);
+    void leave(std::size_t server, std::size_t id);
+    void answer(std::size_t id, bool served);
     void send_outcomes(std::size_t vm);
     void sum_loads();
     double draw_work_s(std::size_t server);
@@ -133,18 +133,18 @@
     }
 }
 
-void simulation::schedule_after(double span_s, action act)
+void simulation::after(double span_s, action act)
 {
     this->events.push({this->now + span_s, this->order++, std::move(act)});
 }
 
 plain_outcome simulation::run()
 {
-    this->schedule_after(0, [this] { this->arrive(); });
-    this->schedule_after(0, [this] { this->sum_loads(); });
+    this->after(0, [this] { this->arrive(); });
+    this->after(0, [this] { this->sum_loads(); });
     for (std::size_t vm = 0; vm < this->routers.size(); ++vm) {
         std::uniform_real_distribution<double> initial_delay(0, this->given.told_after_s);
-        this->schedule_after(initial_delay(this->random), [this, vm] { this->send_outcomes(vm); });
+        this->after(initial_delay(this->random), [this, vm] { this->send_outcomes(vm); });
     }
     while (!this->events.empty() && this->events.top().at <= this->given.seconds) {
         const scheduled_event next = this->events.top();
@@ -171,8 +171,8 @@
     item.arrived = this->now;
     this->requests.push_back(item);
     this->send(this->requests.size() - 1);
-    this->schedule_after(std::exponential_distribution<double>(per_s)(this->random),
-                         [this] { this->arrive(); });
+    this->after(std::exponential_distribution<double>(per_s)(this->random),
+                [this] { this->arrive(); });
 }
 
 std::size_t simulation::choose(request& item)
@@ -225,7 +225,7 @@
     item.sent = this->now;
     ++item.sends;
     item.tried.push_back(name_of(item.server));
-    this->schedule_after(this->network_delay_s(item), [this, id] { this->handle_at_server(id); });
+    this->after(this->network_delay_s(item), [this, id] { this->handle_at_server(id); });
 }
 
 void simulation::handle_at_server(std::size_t id)
@@ -249,23 +249,22 @@
         item.waiting.push_back(id);
     } else {
         ++this->result.shed;
-        this->schedule_after(this->network_delay_s(this->requests[id]),
-                             [this, id] { this->handle_response(id, false); });
+        this->after(this->network_delay_s(this->requests[id]),
+                    [this, id] { this->answer(id, false); });
     }
 }
 
 void simulation::begin(std::size_t at, std::size_t id)
 {
     ++this->servers[at].running;
-    this->schedule_after(this->draw_work_s(at), [this, at, id] { this->finish_work(at, id); });
+    this->after(this->draw_work_s(at), [this, at, id] { this->leave(at, id); });
 }
 
-void simulation::finish_work(std::size_t at, std::size_t id)
+void simulation::leave(std::size_t at, std::size_t id)
 {
     server& item = this->servers[at];
     --item.running;
-    this->schedule_after(this->network_delay_s(this->requests[id]),
-                         [this, id] { this->handle_response(id, true); });
+    this->after(this->network_delay_s(this->requests[id]), [this, id] { this->answer(id, true); });
     std::deque<std::size_t>& waiting =
         this->chooser == plain_chooser::single_queue ? this->queue : item.waiting;
     if (waiting.empty()) return;
@@ -274,7 +273,7 @@
     this->begin(at, next);
 }
 
-void simulation::handle_response(std::size_t id, bool served)
+void simulation::answer(std::size_t id, bool served)
 {
     request& item = this->requests[id];
     if (this->chooser == plain_chooser::product) {
@@ -296,7 +295,7 @@
 void simulation::send_outcomes(std::size_t vm)
 {
     const std::vector<told_outcomes> outcomes = this->routers[vm]->table.take_outcome_news();
-    this->schedule_after(this->given.told_after_s, [this, vm, outcomes] {
+    this->after(this->given.told_after_s, [this, vm, outcomes] {
         for (std::size_t other = 0; other < this->routers.size(); ++other) {
             const bool same_data_centre = this->routers[other]->centre == this->routers[vm]->centre;
             if (other == vm || !same_data_centre) continue;
@@ -304,7 +303,7 @@
                 this->routers[other]->table.take_outcomes(item, to_instant(this->now));
         }
     });
-    this->schedule_after(this->given.told_after_s, [this, vm] { this->send_outcomes(vm); });
+    this->after(this->given.told_after_s, [this, vm] { this->send_outcomes(vm); });
 }
 
 /** Sends every VM the sums of all VMs' requests in flight, with the same delay. */
@@ -315,14 +314,14 @@
         for (std::size_t i = 0; i < sums.size(); ++i)
             sums[i] += item->table.find(name_of(i))->in_flight;
     }
-    this->schedule_after(this->given.told_after_s, [this, sums] {
+    this->after(this->given.told_after_s, [this, sums] {
         for (const auto& item : this->routers) {
             for (std::size_t i = 0; i < sums.size(); ++i)
                 item->table.find(name_of(i))->peers_in_flight = sums[i];
         }
     });
     constexpr double interval_s = 0.1;
-    this->schedule_after(interval_s, [this] { this->sum_loads(); });
+    this->after(interval_s, [this] { this->sum_loads(); });
 }
 
 } // namespace
--- a/lab/plain_service.h
+++ b/lab/plain_service.h
@@ -22,10 +22,9 @@
     std::size_t data_centres = 4; ///< servers and VMs are spread over them round robin
     std::size_t servers = 4;
     std::uint32_t slots = 6;
-    std::size_t queue =
-        24; ///< maximum number of requests that wait at a server; it sheds further ones
-    double work_ms = 30; ///< mean service time of a request
-    double used = 0.6;   ///< offered load as a share of the capacity of all slots
+    std::size_t queue = 24; ///< requests that may wait at a server; it sheds further ones
+    double work_ms = 30;    ///< mean service time of a request
+    double used = 0.6;      ///< offered load as a share of the capacity of all slots
     /** Factor on the request rate of the VMs of the first data centre. */
     double uneven = 1;
     /** Factor on the service time of the first server after a third of the run. */
--- a/test/fakes/main_fake_platform.cpp
+++ b/test/fakes/main_fake_platform.cpp
@@ -66,25 +66,25 @@
     void delay(evhttp_request* request)
     {
         const auto due = std::chrono::steady_clock::now() + worksshift::milliseconds(this->slow_ms);
-        this->delayed_calls.push_back(std::make_unique<delayed>(delayed{request, due, false}));
+        this->late.push_back(std::make_unique<delayed>(delayed{request, due, false}));
         const auto closed = [](evhttp_connection*, void* context) {
             static_cast<delayed*>(context)->is_over = true;
         };
         evhttp_connection_set_closecb(evhttp_request_get_connection(request), closed,
-                                      this->delayed_calls.back().get());
+                                      this->late.back().get());
     }
 
     void answer_delayed_calls()
     {
         const auto now = std::chrono::steady_clock::now();
-        for (const auto& item : this->delayed_calls) {
+        for (const auto& item : this->late) {
             if (item->is_over || item->due > now) continue;
             item->is_over = true;
             evhttp_connection_set_closecb(evhttp_request_get_connection(item->request), nullptr,
                                           nullptr);
             this->answer(item->request, fakes::path_of(item->request));
         }
-        std::erase_if(this->delayed_calls, [](const auto& item) { return item->is_over; });
+        std::erase_if(this->late, [](const auto& item) { return item->is_over; });
     }
 
     void answer(evhttp_request* request, const std::string& path)
@@ -221,7 +221,7 @@
     std::map<std::string, object> objects;
     std::map<std::string, object> backup;
     std::list<std::unique_ptr<watch>> watches;
-    std::list<std::unique_ptr<delayed>> delayed_calls;
+    std::list<std::unique_ptr<delayed>> late;
     std::map<std::string, std::uint64_t> calls;
     json vms = json::array();
     std::uint64_t last_version = 0;
--- a/test/soak/loopback_proxy.cpp
+++ b/test/soak/loopback_proxy.cpp
@@ -17,7 +17,7 @@
     proxied_connection* owner = nullptr;
     bool is_target = false;
     event_ptr<bufferevent> socket;
-    std::deque<delayed_bytes> pending;
+    std::deque<delayed_bytes> late;
 };
 
 struct loopback_proxy::proxied_connection {
@@ -82,10 +82,10 @@
                          (item.kind == wire_fault::to_target && !from.is_target) ||
                          (item.kind == wire_fault::from_target && from.is_target);
     if (item.drops_bytes || item.is_removable) return;
-    if (is_held || item.kind == wire_fault::delayed || !from.pending.empty()) {
+    if (is_held || item.kind == wire_fault::delayed || !from.late.empty()) {
         const instant due =
             is_held ? instant::max() : std::chrono::steady_clock::now() + this->delay;
-        from.pending.push_back({due, std::move(bytes)});
+        from.late.push_back({due, std::move(bytes)});
         return;
     }
     const connection_side& other = from.is_target ? item.caller : item.target;
@@ -96,7 +96,7 @@
 void loopback_proxy::end(proxied_connection& item)
 {
     item.ended = true;
-    const bool nothing_delayed = item.caller.pending.empty() && item.target.pending.empty();
+    const bool nothing_delayed = item.caller.late.empty() && item.target.late.empty();
     if (item.kind == wire_fault::none && !item.drops_bytes && nothing_delayed) {
         item.is_removable = true;
     }
@@ -111,7 +111,7 @@
         item->kind = given;
         if (given != wire_fault::none && given != wire_fault::delayed) continue;
         for (connection_side* side : {&item->caller, &item->target}) {
-            for (auto& bytes : side->pending)
+            for (auto& bytes : side->late)
                 bytes.due = std::min(bytes.due, now);
         }
     }
@@ -137,13 +137,13 @@
     for (const auto& item : this->connections) {
         for (connection_side* side : {&item->caller, &item->target}) {
             const connection_side& other = side->is_target ? item->caller : item->target;
-            while (!side->pending.empty() && side->pending.front().due <= now) {
-                const std::string& bytes = side->pending.front().bytes;
+            while (!side->late.empty() && side->late.front().due <= now) {
+                const std::string& bytes = side->late.front().bytes;
                 bufferevent_write(other.socket.get(), bytes.data(), bytes.size());
-                side->pending.pop_front();
+                side->late.pop_front();
             }
         }
-        const bool nothing_delayed = item->caller.pending.empty() && item->target.pending.empty();
+        const bool nothing_delayed = item->caller.late.empty() && item->target.late.empty();
         const bool passes_end_on =
             item->kind == wire_fault::none || item->kind == wire_fault::delayed;
         if (item->ended && !item->drops_bytes && passes_end_on && nothing_delayed)
--- a/test/soak/promise_ledger.cpp
+++ b/test/soak/promise_ledger.cpp
@@ -15,7 +15,7 @@
 namespace {
 
 /** Statuses that guarantee that the request was not run. */
-constexpr std::array not_run_statuses{408, 421, 429, 503};
+constexpr std::array not_run{408, 421, 429, 503};
 /** A configuration that was in force must not be replaced by an older one. Requests that were in
  * flight when it came into force may still be handled by the one before. */
 constexpr duration rollback_slack = milliseconds(250);
@@ -26,7 +26,7 @@
 
 bool guarantees_not_run(int status)
 {
-    return std::ranges::find(not_run_statuses, status) != not_run_statuses.end();
+    return std::ranges::find(not_run, status) != not_run.end();
 }
 
 } // namespace
--- a/test/soak/soak_run.cpp
+++ b/test/soak/soak_run.cpp
@@ -302,7 +302,7 @@
         if (this->draw(3) == 0) {
             this->servers_fail_until = this->now + this->draw_span(300, 1500);
         } else if (this->draw(2) == 0) {
-            this->retire_server();
+            this->leave();
         } else {
             this->add_server(this->draw(2) == 0 ? "desk" : "llm");
         }
@@ -384,7 +384,7 @@
 }
 
 /** A server is set to draining or removed; min_servers_left of its service stay. */
-void soak_run::retire_server()
+void soak_run::leave()
 {
     const std::string id = this->active_servers[this->draw(this->active_servers.size())];
     const std::string service = id.substr(0, id.find_first_of("0123456789"));
--- a/test/soak/soak_run.h
+++ b/test/soak/soak_run.h
@@ -60,7 +60,7 @@
     void inject_router_fault(std::size_t router);
     void inject_store_fault(std::size_t router);
     void inject_server_link_fault();
-    void retire_server();
+    void leave();
     void change_config();
     void check_recovery();
 
--- a/test/soak/soak_server.cpp
+++ b/test/soak/soak_server.cpp
@@ -15,7 +15,7 @@
     std::string request; ///< that is being answered; empty: none
     answer_plan plan;
     std::size_t next = 0; ///< index of the next part of the plan
-    instant received_at{};
+    instant since{};
     bool over = false;
 };
 
@@ -62,7 +62,7 @@
     item.bytes.erase(0, size);
     item.plan = this->answer(item.request);
     item.next = 0;
-    item.received_at = std::chrono::steady_clock::now();
+    item.since = std::chrono::steady_clock::now();
 }
 
 void soak_server::finish(connection& item)
@@ -84,7 +84,7 @@
     for (const auto& item : this->open) {
         if (item->over || item->request.empty()) continue;
         const std::vector<answer_piece>& pieces = item->plan.pieces;
-        while (item->next < pieces.size() && now - item->received_at >= pieces[item->next].after) {
+        while (item->next < pieces.size() && now - item->since >= pieces[item->next].after) {
             const std::string& bytes = pieces[item->next++].bytes;
             bufferevent_write(item->socket.get(), bytes.data(), bytes.size());
         }
