--- a/test/soak/soak_server.cpp
+++ b/test/soak/soak_server.cpp
@@ -12,9 +12,9 @@
     soak_server* owner = nullptr;
     event_ptr<bufferevent> socket;
     std::string bytes;
-    std::string request; ///< being answered; empty: none
+    std::string request; ///< that is being answered; empty: none
     answer_plan plan;
-    std::size_t next = 0; ///< piece of the plan
+    std::size_t next = 0; ///< index of the next part of the plan
     instant since{};
     bool over = false;
 };
