--- a/src/tables.h
+++ b/src/tables.h
@@ -1,9 +1,9 @@
 /** \file
- * The tables of one node's decisions, the events that come in and the actions that go out.
+ * The state of one node, the events it consumes and the actions it produces.
  *
- * Entities are rows; systems (one file each, listed in node.cpp) run over them each tick. A system
- * takes its events out of the inbox, changes rows and appends actions to the outbox. Nothing here
- * opens a socket or reads a clock: the daemon and the tests drive the same code.
+ * Entities are rows of tables; systems (one file each, listed in node.cpp) process them each tick.
+ * A system consumes its events from the inbox, updates rows and appends actions to the outbox.
+ * Nothing here opens a socket or reads a clock, so the daemon and the tests run the same code.
  */
 #pragma once
 
@@ -31,30 +31,30 @@
 
 namespace worksshift {
 
-/** Times of one tick. The wall clock decides nothing but the age of servers and claims. */
+/** Times of one tick. The wall clock is used only for the age of servers and claims. */
 struct tick_time {
     instant now{};
     std::uint64_t unix_s = 0;
 };
 
-/** Limits of the decision code; see docs/operate/settings.md. */
+/** Limits and tuning parameters of a node; see docs/operate/settings.md. */
 struct node_settings {
-    std::size_t queue_capacity = 256;    ///< requests waiting at one gate
-    duration longest_wait = seconds(10); ///< in a gate's queue
-    std::size_t chat_capacity = 100'000; ///< entries of the chat directory
-    duration chat_age = std::chrono::hours(12);
+    std::size_t queue_capacity = 256;           ///< requests waiting at one gate, at most
+    duration longest_wait = seconds(10);        ///< in a gate's queue
+    std::size_t chat_capacity = 100'000;        ///< entries of the chat directory
+    duration chat_age = std::chrono::hours(12); ///< entries without a newer turn expire
     std::uint64_t ramp_time_s = 600;            ///< see `server_config::added_at_s`
     duration load_interval = milliseconds(250); ///< between load summaries
-    std::size_t hops_at_most = 4;               ///< redirects of one request
-    std::size_t tries_at_most = 3;              ///< after outcomes other than a redirect
-    double ejected_share = 0.34;                ///< of a service's servers, by breakers
-    std::size_t claims_per_slice = 256;         ///< see claim_slices.h
-    std::size_t loads_at_once = 4;              ///< model versions, by all engines together
+    std::size_t hops_at_most = 4;               ///< redirects of one request, at most
+    std::size_t tries_at_most = 3;              ///< attempts of one request, not counting redirects
+    double ejected_share = 0.34;        ///< of a service's servers, that breakers may exclude
+    std::size_t claims_per_slice = 256; ///< see claim_slices.h
+    std::size_t loads_at_once = 4;      ///< model versions loading at a time, over all engines
     bool balance_new_chats = true;
     bool remember_chats = true;
 };
 
-/** The caller's request as it is passed on. */
+/** The caller's request as it is forwarded to a server. */
 struct request_payload {
     std::string method;
     std::string path;
@@ -62,7 +62,7 @@
     std::string body;
 };
 
-/** Entry role: a request between its arrival and its final answer. */
+/** Entry role: a request between its arrival and its final response. */
 struct request_row {
     std::uint64_t id = 0;
     std::string request_id;
@@ -86,17 +86,17 @@
     std::size_t tries = 0;
     bool directed = false;
     bool claimed = false;
-    attempt_id claim_holder;   ///< under which the key was claimed
-    bool may_have_run = false; ///< an attempt's outcome was unknown
-    bool resumed = false;      ///< the caller holds the first `resume_from` tokens
+    attempt_id claim_holder;   ///< the attempt that claimed the key
+    bool may_have_run = false; ///< an earlier attempt ended with outcome `unknown`
+    bool resumed = false;      ///< the caller has received the first `resume_from` tokens
     std::uint32_t resume_from = 0;
-    std::string version;          ///< of the model, that the answer so far was made by
-    std::uint64_t quota_paid = 0; ///< tokens of the account's rate
-    std::string last_step;        ///< of the newest refusal, for the final answer
+    std::string version;          ///< of the model that generated the response so far
+    std::uint64_t quota_paid = 0; ///< tokens charged to the account's rate
+    std::string last_step;        ///< of the latest refusal, reported in the final response
     std::string last_peer;
 };
 
-/** A request that runs at a server. */
+/** A request in flight at a server. */
 struct running_attempt {
     attempt_id id;
     vm_id entry;
@@ -105,57 +105,58 @@
     std::string version; ///< of the model; may be empty
 };
 
-/** What a server said of its own load. */
+/** Load as reported by a server. */
 struct load_report {
     server_id server;
     std::uint32_t running = 0;
-    instant sent{}; ///< when it was asked
+    instant sent{}; ///< when the report was requested
     std::uint32_t own_running_then = 0;
     engine_versions versions;
 };
 
-/** Gate role: a server whose gate this VM is, was, or may become. */
+/** Gate role: a server of which this VM is, was or may become the gate. */
 struct gate_row {
     server_id server;
     service_id service;
     double share = 0;
-    instant first_since{}; ///< when this VM became first in rank
+    instant first_since{}; ///< when this VM became the highest ranked for the server
     bool first = false;
-    instant leased_since{}; ///< when the current lease began; none while it is not held
-    instant reported_at{};  ///< when the newest load report was asked for
+    instant leased_since{}; ///< start of the current lease; the epoch: no lease is held
+    instant reported_at{};  ///< when the latest load report was requested
     std::unordered_map<attempt_id, running_attempt> running;
     std::uint64_t cost = 0;    ///< of `running`
-    std::uint32_t foreign = 0; ///< requests at the server that another gate sent
+    std::uint32_t foreign = 0; ///< requests in flight at the server that other gates sent
     fair_queue queue{0};
-    std::unordered_map<attempt_id, std::shared_ptr<const open_attempt>> opened; ///< waiting ones
-    std::unordered_map<attempt_id, vm_id> entries; ///< of the waiting ones
+    std::unordered_map<attempt_id, std::shared_ptr<const open_attempt>> opened; ///< queued attempts
+    std::unordered_map<attempt_id, vm_id> entries; ///< entry VMs of the queued attempts
     breaker health;
     engine_versions versions; ///< as last reported
-    double drain_rate = 0;    ///< tokens of cost finished a second while busy, smoothed
+    double drain_rate = 0;    ///< service rate while busy, smoothed; cost tokens per second
     instant drained_since{};
     double drained_cost = 0;
 };
 
-/** A server of the configuration, as every VM sees it. */
+/** A configured server, as every VM knows it. */
 struct server_row {
     server_config config;
     service_id service;
-    std::vector<vm_id> gates; ///< VMs that are not gone, first in rank first, a few
+    std::vector<vm_id> gates; ///< the highest ranked VMs that are not dead, in rank order
     load_summary load;
     instant load_at{};
 };
 
-/** A service with what placement needs at hand. */
+/** A service, with data precomputed for placement. */
 struct service_row {
     service_config config;
     std::vector<server_id> servers;
-    std::vector<std::uint64_t> hashes; ///< of `servers`, for rendezvous
-    std::vector<std::size_t> mature;   ///< indices of those that take returning chats
+    std::vector<std::uint64_t> hashes; ///< of `servers`, for rendezvous hashing
+    std::vector<std::size_t>
+        mature; ///< indices of servers past their ramp time, which get returning chats
     std::vector<std::uint64_t> mature_hashes;
     retry_budget retries;
 };
 
-/** A claim that was asked for and not answered yet. */
+/** A claim request without a reply so far. */
 struct pending_claim {
     std::uint64_t request = 0;
     claim_request message;
@@ -168,18 +169,18 @@
     Message message;
 };
 
-/** An attempt at this entry is over; with what had reached the caller by then. */
+/** The end of an attempt of this entry, and what had been forwarded to the caller by then. */
 struct attempt_result {
     attempt_ended end;
-    bool head_passed = false; ///< the answer's head went to the caller
-    bool resumable = false;   ///< what was passed ends on a token and can be continued
+    bool head_passed = false; ///< the response head was sent to the caller
+    bool resumable = false;   ///< the forwarded part ends on a token boundary and can be continued
     std::uint32_t tokens_passed = 0;
     std::uint16_t status = 0;
-    std::string body;    ///< of a short answer, to be recorded with a claim
-    std::string version; ///< of the model that made what was passed; may be empty
+    std::string body;    ///< of a short response, to be recorded with a claim
+    std::string version; ///< of the model that generated the forwarded part; may be empty
 };
 
-/** A call of a server is over. */
+/** The end of a call to a server. */
 struct call_ended {
     attempt_id id;
     outcome result = outcome::unknown;
@@ -188,10 +189,10 @@
     std::string detail;
 };
 
-/** Everything that happened since the last tick. */
+/** Events since the last tick. */
 struct inbox {
     std::vector<request_row> arrivals;
-    std::vector<std::uint64_t> departures; ///< callers that went away
+    std::vector<std::uint64_t> departures; ///< requests whose callers disconnected
     std::vector<from_peer<open_attempt>> opened;
     std::vector<from_peer<cancel_attempt>> cancelled;
     std::vector<from_peer<attempt_refused>> refused;
@@ -199,13 +200,13 @@
     std::vector<call_ended> calls_ended;
     std::vector<load_report> load_reports;
     std::vector<load_summary> loads;
-    std::vector<vm_id> lost_peers;       ///< links that broke
-    std::vector<attempt_id> undelivered; ///< opens of which no byte left this VM
+    std::vector<vm_id> lost_peers;       ///< VMs whose link was lost
+    std::vector<attempt_id> undelivered; ///< `open_attempt` messages of which no byte was sent
     std::vector<chat_records> chats;
     std::vector<from_peer<claim_request>> claim_requests;
     std::vector<from_peer<claim_settle>> claim_settles;
     std::vector<claim_reply> claim_replies;
-    std::vector<object_result> objects; ///< seen by several systems; each knows its calls
+    std::vector<object_result> objects; ///< read by several systems; each recognises its own calls
     std::vector<from_peer<order_wanted>> orders_wanted;
     std::vector<order_ended> orders_ended;
     std::vector<from_peer<quota_request>> quota_requests;
@@ -220,9 +221,9 @@
     server_config server;
     vm_id entry;
     std::shared_ptr<const open_attempt> request;
-    std::string version; ///< of the model; empty: the engine's own choice
+    std::string version; ///< of the model; empty: the engine chooses
 };
-/** Tells an engine to load or unload a version. */
+/** Orders an engine to load or unload a version. */
 struct start_order {
     server_config server;
     order_kind kind = order_kind::load;
@@ -232,17 +233,17 @@
 struct cancel_call {
     attempt_id id;
 };
-/** Binds the caller's request to the attempt whose frames it may now get. */
+/** Binds the caller's request to the attempt whose frames are forwarded from now on. */
 struct bind_attempt {
     std::uint64_t request = 0;
     attempt_id id;
     vm_id gate;
 };
-/** Final: the caller has the whole answer. */
+/** Final: the response is complete. */
 struct complete_request {
     std::uint64_t request = 0;
 };
-/** Final: no whole answer. */
+/** Final: the request failed or its response is incomplete. */
 struct fail_request {
     std::uint64_t request = 0;
     outcome result = outcome::not_run;
@@ -253,14 +254,14 @@
     std::string peer;
     std::uint32_t retry_after_ms = 0;
 };
-/** Final: the recorded answer of an earlier request with the same idempotency key. */
+/** Final: sends the recorded response of an earlier request with the same idempotency key. */
 struct replay_request {
     std::uint64_t request = 0;
     std::uint16_t status = 200;
     std::string body;
 };
 
-/** Final: the caller is gone; nothing more is passed on. */
+/** Final: the caller has disconnected; nothing more is forwarded. */
 struct drop_request {
     std::uint64_t request = 0;
 };
@@ -268,7 +269,7 @@
 using action = std::variant<send_message, start_call, cancel_call, bind_attempt, complete_request,
                             fail_request, replay_request, drop_request, object_call, start_order>;
 
-/** Counters of decisions, for metrics and measurements. */
+/** Counters of decisions, for metrics and benchmarks. */
 struct node_counters {
     std::uint64_t admitted = 0;
     std::uint64_t queued = 0;
@@ -284,7 +285,7 @@
 
 struct tables {
     vm_id self;
-    std::uint64_t origin = 0; ///< of the attempt ids
+    std::uint64_t origin = 0; ///< of the attempt ids; differs at each start of a VM
     std::uint64_t next_sequence = 0;
     node_settings settings;
     std::shared_ptr<const fleet_config> config;
@@ -293,19 +294,21 @@
     std::map<service_id, service_row> services;
     std::unordered_map<server_id, server_row> servers;
     std::unordered_map<server_id, gate_row> gates;
-    std::unordered_map<attempt_id, server_id> attempt_server; ///< running or waiting here
+    std::unordered_map<attempt_id, server_id>
+        attempt_server; ///< of attempts in flight or queued here
     std::unordered_map<std::uint64_t, request_row> requests;
-    std::unordered_map<attempt_id, std::uint64_t> request_of; ///< by the current attempt
-    std::unordered_map<client_account_id, std::uint32_t> account_running; ///< at this entry
+    std::unordered_map<attempt_id, std::uint64_t> request_of; ///< request of each current attempt
+    std::unordered_map<client_account_id, std::uint32_t>
+        account_running; ///< requests in flight at this entry
     std::unordered_map<attempt_id, pending_claim> claim_requests;
-    std::vector<vm_id> homes; ///< live VMs, this one included; see home.h
+    std::vector<vm_id> homes; ///< live VMs, this one included unless it is leaving; see home.h
     std::vector<std::uint64_t> home_hashes;
     chat_directory chats{0, duration::zero()};
     claim_table claims;
-    std::uint64_t next_call = 1; ///< of the platform
+    std::uint64_t next_call = 1; ///< id of the next call to the platform
     lease_row lease;
-    order_table orders;        ///< asked for of this VM
-    bool needs_orders = false; ///< some service has versions
+    order_table orders;        ///< requested of this VM
+    bool needs_orders = false; ///< a configured service has model versions
     quota_tables quotas;
     std::mt19937_64 random;
 
