--- a/src/messages.h
+++ b/src/messages.h
@@ -19,17 +19,19 @@
 
 namespace worksshift {
 
-/** Raised whenever a message changes shape; links between different versions are refused. */
+/** Incremented with each change of a message's layout; links between VMs of different versions are
+ * refused. */
 constexpr std::uint32_t protocol_version = 2;
 
-/** How an attempt ended. `not_run` is a proof: no byte of the request reached a server, or the
- * server itself said that it refused it. `unknown` is everything else that is not a whole answer.
+/** How an attempt ended. `not_run` is guaranteed: no byte of the request reached a server, or the
+ * server stated that it refused the request. `unknown` covers everything else short of a complete
+ * response.
  */
 enum class outcome : std::uint8_t { done, not_run, unknown };
 
 enum class priority : std::uint8_t { interactive, batch };
 
-/** An HTTP header that is passed on unchanged. */
+/** An HTTP header that is forwarded unchanged. */
 struct header {
     std::string name;
     std::string value;
@@ -41,8 +43,8 @@
     }
 };
 
-/** First message on a link, both ways. `nonce` keys the frames of the other side, so that a frame
- * recorded on one connection is refused on any other. */
+/** First message on a link, in both directions. The receiver includes `nonce` in the tags of the
+ * frames it sends, so that a frame recorded on one connection is refused on any other. */
 struct hello {
     std::uint32_t version = protocol_version;
     vm_id vm;
@@ -57,7 +59,7 @@
     }
 };
 
-/** Entry to gate: run this request at `server`, or refuse it. */
+/** Entry to gate: send this request to `server`, or refuse it. */
 struct open_attempt {
     attempt_id id;
     std::string request_id; ///< passed to the server as X-Request-Id
@@ -66,13 +68,13 @@
     client_account_id account;
     chat_key chat{};
     bool returning = false; ///< the chat had an earlier turn
-    bool directed = false;  ///< a gate chose this server: do not redirect for affinity again
-    bool last_try = false;  ///< the caller of the gate will not try another server: queue
+    bool directed = false;  ///< a gate chose this server: no further redirect for affinity
+    bool last_try = false;  ///< the entry will try no other server: queue rather than refuse
     priority urgency = priority::interactive;
-    std::uint32_t deadline_ms = 0; ///< time left when sent
+    std::uint32_t deadline_ms = 0; ///< remaining time when sent
     std::uint32_t cost = 0;        ///< tokens of work expected, see placement.h
-    std::uint32_t resume_from = 0; ///< tokens of the answer that the caller has already
-    std::string version;           ///< of the model, that a resumed answer goes on with
+    std::uint32_t resume_from = 0; ///< tokens of the response that the caller has received
+    std::string version;           ///< of the model, with which a resumed response continues
     std::vector<server_id> tried;  ///< servers that refused this request before
     std::string method;
     std::string path;
@@ -89,16 +91,16 @@
     }
 };
 
-/** Why a gate refused; every reason is a proof of `not_run`. */
+/** Why a gate refused; every reason guarantees `not_run`. */
 enum class refusal : std::uint8_t {
-    wrong_gate,     ///< another VM is the gate; `next_gate` says which
-    warm_elsewhere, ///< the chat's cache is at `next_server`
-    over_bound,     ///< above its multiple of the mean load; `next_server` is below it
-    draining,       ///< the server is leaving
-    queue_full,     ///< no fair chance to run in time; come back after `retry_after_ms`
+    wrong_gate,     ///< another VM is the gate: `next_gate`
+    warm_elsewhere, ///< the chat's prompt cache is at `next_server`
+    over_bound,     ///< load over the service's bound; `next_server` is below it
+    draining,       ///< the server is draining
+    queue_full,     ///< cannot be expected to run in time; retry after `retry_after_ms`
     deadline,       ///< the deadline passed while it waited
     connect_failed, ///< no connection to the server could be made
-    server_refused, ///< the server itself said that it did not run it
+    server_refused, ///< the server stated that it did not run the request
     leaving,        ///< this VM is stopping
     unknown_server
 };
@@ -108,8 +110,8 @@
     attempt_id id;
     refusal reason = refusal::queue_full;
     server_id next_server;            ///< empty: the entry chooses
-    vm_id next_gate;                  ///< empty: as the entry's own view says
-    std::uint32_t retry_after_ms = 0; ///< from the measured drain rate
+    vm_id next_gate;                  ///< empty: according to the entry's own view
+    std::uint32_t retry_after_ms = 0; ///< from the measured service rate
     std::string step;
     std::string peer;
 
@@ -121,12 +123,12 @@
     }
 };
 
-/** Gate to entry: the head of the server's answer. */
+/** Gate to entry: the head of the server's response. */
 struct attempt_head {
     attempt_id id;
     server_id server;
     std::uint16_t status = 0;
-    std::string version; ///< of the model, that the answer is made by; may be empty
+    std::string version; ///< of the model that generates the response; may be empty
     std::vector<header> headers;
 
     template <class Archive>
@@ -136,7 +138,7 @@
     }
 };
 
-/** Gate to entry: a piece of the answer. `sequence` counts from 0 in each attempt. */
+/** Gate to entry: a piece of the response. `sequence` counts from 0 in each attempt. */
 struct attempt_data {
     attempt_id id;
     std::uint32_t sequence = 0;
@@ -149,7 +151,7 @@
     }
 };
 
-/** Gate to entry: the attempt is over. `done` only after the server's own end marker. */
+/** Gate to entry: the attempt has ended. `done` only after the server's own end marker. */
 struct attempt_ended {
     attempt_id id;
     std::uint32_t sequence = 0; ///< number of data frames sent before it
@@ -165,7 +167,7 @@
     }
 };
 
-/** Entry to gate: the caller is gone or has had its answer; stop the work. */
+/** Entry to gate: the caller has disconnected or has its response; stop the work. */
 struct cancel_attempt {
     attempt_id id;
 
@@ -176,7 +178,7 @@
     }
 };
 
-/** Entry to gate: the caller has taken `bytes` more; the gate may send as many again. */
+/** Entry to gate: the caller has consumed `bytes` more; the gate may send as many again. */
 struct data_credit {
     attempt_id id;
     std::uint32_t bytes = 0;
@@ -188,11 +190,12 @@
     }
 };
 
-/** Entry to the claim's home: claim `key` for this attempt before anything is sent. */
+/** Entry to the claim's home VM: claim `key` for this attempt before anything is sent. */
 struct claim_request {
     attempt_id id;
-    std::string key;               ///< account and idempotency key
-    std::uint64_t fingerprint = 0; ///< hash of the request, so that one key names one request
+    std::string key; ///< account and idempotency key
+    std::uint64_t fingerprint =
+        0; ///< hash of the request, to detect a key reused for another request
 
     template <class Archive>
     void serialize(Archive& archive)
@@ -203,13 +206,13 @@
 
 enum class claim_state : std::uint8_t {
     granted,    ///< this attempt, and no other, may send the request
-    repeated,   ///< settled before; `status` and `body` are the recorded answer
+    repeated,   ///< completed before; `status` and `body` are the recorded response
     in_doubt,   ///< claimed before, outcome not recorded
     mismatch,   ///< the key was used for another request
-    unavailable ///< the platform did not answer: nothing was sent
+    unavailable ///< the platform did not respond: nothing was sent
 };
 
-/** The claim's home to the entry. */
+/** The claim's home VM to the entry. */
 struct claim_reply {
     attempt_id id;
     claim_state state = claim_state::unavailable;
@@ -223,13 +226,13 @@
     }
 };
 
-/** Entry to the claim's home: what became of a granted claim. */
+/** Entry to the claim's home VM: the outcome of a granted claim. */
 struct claim_settle {
     attempt_id id;
     std::string key;
     outcome result = outcome::unknown;
     std::uint16_t status = 0;
-    std::string body; ///< kept when short, see claims.h
+    std::string body; ///< recorded when short, see claims.h
 
     template <class Archive>
     void serialize(Archive& archive)
@@ -238,7 +241,7 @@
     }
 };
 
-/** Where a chat's prompt cache is. */
+/** The server that has a chat's prompt cache. */
 struct chat_record {
     service_id service;
     chat_key chat{};
@@ -252,7 +255,7 @@
     }
 };
 
-/** Directory entries that now belong to the receiver. */
+/** Entries of the chat directory that the receiver is now responsible for. */
 struct chat_records {
     std::vector<chat_record> records;
 
@@ -263,7 +266,7 @@
     }
 };
 
-/** Asks a peer for its configuration if it is newer. */
+/** Requests a peer's configuration if it is newer. */
 struct config_pull {
     std::uint64_t have_revision = 0;
     std::vector<std::string> have_shards;
@@ -301,12 +304,12 @@
 
 enum class order_kind : std::uint8_t { load, unload };
 
-/** Gate to the home of orders: an engine should load or unload a version of its model. */
+/** Gate to the VM that issues orders: an engine should load or unload a version of its model. */
 struct order_wanted {
     server_id server;
     order_kind kind = order_kind::load;
     std::string version;
-    bool under_way = false; ///< the engine says that it is loading it
+    bool under_way = false; ///< the engine reports that it is loading the version
 
     template <class Archive>
     void serialize(Archive& archive)
@@ -315,12 +318,12 @@
     }
 };
 
-/** Entry to an account's home: tokens of the account's rate, see account_quota.h. */
+/** Entry to an account's home VM: requests tokens of the account's rate, see account_quota.h. */
 struct quota_request {
     client_account_id account;
-    std::uint64_t number = 0; ///< of the entry's requests, to tell late replies
-    std::uint64_t tokens = 0;
-    std::uint64_t least = 0; ///< that are of any use
+    std::uint64_t number = 0; ///< sequence number at the entry, to recognise late replies
+    std::uint64_t tokens = 0; ///< requested
+    std::uint64_t least = 0;  ///< smallest grant that is of use
 
     template <class Archive>
     void serialize(Archive& archive)
@@ -329,12 +332,12 @@
     }
 };
 
-/** The account's home to the entry. */
+/** The account's home VM to the entry. */
 struct quota_reply {
     client_account_id account;
     std::uint64_t number = 0;
     std::uint64_t tokens = 0;         ///< granted
-    std::uint32_t retry_after_ms = 0; ///< when none were
+    std::uint32_t retry_after_ms = 0; ///< when none were granted
 
     template <class Archive>
     void serialize(Archive& archive)
@@ -350,11 +353,12 @@
 
 enum class member_state : std::uint8_t { alive, suspect, leaving, dead };
 
-/** What one VM says of another, or of itself. A higher incarnation overrides a lower one. */
+/** State of one VM as reported by another or by itself. A higher incarnation overrides a lower one.
+ */
 struct member_update {
     vm_id vm;
     data_centre_id data_centre;
-    std::string address;    ///< IPv4 number
+    std::string address;    ///< IPv4, in numbers
     std::uint16_t port = 0; ///< of both the link (TCP) and the gossip (UDP)
     std::uint64_t incarnation = 0;
     member_state state = member_state::alive;
@@ -367,7 +371,7 @@
     }
 };
 
-/** The load of one server, from its gate. */
+/** The load of one server, reported by its gate. */
 struct load_summary {
     service_id service;
     server_id server;
@@ -392,8 +396,8 @@
     }
 };
 
-/** Answer to a ping. With `lease`, also a gate lease (gate_share.h): the sender counts the receiver
- * as live. A member that is held for dead gets its ack without it. */
+/** Reply to a ping. With `lease` it also grants a gate lease (gate_share.h): the sender considers
+ * the receiver live. A member considered dead gets an ack without a lease. */
 struct ack {
     std::uint64_t nonce = 0;
     bool lease = false;
@@ -405,7 +409,7 @@
     }
 };
 
-/** Asks the receiver to ping `target` and to pass the ack on. */
+/** Asks the receiver to ping `target` and to relay the ack. */
 struct ping_request {
     std::uint64_t nonce = 0;
     vm_id target;
@@ -417,7 +421,7 @@
     }
 };
 
-/** Carries updates and load only. */
+/** A datagram that only carries updates and load summaries. */
 struct notice {
     template <class Archive>
     void serialize(Archive& /*archive*/)
