--- a/src/codec.h
+++ b/src/codec.h
@@ -1,11 +1,11 @@
 /** \file
- * Frames of the link (TCP) and datagrams of the gossip (UDP): cereal's portable binary archive,
- * bounded in length, authenticated with HMAC-SHA256 under the fleet key.
+ * Wire format of link frames (TCP) and gossip datagrams (UDP): cereal's portable binary archive,
+ * limited in length and authenticated with HMAC-SHA256 under the fleet key.
  *
  * A link frame is `length (4 bytes, big endian) | tag (16) | body`. The tag covers the receiver's
- * nonce, the frame's number on the connection and the body, so a frame cannot be changed, repeated,
- * dropped or moved to another connection unnoticed. A datagram is `tag (16) | body`; replayed
- * datagrams are harmless, since incarnations, nonces and revisions only ever move forward.
+ * nonce, the frame's sequence number on the connection and the body, so a modified, replayed,
+ * dropped or injected frame is detected. A datagram is `tag (16) | body`; replayed datagrams are
+ * harmless, because incarnations and revisions only increase and each nonce is used once.
  */
 #pragma once
 
@@ -21,18 +21,19 @@
 
 namespace worksshift {
 
-constexpr std::size_t tag_size = 16;
-constexpr std::size_t frame_head_size = 4 + tag_size;
-constexpr std::size_t frame_at_most = std::size_t{8} << 20U;
-constexpr std::size_t datagram_at_most = 1400;
+constexpr std::size_t tag_size = 16;                         ///< bytes
+constexpr std::size_t frame_head_size = 4 + tag_size;        ///< bytes
+constexpr std::size_t frame_at_most = std::size_t{8} << 20U; ///< bytes, length and tag included
+constexpr std::size_t datagram_at_most = 1400;               ///< bytes, tag included
 
 using nonce = std::array<std::uint8_t, 16>;
 using frame_tag = std::array<std::uint8_t, tag_size>;
 
-/** Fills a nonce from the system's random source. */
+/** A nonce from OpenSSL's random generator.
+ * \throws internal_error when it fails. */
 nonce make_nonce();
 
-/** HMAC-SHA256 under one key, cut to `tag_size` bytes. */
+/** HMAC-SHA256 under one key, truncated to `tag_size` bytes. */
 class authenticator {
 public:
     explicit authenticator(std::string_view key);
@@ -54,7 +55,8 @@
 class frame_writer {
 public:
     explicit frame_writer(authenticator& keys) : keys(keys) {}
-    /** The first frame, a hello, is written under an empty nonce; set the peer's one after it. */
+    /** The hello, the first frame, is written with an empty nonce; set the peer's nonce after it.
+     */
     void set_nonce(const nonce& value) { this->peer_nonce = value; }
     std::string write(const link_message& message);
 
@@ -71,9 +73,9 @@
     void set_nonce(const nonce& value) { this->own_nonce = value; }
 
     /** Length of the frame that starts with \p head, head included.
-     * \throws peer_error when it is over the bound. */
+     * \throws peer_error when it exceeds `frame_at_most`. */
     static std::size_t frame_length(std::span<const std::uint8_t> head);
-    /** Reads one whole frame.
+    /** Reads one complete frame.
      * \throws peer_error on a wrong tag or a malformed body. */
     link_message read(std::span<const std::uint8_t> frame);
 
@@ -83,7 +85,7 @@
     std::uint64_t number = 0;
 };
 
-/** One datagram, or none when the message does not fit. */
+/** One datagram; std::nullopt if the message exceeds `datagram_at_most`. */
 std::optional<std::string> write_datagram(authenticator& keys, const gossip_message& message);
 /** \throws peer_error on a wrong tag or a malformed body. */
 gossip_message read_datagram(authenticator& keys, std::span<const std::uint8_t> datagram);
