--- a/src/codec.cpp
+++ b/src/codec.cpp
@@ -19,7 +19,7 @@
 constexpr std::size_t length_size = 4;
 constexpr std::size_t sha256_size = 32;
 
-/** The context of a link frame's tag: the receiver's nonce and the frame's number. */
+/** The context of a link frame's tag: the receiver's nonce and the frame's sequence number. */
 std::array<std::uint8_t, 24> frame_context(const nonce& value, std::uint64_t number)
 {
     std::array<std::uint8_t, 24> context{};
@@ -32,12 +32,12 @@
 
 constexpr std::array<std::uint8_t, 8> datagram_context{'g', 'o', 's', 's', 'i', 'p', '0', '1'};
 
-/** Reads a view as a stream, without a copy of it. */
+/** A stream buffer that reads a view without copying it. */
 class view_buffer : public std::streambuf {
 public:
     explicit view_buffer(std::string_view text)
     {
-        char* start = const_cast<char*>(text.data()); // streams have no read-only buffer
+        char* start = const_cast<char*>(text.data()); // std::streambuf takes no const buffer
         this->setg(start, start, start + text.size());
     }
 };
@@ -88,7 +88,7 @@
     const int ready =
         EVP_MAC_init(this->inner->context, reinterpret_cast<const unsigned char*>(key.data()),
                      key.size(), parameters.data());
-    if (ready != 1) throw internal_error("authenticate", "", "HMAC could not be set up");
+    if (ready != 1) throw internal_error("authenticate", "", "HMAC-SHA256 cannot be initialised");
 }
 
 authenticator::~authenticator()
@@ -99,18 +99,19 @@
 
 frame_tag authenticator::tag(std::span<const std::uint8_t> context, std::string_view body)
 {
-    std::array<std::uint8_t, sha256_size> full{};
+    std::array<std::uint8_t, sha256_size> digest_bytes{};
     std::size_t length = 0;
     EVP_MAC_CTX* mac = this->inner->context;
-    const bool made = EVP_MAC_init(mac, nullptr, 0, nullptr) == 1 &&
-                      EVP_MAC_update(mac, context.data(), context.size()) == 1 &&
-                      EVP_MAC_update(mac, reinterpret_cast<const unsigned char*>(body.data()),
-                                     body.size()) == 1 &&
-                      EVP_MAC_final(mac, full.data(), &length, full.size()) == 1;
-    if (!made) throw internal_error("authenticate", "", "HMAC failed");
-    frame_tag cut{};
-    std::ranges::copy_n(full.begin(), tag_size, cut.begin());
-    return cut;
+    const bool succeeded =
+        EVP_MAC_init(mac, nullptr, 0, nullptr) == 1 &&
+        EVP_MAC_update(mac, context.data(), context.size()) == 1 &&
+        EVP_MAC_update(mac, reinterpret_cast<const unsigned char*>(body.data()), body.size()) ==
+            1 &&
+        EVP_MAC_final(mac, digest_bytes.data(), &length, digest_bytes.size()) == 1;
+    if (!succeeded) throw internal_error("authenticate", "", "HMAC failed");
+    frame_tag truncated{};
+    std::ranges::copy_n(digest_bytes.begin(), tag_size, truncated.begin());
+    return truncated;
 }
 
 bool authenticator::check(const frame_tag& tag, std::span<const std::uint8_t> context,
@@ -124,7 +125,7 @@
 {
     nonce value{};
     if (RAND_bytes(value.data(), static_cast<int>(value.size())) != 1) {
-        throw internal_error("authenticate", "", "no random bytes");
+        throw internal_error("authenticate", "", "the random generator failed");
     }
     return value;
 }
@@ -134,7 +135,7 @@
     const std::string body = encode(message);
     const std::size_t length = tag_size + body.size();
     if (length + length_size > frame_at_most) {
-        throw internal_error("write frame", "", "a frame is over its bound");
+        throw internal_error("write frame", "", "frame exceeds the maximum length");
     }
     const frame_tag tag = this->keys.tag(frame_context(this->peer_nonce, this->number++), body);
     std::string frame;
@@ -153,7 +154,7 @@
     for (const std::uint8_t byte : head.first(length_size))
         length = length << 8U | byte;
     if (length < tag_size || length + length_size > frame_at_most) {
-        throw peer_error("read frame", "", "frame of " + std::to_string(length) + " bytes");
+        throw peer_error("read frame", "", "invalid frame length: " + std::to_string(length));
     }
     return length + length_size;
 }
@@ -164,7 +165,8 @@
     std::ranges::copy(frame.subspan(length_size, tag_size), tag.begin());
     const std::string_view body = as_text(frame.subspan(frame_head_size));
     if (!this->keys.check(tag, frame_context(this->own_nonce, this->number++), body)) {
-        throw peer_error("read frame", "", "wrong fleet key, or a frame out of order");
+        throw peer_error("read frame", "",
+                         "authentication failed: wrong fleet key, or frame out of order");
     }
     return decode<link_message>(body, "read frame");
 }
@@ -180,12 +182,12 @@
 
 gossip_message read_datagram(authenticator& keys, std::span<const std::uint8_t> datagram)
 {
-    if (datagram.size() < tag_size) throw peer_error("read datagram", "", "too short");
+    if (datagram.size() < tag_size) throw peer_error("read datagram", "", "datagram too short");
     frame_tag tag{};
     std::ranges::copy(datagram.first(tag_size), tag.begin());
     const std::string_view body = as_text(datagram.subspan(tag_size));
     if (!keys.check(tag, datagram_context, body)) {
-        throw peer_error("read datagram", "", "wrong fleet key");
+        throw peer_error("read datagram", "", "authentication failed: wrong fleet key");
     }
     return decode<gossip_message>(body, "read datagram");
 }
