--- a/src/tables.h
+++ b/src/tables.h
@@ -150,8 +150,7 @@
     service_config config;
     std::vector<server_id> servers;
     std::vector<std::uint64_t> hashes; ///< of `servers`, for rendezvous hashing
-    std::vector<std::size_t>
-        mature; ///< indices of servers past their ramp time, which get returning chats
+    std::vector<std::size_t> mature;   ///< indices of servers that get returning chats
     std::vector<std::uint64_t> mature_hashes;
     retry_budget retries;
 };
