--- a/src/node.h
+++ b/src/node.h
@@ -1,8 +1,8 @@
 /** \file
- * One node's decisions: the tables, and the tick that runs every system over them in order.
+ * The decision logic of one node: its tables, and the tick that runs all systems on them in order.
  *
- * The daemon feeds it what sockets and clocks bring and carries its actions out; tests and
- * measurements drive many nodes in one loop.
+ * The daemon passes in events and times and executes the resulting actions; tests and benchmarks
+ * run many nodes in one loop.
  */
 #pragma once
 
@@ -16,24 +16,26 @@
 
 class node {
 public:
-    /** \p seed starts all random choices; \p origin must differ at each start of a VM. */
+    /** \p seed initialises all random choices; \p origin must differ at each start of a VM. */
     node(const member_update& self, node_settings settings, membership_settings member_settings,
          std::uint64_t origin, std::uint64_t seed);
 
     /** Runs every system once. */
     void tick(const tick_time& time);
 
-    /** Takes a message from another VM, or from this one. */
+    /** Handles a message from another VM, or from this one. */
     void receive(const vm_id& from, link_message message);
     void receive(const gossip_message& message, instant now);
-    /** A link broke: work for that VM ends, and what it was to answer is unknown. */
+    /** Handles the loss of a link: work for that VM ends, and its attempts in flight end with
+     * outcome `unknown`. */
     void lose_peer(const vm_id& vm);
 
-    /** Offers a configuration from the platform. */
+    /** Offers a configuration received from the platform. */
     offer_result offer(config_documents documents);
-    /** Starts the stop: takes no new work, tells the others, lets what runs finish. */
+    /** Starts a planned stop: accepts no new work, notifies other VMs, lets work in flight finish.
+     */
     void leave();
-    /** Whether nothing runs or waits here any more. */
+    /** Whether no request, attempt or claim is in flight or queued here. */
     [[nodiscard]] bool idle() const;
 
     /** Actions since the last call, in order. */
