--- a/src/node.cpp
+++ b/src/node.cpp
@@ -12,7 +12,7 @@
 
 constexpr duration expiry_interval = seconds(10);
 
-/** Runs one named system; at level trace each run is logged with the time it took. */
+/** Runs one named system; at log level trace, logs each run with its duration. */
 template <class System>
 void run(const char* name, System system)
 {
@@ -22,10 +22,10 @@
     }
     const auto start = std::chrono::steady_clock::now();
     system();
-    const auto spent = std::chrono::steady_clock::now() - start;
+    const auto elapsed = std::chrono::steady_clock::now() - start;
     log_event(log_level::trace, "system",
               {{"name", name},
-               {"ns", std::chrono::duration_cast<std::chrono::nanoseconds>(spent).count()}});
+               {"ns", std::chrono::duration_cast<std::chrono::nanoseconds>(elapsed).count()}});
 }
 
 } // namespace
