--- a/src/membership.cpp
+++ b/src/membership.cpp
@@ -7,12 +7,12 @@
 
 namespace {
 
-/** Each rumour is sent this many times per doubling of the fleet, which reaches everyone with high
- * probability (the bound of epidemic broadcast). */
+/** Each update is sent this many times per doubling of the fleet, which reaches every member with
+ * high probability (the bound of epidemic broadcast). */
 constexpr std::size_t sends_per_doubling = 3;
-constexpr std::size_t datagrams_queued_at_most = 4096;
+constexpr std::size_t max_queued_datagrams = 4096;
 
-/** Which of two statements of one incarnation overrides the other. */
+/** Whether \p next overrides \p held: by incarnation, then by state. */
 bool overrides(const member_update& next, const member_update& held)
 {
     if (next.incarnation != held.incarnation) return next.incarnation > held.incarnation;
@@ -53,7 +53,7 @@
     if (found == this->table.end()) {
         if (update.state == member_state::dead) return;
         this->add(update, now);
-        this->spread(update);
+        this->queue_update(update);
         return;
     }
     member& row = found->second;
@@ -67,7 +67,7 @@
         row.changed_at = now;
         ++this->view_version;
     }
-    this->spread(update);
+    this->queue_update(update);
 }
 
 void membership::add(const member_update& update, instant now)
@@ -82,7 +82,7 @@
     if (update.incarnation < this->own.incarnation) return;
     if (update.incarnation == this->own.incarnation && update.state <= this->own.state) return;
     this->own.incarnation = update.incarnation + 1;
-    this->spread(this->own);
+    this->queue_update(this->own);
 }
 
 void membership::set_state(member& row, member_state state, instant now)
@@ -90,20 +90,20 @@
     row.info.state = state;
     row.changed_at = now;
     ++this->view_version;
-    this->spread(row.info);
+    this->queue_update(row.info);
 }
 
-void membership::spread(const member_update& update)
+void membership::queue_update(const member_update& update)
 {
     const std::size_t sends =
         sends_per_doubling * static_cast<std::size_t>(std::bit_width(this->table.size() + 1));
-    const auto same = std::ranges::find(this->rumours, update.vm,
-                                        [](const rumour& item) { return item.update.vm; });
-    if (same != this->rumours.end()) {
+    const auto same = std::ranges::find(this->pending_updates, update.vm,
+                                        [](const pending_update& item) { return item.update.vm; });
+    if (same != this->pending_updates.end()) {
         *same = {update, sends};
         return;
     }
-    this->rumours.push_back({update, sends});
+    this->pending_updates.push_back({update, sends});
 }
 
 void membership::handle(const ping& body, const member_update& sender, instant now)
@@ -118,8 +118,8 @@
 {
     const auto relay = std::ranges::find(this->relays, body.nonce, &relayed_probe::nonce);
     if (relay != this->relays.end()) {
-        if (const member* asker = this->find(relay->asker)) {
-            this->send(asker->info, ack{relay->asker_nonce, false});
+        if (const member* requester = this->find(relay->requester)) {
+            this->send(requester->info, ack{relay->requester_nonce, false});
         }
         this->relays.erase(relay);
         return;
@@ -129,7 +129,7 @@
     const auto found = this->table.find(pending->target);
     if (found != this->table.end()) {
         member& row = found->second;
-        // One that was passed on proves life, but grants nothing.
+        // A relayed ack is evidence of life but grants no lease.
         if (sender.vm == pending->target && body.lease) {
             row.acked_at = std::max(row.acked_at, pending->sent);
             row.ever_acked = true;
@@ -160,7 +160,7 @@
         if (item.info.vm == this->own.vm) continue;
         const auto found = this->table.find(item.info.vm);
         if (found == this->table.end()) {
-            // Everybody gets the list, and a new VM makes itself known: no rumour is needed.
+            // Not gossiped: every VM gets the list, and a new VM announces itself.
             if (!item.leaving) this->add(item.info, now);
         } else {
             found->second.listed = true;
@@ -180,7 +180,7 @@
 {
     this->own.state = member_state::leaving;
     ++this->own.incarnation;
-    this->spread(this->own);
+    this->queue_update(this->own);
     for (const auto& [vm, row] : this->table) {
         if (row.live()) this->send(row.info, notice{});
     }
@@ -198,7 +198,7 @@
            (row.heard_at != instant{} && now - row.heard_at < 2 * this->settings.period);
 }
 
-void membership::note_heard(instant now)
+void membership::apply_link_messages(instant now)
 {
     for (auto& [vm, row] : this->table) {
         if (!std::exchange(row.heard, false)) continue;
@@ -209,7 +209,8 @@
 
 void membership::doubt(const vm_id& vm)
 {
-    if (std::ranges::find(this->doubted, vm) == this->doubted.end()) this->doubted.push_back(vm);
+    if (std::ranges::find(this->early_probes, vm) == this->early_probes.end())
+        this->early_probes.push_back(vm);
 }
 
 void membership::tick(instant now)
@@ -218,14 +219,14 @@
         this->last_tick != instant{} && now - this->last_tick > this->settings.stall;
     this->last_tick = now;
     if (stalled) this->probes.clear();
-    this->note_heard(now);
+    this->apply_link_messages(now);
     this->escalate_probes(now);
     this->expire_probes(now);
-    for (const vm_id& vm : std::exchange(this->doubted, {}))
+    for (const vm_id& vm : std::exchange(this->early_probes, {}))
         this->probe(vm, now);
     if (now >= this->next_period) {
         this->next_period = now + this->settings.period;
-        this->probe_next(now);
+        this->probe_next_in_round(now);
     }
     this->age_members(now);
 }
@@ -242,12 +243,12 @@
     this->send(row->info, ping{nonce});
 }
 
-void membership::probe_next(instant now)
+void membership::probe_next_in_round(instant now)
 {
     for (const vm_id& vm : this->lease_targets)
         this->probe(vm, now);
-    // The dead are probed too, one turn in each round, so that a healed cut is noticed.
-    for (std::size_t tries = 0; tries < 2 && !this->table.empty(); ++tries) {
+    // Dead members are probed too, once per round, so that a healed partition is noticed.
+    for (std::size_t attempts = 0; attempts < 2 && !this->table.empty(); ++attempts) {
         if (this->order.empty()) {
             std::ranges::transform(this->table, std::back_inserter(this->order),
                                    [](const auto& entry) { return entry.first; });
@@ -285,18 +286,18 @@
 
 void membership::expire_probes(instant now)
 {
-    const auto late = [&](const pending_probe& pending) {
+    const auto timed_out = [&](const pending_probe& pending) {
         return now - pending.sent >= this->settings.period;
     };
     for (const pending_probe& pending : this->probes) {
-        if (!late(pending)) continue;
+        if (!timed_out(pending)) continue;
         const auto found = this->table.find(pending.target);
         if (found == this->table.end() || this->seems_live(found->second, now)) continue;
         if (found->second.info.state == member_state::alive) {
             this->set_state(found->second, member_state::suspect, now);
         }
     }
-    std::erase_if(this->probes, late);
+    std::erase_if(this->probes, timed_out);
     std::erase_if(this->relays, [&](const relayed_probe& relay) {
         return now - relay.sent >= this->settings.period;
     });
@@ -327,22 +328,24 @@
                            .body = std::move(body),
                            .updates = {},
                            .loads = {}};
-    // The least sent rumours go first.
-    std::ranges::sort(this->rumours, std::greater{}, &rumour::sends_left);
-    const std::size_t count = std::min(this->settings.updates_per_datagram, this->rumours.size());
-    for (rumour& item : std::span(this->rumours).first(count)) {
+    // The least sent updates go first.
+    std::ranges::sort(this->pending_updates, std::greater{}, &pending_update::sends_left);
+    const std::size_t count =
+        std::min(this->settings.updates_per_datagram, this->pending_updates.size());
+    for (pending_update& item : std::span(this->pending_updates).first(count)) {
         message.updates.push_back(item.update);
         --item.sends_left;
     }
-    std::erase_if(this->rumours, [](const rumour& item) { return item.sends_left == 0; });
+    std::erase_if(this->pending_updates,
+                  [](const pending_update& item) { return item.sends_left == 0; });
     return message;
 }
 
 void membership::send(const member_update& to, gossip_body body)
 {
-    if (this->outbox.size() >= datagrams_queued_at_most) return;
+    if (this->outbox.size() >= max_queued_datagrams) return;
     gossip_message message = this->make(std::move(body));
-    // A member that we doubt must hear of it, or it could not refute.
+    // A member not considered alive must receive its own state, or it could not refute it.
     const member* row = this->find(to.vm);
     if (row != nullptr && row->info.state != member_state::alive) {
         message.updates.push_back(row->info);
@@ -350,7 +353,8 @@
     this->outbox.push_back({to.vm, to.address, to.port, std::move(message)});
 }
 
-/** Rumours go with probes: notices are many, and most would carry the same ones. */
+/** Notices carry no updates, only probes and acks do: notices are many, and most would repeat the
+ * same updates. */
 gossip_message membership::make_notice() const
 {
     return {.sender = this->own,
@@ -378,7 +382,7 @@
 void membership::send_loads(const vm_id& to, std::vector<load_summary> loads)
 {
     const member* row = this->find(to);
-    if (row == nullptr || this->outbox.size() >= datagrams_queued_at_most) return;
+    if (row == nullptr || this->outbox.size() >= max_queued_datagrams) return;
     gossip_message message = this->make_notice();
     message.loads = std::move(loads);
     this->outbox.push_back({to, row->info.address, row->info.port, std::move(message)});
--- a/src/membership.h
+++ b/src/membership.h
@@ -1,12 +1,13 @@
 /** \file
- * Which VMs there are: SWIM-style probing with suspicion and incarnation numbers.
+ * Membership of the fleet: SWIM-style probing with suspicion and incarnation numbers.
  *
- * Each period a VM pings one member in shuffled round-robin order, and the members whose lease it
+ * Each period a VM pings one member in shuffled round-robin order, and the members whose leases it
  * needs (gate_share.h). A missed ack is retried through other members before the target is
- * suspected, and a suspect has `suspicion` to refute. News travels piggybacked on these datagrams,
- * so the cost per VM does not depend on the size of the fleet. Messages over a link count as life,
- * too: a VM that hears from another directly does not believe others who say that it is gone. After
- * a stall of its own (a pause of the VM) a VM judges nobody on evidence from before the stall.
+ * suspected, and a suspect has `suspicion` to refute. Updates are piggybacked on these datagrams,
+ * so the cost per VM does not depend on the size of the fleet. Link messages are evidence of life,
+ * too: a VM that receives messages directly from another ignores reports that it is suspect or
+ * dead. After a stall of its own (the VM was paused) a VM discards its pending probes, because a
+ * missing ack from before the stall proves nothing.
  */
 #pragma once
 
@@ -25,24 +26,24 @@
     duration period = milliseconds(1000);     ///< between probes
     duration ack_timeout = milliseconds(400); ///< before asking others to probe
     duration suspicion = milliseconds(3000);  ///< from suspect to dead
-    duration gone_after = seconds(60);        ///< from dead to forgotten, VM list or not
-    duration stall = milliseconds(1500);      ///< a longer gap between ticks is a stall
+    duration gone_after = seconds(60);        ///< from dead to removed, even if in the VM list
+    duration stall = milliseconds(1500);      ///< a longer gap between ticks counts as a stall
     std::size_t indirect_probes = 2;
     std::size_t updates_per_datagram = 6;
-    std::size_t announce_to = 8; ///< members told of a new revision at once
+    std::size_t announce_to = 8; ///< members notified of a new revision at once
 };
 
 /** One row of the member table. */
 struct member {
     member_update info;
-    instant changed_at{}; ///< of the state
+    instant changed_at{}; ///< last change of `info.state`
     instant acked_at{};   ///< send time of the newest ping that it acked
-    instant granted_at{}; ///< when we last acked a ping of its, that is, granted it a lease
+    instant granted_at{}; ///< when this VM last granted it a lease by acking its ping
     bool ever_acked = false;
-    bool heard = false;                ///< a link message came since the last tick
-    instant heard_at{};                ///< of the newest link message
-    std::uint64_t config_revision = 0; ///< in force there, as last heard
-    bool listed = true;                ///< stands in the platform's VM list, as far as we know
+    bool heard = false;                ///< a link message arrived since the last tick
+    instant heard_at{};                ///< tick after the latest link message; the epoch: never
+    std::uint64_t config_revision = 0; ///< in force there, as last received
+    bool listed = true;                ///< in the platform's VM list, as last read
 
     [[nodiscard]] bool live() const
     {
@@ -63,35 +64,37 @@
     gossip_message message;
 };
 
-/** The member table and its systems. Reads no clock and opens no socket. */
+/** The member table and the protocol on it. Reads no clock and opens no socket. */
 class membership {
 public:
     membership(member_update self, membership_settings settings, std::uint64_t seed);
 
-    /** Handles a datagram that was authenticated; replies go out with the next drain. */
+    /** Handles an authenticated datagram; replies are returned by the next `drain`. */
     void receive(const gossip_message& message, instant now);
-    /** Takes the platform's list over. It lags: it adds members and ends the wait for dead ones,
-     * but never kills one that answers. */
+    /** Merges the platform's list. Because the list lags, it only adds members and lets dead members
+     * that are not in it be removed early; it never marks a responding member dead. */
     void merge_list(std::span<const listed_vm> list, instant now);
-    /** Adds an address to probe, of a VM whose name is not known yet. */
+    /** Probes the address of a VM whose name is not known yet. */
     void add_seed(const std::string& address, std::uint16_t port);
-    /** Announces that this VM stops; it is `leaving` to the others at once. */
+    /** Announces that this VM is stopping; the live members are notified at once that it is
+     * `leaving`. */
     void announce_leave();
-    /** A message came from the member over its link: evidence of life that needs no datagram. */
+    /** Records a link message from the member, which is evidence of life without a probe. */
     void hear(const vm_id& vm);
-    /** A connection to the member failed: probe it now rather than in its turn. */
+    /** Has the member probed at the next tick rather than in its turn, after a connection to it
+     * failed. */
     void doubt(const vm_id& vm);
 
-    /** Sends probes that are due, and ages suspects and the dead. */
+    /** Sends probes that are due, expires suspects and removes dead members. */
     void tick(instant now);
 
-    /** Members that must ack each period, whoever's turn it is. */
+    /** Members to probe each period in addition to the one whose turn it is. */
     void set_lease_targets(std::vector<vm_id> targets) { this->lease_targets = std::move(targets); }
     void set_config_revision(std::uint64_t revision) { this->config_revision = revision; }
 
-    /** Datagrams to send, in order. */
+    /** Returns and clears the datagrams to send, in order. */
     std::vector<outgoing_gossip> drain();
-    /** Sends notices to a few members drawn at random, so that a new revision spreads at once. */
+    /** Queues notices for a few random live members, so that a new revision spreads at once. */
     void announce_revision();
     /** Queues a notice with load summaries for one member. */
     void send_loads(const vm_id& to, std::vector<load_summary> loads);
@@ -111,11 +114,11 @@
     };
     struct relayed_probe {
         std::uint64_t nonce = 0;
-        std::uint64_t asker_nonce = 0;
-        vm_id asker;
+        std::uint64_t requester_nonce = 0;
+        vm_id requester;
         instant sent{};
     };
-    struct rumour {
+    struct pending_update {
         member_update update;
         std::size_t sends_left = 0;
     };
@@ -124,16 +127,16 @@
     void add(const member_update& update, instant now);
     void refute(const member_update& update);
     void set_state(member& row, member_state state, instant now);
-    void spread(const member_update& update);
+    void queue_update(const member_update& update);
     void handle(const ping& body, const member_update& sender, instant now);
     void handle(const ack& body, const member_update& sender, instant now);
     void handle(const ping_request& body, const member_update& sender, instant now);
     void handle(const notice& body, const member_update& sender, instant now);
     void probe(const vm_id& target, instant now);
-    void probe_next(instant now);
+    void probe_next_in_round(instant now);
     void escalate_probes(instant now);
     void expire_probes(instant now);
-    void note_heard(instant now);
+    void apply_link_messages(instant now);
     [[nodiscard]] bool seems_live(const member& row, instant now) const;
     void age_members(instant now);
     void send(const member_update& to, gossip_body body);
@@ -144,12 +147,12 @@
     membership_settings settings;
     std::mt19937_64 random;
     std::map<vm_id, member> table; ///< without this VM
-    std::vector<vm_id> order;      ///< round robin of probes
+    std::vector<vm_id> order;      ///< members left to probe in this round
     std::vector<vm_id> lease_targets;
-    std::vector<vm_id> doubted;
+    std::vector<vm_id> early_probes;
     std::vector<pending_probe> probes;
     std::vector<relayed_probe> relays;
-    std::vector<rumour> rumours;
+    std::vector<pending_update> pending_updates;
     std::vector<outgoing_gossip> outbox;
     instant next_period{};
     instant last_tick{};
