--- a/src/tables.h
+++ b/src/tables.h
@@ -293,12 +293,10 @@
     std::map<service_id, service_row> services;
     std::unordered_map<server_id, server_row> servers;
     std::unordered_map<server_id, gate_row> gates;
-    std::unordered_map<attempt_id, server_id>
-        attempt_server; ///< of attempts in flight or queued here
+    std::unordered_map<attempt_id, server_id> attempt_server; ///< in flight or queued here
     std::unordered_map<std::uint64_t, request_row> requests;
     std::unordered_map<attempt_id, std::uint64_t> request_of; ///< request of each current attempt
-    std::unordered_map<client_account_id, std::uint32_t>
-        account_running; ///< requests in flight at this entry
+    std::unordered_map<client_account_id, std::uint32_t> account_running; ///< at this entry
     std::unordered_map<attempt_id, pending_claim> claim_requests;
     std::vector<vm_id> homes; ///< live VMs, this one included unless it is leaving; see home.h
     std::vector<std::uint64_t> home_hashes;
