--- a/src/gossip_socket.h
+++ b/src/gossip_socket.h
@@ -1,5 +1,6 @@
 /** \file
- * The UDP socket of the gossip: authenticates datagrams, counts bytes and keeps to the byte budget.
+ * The UDP socket of the gossip protocol: authenticates datagrams, counts bytes and enforces the
+ * byte budget.
  */
 #pragma once
 
@@ -14,16 +15,18 @@
 
 namespace worksshift {
 
-/** Sustained budget of gossip sent by one VM. Load summaries are shed first: they are hints. Then
- * notices; probes and acks, which decide who is alive, are always sent. */
+/** Sustained rate of gossip sent by one VM. Over the budget, notices (load summaries, revisions)
+ * are dropped, since they are only hints. Probes and acks, which decide who is alive, and the
+ * notices of a leaving VM are always sent. */
 constexpr double gossip_bytes_per_second = 9000;
+/** Size of the token bucket, and of the debt that probes and acks may run up. */
 constexpr double gossip_burst_bytes = 60'000;
 
 struct gossip_counters {
     std::uint64_t bytes_sent = 0;
     std::uint64_t datagrams_sent = 0;
-    std::uint64_t datagrams_refused = 0;
-    std::uint64_t datagrams_shed = 0;
+    std::uint64_t datagrams_refused = 0; ///< received, but not authentic or malformed
+    std::uint64_t datagrams_shed = 0;    ///< not sent: over the budget or over the maximum length
 };
 
 class gossip_socket {
