--- a/src/gossip_socket.cpp
+++ b/src/gossip_socket.cpp
@@ -24,7 +24,7 @@
     const sockaddr_in own = to_socket_address(listen);
     if (bind(this->socket, reinterpret_cast<const sockaddr*>(&own), sizeof own) != 0) {
         throw user_error("listen", listen.address + ":" + std::to_string(listen.port),
-                         "the gossip port cannot be opened");
+                         "cannot bind the UDP port for gossip");
     }
     const auto readable_now = [](evutil_socket_t, short, void* self) {
         static_cast<gossip_socket*>(self)->read();
@@ -42,9 +42,9 @@
 bool gossip_socket::take_budget(std::size_t bytes, bool sheddable, instant now)
 {
     if (this->budget_at != instant{}) {
-        const double passed = std::chrono::duration<double>(now - this->budget_at).count();
+        const double elapsed_s = std::chrono::duration<double>(now - this->budget_at).count();
         this->budget =
-            std::min(gossip_burst_bytes, this->budget + passed * gossip_bytes_per_second);
+            std::min(gossip_burst_bytes, this->budget + elapsed_s * gossip_bytes_per_second);
     }
     this->budget_at = now;
     const auto needed = static_cast<double>(bytes);
