--- a/src/settings.cpp
+++ b/src/settings.cpp
@@ -12,46 +12,48 @@
 
 namespace options = boost::program_options;
 
-constexpr std::size_t shortest_fleet_key = 16;
+constexpr std::size_t min_fleet_key_length = 16;
 
 struct number_setting {
     const char* name;
     std::uint32_t low;
     std::uint32_t high;
-    std::uint32_t fallback;
+    std::uint32_t default_value;
     const char* help;
     void (*apply)(settings&, std::uint32_t);
 };
 
-/** All numeric settings, with their ranges. */
+/** All numeric settings with their ranges and defaults. */
 const number_setting number_settings[] = {
-    {"stop-deadline-s", 1, 3600, 120, "seconds a planned stop may take before work is cut off",
+    {"stop-deadline-s", 1, 3600, 120,
+     "seconds a planned stop may take before work in flight is aborted",
      [](settings& s, std::uint32_t v) { s.stop_deadline_s = v; }},
-    {"stop-linger-s", 0, 600, 5, "seconds for which a stopping VM still serves new callers",
+    {"stop-linger-s", 0, 600, 5, "seconds for which a stopping VM still accepts new requests",
      [](settings& s, std::uint32_t v) { s.stop_linger_s = v; }},
     {"body-max-kb", 1, 6144, 4096, "largest request body, in KiB",
      [](settings& s, std::uint32_t v) { s.body_at_most = v * 1024; }},
-    {"idle-timeout-s", 1, 3600, 60, "seconds until an idle caller's connection is closed",
+    {"idle-timeout-s", 1, 3600, 60, "seconds after which a caller's idle connection is closed",
      [](settings& s, std::uint32_t v) { s.idle_timeout_s = v; }},
-    {"default-deadline-ms", 100, 3600000, 120000, "deadline of requests that bring none, in ms",
+    {"default-deadline-ms", 100, 3600000, 120000, "deadline of requests that state none, in ms",
      [](settings& s, std::uint32_t v) { s.default_deadline_ms = v; }},
-    {"server-idle-ms", 100, 600000, 20000, "ms without a byte until a server is given up",
+    {"server-idle-ms", 100, 600000, 20000, "ms without a byte after which a server is unresponsive",
      [](settings& s, std::uint32_t v) { s.server_idle_ms = v; }},
-    {"queue-capacity", 1, 100000, 256, "requests that may wait at one server's gate",
+    {"queue-capacity", 1, 100000, 256, "requests that may be queued at one server's gate",
      [](settings& s, std::uint32_t v) { s.node.queue_capacity = v; }},
     {"queue-wait-ms", 1, 600000, 10000, "longest wait in a gate's queue, in ms",
      [](settings& s, std::uint32_t v) { s.node.longest_wait = milliseconds(v); }},
     {"chat-capacity", 100, 10000000, 100000, "entries of the chat directory",
      [](settings& s, std::uint32_t v) { s.node.chat_capacity = v; }},
     {"platform-calls-per-s", 1, 10000, 40,
-     "calls of the platform that this VM may make, sustained; all VMs together stay below its rate",
+     "sustained platform calls of this VM; the sum over all VMs must stay below the platform's "
+     "limit",
      [](settings& s, std::uint32_t v) { s.platform_calls_per_s = v; }},
     {"claims-per-slice", 16, 5000, 256, "claims of idempotency keys in one object",
      [](settings& s, std::uint32_t v) { s.node.claims_per_slice = v; }},
     {"loads-at-once", 1, 1000, 4,
-     "model versions that engines load at a time, as the weight store bears",
+     "model versions that engines load at a time, limited by the weight store's throughput",
      [](settings& s, std::uint32_t v) { s.node.loads_at_once = v; }},
-    {"ramp-s", 0, 86400, 600, "seconds in which a new server takes new chats only",
+    {"ramp-s", 0, 86400, 600, "seconds for which a new server gets new chats only",
      [](settings& s, std::uint32_t v) { s.node.ramp_time_s = v; }},
     {"load-interval-ms", 20, 10000, 250, "ms between load summaries to other gates",
      [](settings& s, std::uint32_t v) { s.node.load_interval = milliseconds(v); }},
@@ -76,8 +78,9 @@
     add("admin", options::value<std::string>(), "ADDRESS:PORT for operators, HTTP");
     add("platform", options::value<std::string>(), "ADDRESS:PORT of the platform's object API");
     add("peers", options::value<std::string>()->default_value(""),
-        "ADDRESS:PORT,… of other VMs, for a start while the platform is down");
-    add("fleet-key", options::value<std::string>(), "secret of the fleet, 16 characters or more");
+        "ADDRESS:PORT,… of other VMs, contacted if the platform is down at the start");
+    add("fleet-key", options::value<std::string>(),
+        "shared secret of the fleet, 16 characters or more");
     add("admin-tokens", options::value<std::string>()->default_value(""),
         "NAME:viewer|operator:TOKEN,… of the operators");
     add("log-level", options::value<std::string>()->default_value("info"),
@@ -85,13 +88,14 @@
     for (const number_setting& item : number_settings) {
         const std::string help = std::string(item.help) + " (" + std::to_string(item.low) + " to " +
                                  std::to_string(item.high) + ")";
-        add(item.name, options::value<std::string>()->default_value(std::to_string(item.fallback)),
+        add(item.name,
+            options::value<std::string>()->default_value(std::to_string(item.default_value)),
             help.c_str());
     }
     return all;
 }
 
-std::string need(const options::variables_map& values, const char* name)
+std::string require_setting(const options::variables_map& values, const char* name)
 {
     if (values.count(name) == 0 || values[name].as<std::string>().empty()) {
         throw user_error("settings", "", std::string(name) + " is missing; give --" + name);
@@ -113,8 +117,8 @@
 {
     std::uint32_t value = 0;
     const auto [end, fault] = std::from_chars(text.data(), text.data() + text.size(), value);
-    const bool whole = fault == std::errc{} && end == text.data() + text.size();
-    if (!whole || value < item.low || value > item.high) {
+    const bool valid_number = fault == std::errc{} && end == text.data() + text.size();
+    if (!valid_number || value < item.low || value > item.high) {
         throw user_error("settings", "",
                          std::string(item.name) + "=" + text + " is not a whole number from " +
                              std::to_string(item.low) + " to " + std::to_string(item.high));
@@ -125,10 +129,10 @@
 void check_tokens(const std::vector<std::string>& tokens)
 {
     for (const std::string& token : tokens) {
-        const bool fits =
+        const bool well_formed =
             std::ranges::count(token, ':') == 2 && (token.find(":viewer:") != std::string::npos ||
                                                     token.find(":operator:") != std::string::npos);
-        if (!fits) {
+        if (!well_formed) {
             throw user_error("settings", "",
                              "admin-tokens: each must be NAME:viewer:TOKEN or "
                              "NAME:operator:TOKEN");
@@ -139,17 +143,17 @@
 settings read(const options::variables_map& values)
 {
     settings result;
-    result.vm.text = need(values, "vm");
-    result.data_centre.text = need(values, "data-centre");
-    result.link = parse_address("link", need(values, "link"));
-    result.front = parse_address("front", need(values, "front"));
-    result.admin = parse_address("admin", need(values, "admin"));
-    result.platform = parse_address("platform", need(values, "platform"));
+    result.vm.text = require_setting(values, "vm");
+    result.data_centre.text = require_setting(values, "data-centre");
+    result.link = parse_address("link", require_setting(values, "link"));
+    result.front = parse_address("front", require_setting(values, "front"));
+    result.admin = parse_address("admin", require_setting(values, "admin"));
+    result.platform = parse_address("platform", require_setting(values, "platform"));
     for (const std::string& peer : split(values["peers"].as<std::string>())) {
         result.peers.push_back(parse_address("peers", peer));
     }
-    result.fleet_key = need(values, "fleet-key");
-    if (result.fleet_key.size() < shortest_fleet_key) {
+    result.fleet_key = require_setting(values, "fleet-key");
+    if (result.fleet_key.size() < min_fleet_key_length) {
         throw user_error("settings", "",
                          "fleet-key has " + std::to_string(result.fleet_key.size()) +
                              " characters; it must have 16 or more");
