--- a/apps/worksshiftd.cpp
+++ b/apps/worksshiftd.cpp
@@ -1,6 +1,6 @@
 /** \file
- * The daemon: parses its settings, runs, and maps errors to exit codes: 0 stopped with nothing cut
- * off, 1 work was cut off at the stop's deadline, 2 bad settings, 3 an internal error.
+ * The router's main program. Exit codes: 0 stopped with all work complete, 1 work in flight was
+ * aborted by the stop deadline or a second stop signal, 2 invalid settings, 3 an internal error.
  */
 #include <csignal>
 #include <iostream>
@@ -21,7 +21,7 @@
             std::cout << "settings are valid\n";
             return 0;
         }
-        // A peer that closes its connection is an error of that connection, not a signal.
+        // Writing to a connection that the peer closed must return an error, not end the process.
         std::signal(SIGPIPE, SIG_IGN);
         worksshift::start_log(options.level, options.vm.text);
         worksshift::daemon process(options);
