--- a/src/link_hub.h
+++ b/src/link_hub.h
@@ -1,9 +1,10 @@
 /** \file
  * Links to other VMs: one TCP connection per pair, framed and authenticated by codec.h.
  *
- * A VM dials only when it has something to send and no connection from that VM is open. A message
- * that is still queued when dialling fails was never sent, and is reported as undelivered; after a
- * connection breaks, nothing can be said of what was written to it.
+ * A VM connects only when it has a message to send and no connection to or from that VM is open. A
+ * message that is still queued when connecting fails was never sent, and is reported as
+ * undelivered; once a connection is lost, it is unknown what of the data written to it was
+ * received.
  */
 #pragma once
 
@@ -22,10 +23,10 @@
 
 namespace worksshift {
 
-/** Counters for /metrics and for the measurement of control traffic. */
+/** Counters for /metrics and for benchmarks of control traffic. */
 struct link_counters {
     std::uint64_t bytes_sent = 0;
-    std::uint64_t control_bytes_sent = 0; ///< without attempts and their data
+    std::uint64_t control_bytes_sent = 0; ///< all but attempts and their data
     std::uint64_t frames_refused = 0;     ///< wrong key, wrong version, malformed, too long
     std::uint64_t connections_opened = 0;
 };
@@ -39,18 +40,18 @@
     link_hub(link_hub&&) = delete;
     link_hub& operator=(link_hub&&) = delete;
 
-    /** Sends a message; dials \p to at \p address when there is no link. */
+    /** Sends a message; connects to \p to at \p address if there is no link. */
     void send(const vm_id& to, const link_address& address, const link_message& message);
-    /** Whether messages to the VM have a link to go out on. */
+    /** Whether there is a link on which messages to the VM are sent. */
     [[nodiscard]] bool connected(const vm_id& to) const { return this->outgoing.contains(to); }
-    /** Closes links that were closed by a fault, and gives dialling up after a time. */
+    /** Removes links marked closed, and those whose peer has sent no hello within the timeout. */
     void sweep(instant now);
 
     [[nodiscard]] const link_counters& counters() const { return this->counts; }
 
     sigc::signal<void(const vm_id&, const link_message&)> on_message;
     sigc::signal<void(const vm_id&)> on_lost;
-    /** An attempt that was to be opened, and of which no byte left. */
+    /** An `open_attempt` message of which no byte was sent. */
     sigc::signal<void(const attempt_id&)> on_undelivered;
 
 private:
@@ -61,8 +62,8 @@
     link& dial(const vm_id& to, const link_address& address);
     link& add_link(bufferevent* socket);
     void read(link& item);
-    void take(link& item, link_message message);
-    void take_hello(link& item, const hello& greeting);
+    void handle(link& item, link_message message);
+    void handle_hello(link& item, const hello& greeting);
     void write(link& item, const link_message& message);
     void refuse(link& item, const std::string& why);
     void close(link& item);
@@ -74,7 +75,7 @@
     authenticator& keys;
     event_ptr<evconnlistener> listener;
     std::vector<link_ptr> links;
-    std::map<vm_id, link*> outgoing; ///< the link that messages to a VM go out on
+    std::map<vm_id, link*> outgoing; ///< the link on which messages to a VM are sent
     link_counters counts;
 };
 
