--- a/src/link_hub.cpp
+++ b/src/link_hub.cpp
@@ -11,8 +11,9 @@
 
 namespace {
 
-constexpr duration dial_timeout = seconds(2);
-constexpr std::size_t backlog_bytes_at_most = std::size_t{64} << 20U;
+constexpr duration hello_timeout = seconds(2);
+/** Unsent bytes on one link; beyond it the link is closed. */
+constexpr std::size_t max_backlog_bytes = std::size_t{64} << 20U;
 
 bool is_control(const link_message& message)
 {
@@ -42,13 +43,13 @@
     event_ptr<bufferevent> socket;
     frame_writer writer;
     frame_reader reader;
-    nonce own{}; ///< keys the frames that the peer sends after it read our hello
+    nonce own{}; ///< in the tags of the frames that the peer sends after it has read our hello
     vm_id peer;
     bool dialled = false;
-    bool greeted = false; ///< the peer's hello was read
-    bool closed = false;  ///< waits for the sweep
-    instant since = std::chrono::steady_clock::now();
-    std::deque<link_message> waiting; ///< until the peer's hello is read
+    bool hello_received = false; ///< the peer's hello was read
+    bool closed = false;         ///< removed by the next sweep
+    instant opened_at = std::chrono::steady_clock::now();
+    std::deque<link_message> pending_messages; ///< queued until the peer's hello is read
 };
 
 link_hub::link_hub(event_base* base, vm_id self, const link_address& listen, authenticator& keys)
@@ -63,7 +64,7 @@
                                 reinterpret_cast<const sockaddr*>(&target), sizeof target));
     if (this->listener == nullptr) {
         throw user_error("listen", listen.address + ":" + std::to_string(listen.port),
-                         "the link port cannot be opened");
+                         "cannot bind the TCP port for links");
     }
 }
 
@@ -111,8 +112,8 @@
 {
     const auto found = this->outgoing.find(to);
     link& item = found == this->outgoing.end() ? this->dial(to, address) : *found->second;
-    if (!item.greeted) {
-        item.waiting.push_back(message);
+    if (!item.hello_received) {
+        item.pending_messages.push_back(message);
         return;
     }
     this->write(item, message);
@@ -125,12 +126,12 @@
     this->counts.bytes_sent += frame.size();
     if (is_control(message)) this->counts.control_bytes_sent += frame.size();
     evbuffer* output = bufferevent_get_output(item.socket.get());
-    if (evbuffer_get_length(output) > backlog_bytes_at_most) {
-        this->refuse(item, "the peer reads too slowly");
+    if (evbuffer_get_length(output) > max_backlog_bytes) {
+        this->refuse(item, "send backlog exceeds 64 MiB: the peer reads too slowly");
         return;
     }
     evbuffer_add(output, frame.data(), frame.size());
-    if (item.greeted) write_now(item.socket.get());
+    if (item.hello_received) write_now(item.socket.get());
 }
 
 void link_hub::on_read(bufferevent* /*socket*/, void* context)
@@ -157,39 +158,41 @@
             const unsigned char* frame = evbuffer_pullup(input, static_cast<ev_ssize_t>(length));
             link_message message = item.reader.read({frame, length});
             evbuffer_drain(input, length);
-            this->take(item, std::move(message));
+            this->handle(item, std::move(message));
         }
     } catch (const error& fault) {
         this->refuse(item, fault.what());
     }
 }
 
-void link_hub::take(link& item, link_message message)
+void link_hub::handle(link& item, link_message message)
 {
     if (const auto* greeting = std::get_if<hello>(&message)) {
-        this->take_hello(item, *greeting);
+        this->handle_hello(item, *greeting);
         return;
     }
-    if (!item.greeted) throw peer_error("read frame", item.peer.text, "no hello");
+    if (!item.hello_received)
+        throw peer_error("read frame", item.peer.text, "first message is not a hello");
     this->on_message.emit(item.peer, message);
 }
 
-void link_hub::take_hello(link& item, const hello& greeting)
+void link_hub::handle_hello(link& item, const hello& greeting)
 {
-    if (item.greeted) throw peer_error("hello", item.peer.text, "a second hello");
+    if (item.hello_received) throw peer_error("hello", item.peer.text, "unexpected second hello");
     if (greeting.version != protocol_version) {
         throw peer_error("hello", greeting.vm.text,
-                         "protocol version " + std::to_string(greeting.version));
+                         "unsupported protocol version " + std::to_string(greeting.version));
     }
     if (item.dialled && greeting.vm != item.peer) {
-        throw peer_error("hello", greeting.vm.text, "another VM answers for " + item.peer.text);
+        throw peer_error("hello", greeting.vm.text,
+                         "a different VM responds at the address of " + item.peer.text);
     }
     item.peer = greeting.vm;
-    item.greeted = true;
+    item.hello_received = true;
     item.writer.set_nonce(greeting.nonce);
     item.reader.set_nonce(item.own);
     this->outgoing.try_emplace(item.peer, &item);
-    for (const link_message& message : std::exchange(item.waiting, {})) {
+    for (const link_message& message : std::exchange(item.pending_messages, {})) {
         this->write(item, message);
     }
 }
@@ -211,7 +214,7 @@
 void link_hub::sweep(instant now)
 {
     for (const link_ptr& item : this->links) {
-        if (!item->greeted && now - item->since > dial_timeout) item->closed = true;
+        if (!item->hello_received && now - item->opened_at > hello_timeout) item->closed = true;
     }
     std::vector<link_ptr> gone;
     for (link_ptr& item : this->links) {
@@ -222,7 +225,7 @@
         const auto found = this->outgoing.find(item->peer);
         const bool was_outgoing = found != this->outgoing.end() && found->second == item.get();
         if (was_outgoing) this->outgoing.erase(found);
-        for (const link_message& message : item->waiting) {
+        for (const link_message& message : item->pending_messages) {
             if (const auto* open = std::get_if<open_attempt>(&message)) {
                 this->on_undelivered.emit(open->id);
             }
