--- a/src/daemon.cpp
+++ b/src/daemon.cpp
@@ -14,10 +14,12 @@
 constexpr duration heartbeat_period = milliseconds(20);
 constexpr duration list_period = seconds(10);
 constexpr duration load_period = seconds(1);
-constexpr duration watch_pause = milliseconds(500);
-/** After the last answer is complete, for its last bytes to leave. */
-constexpr duration last_bytes_wait = milliseconds(300);
-constexpr std::uint32_t credit_step = 16 * 1024;
+/** Between two watches of the manifest, unless the first brought a newer one. */
+constexpr duration watch_interval = milliseconds(500);
+/** Time to flush the last response before the process exits. */
+constexpr duration flush_time = milliseconds(300);
+/** Credit is returned to a gate in steps of at least this many bytes, to bound its messages. */
+constexpr std::uint32_t min_credit_bytes = 16 * 1024;
 
 instant now()
 {
@@ -30,9 +32,9 @@
     return static_cast<std::uint64_t>(std::chrono::duration_cast<seconds>(since).count());
 }
 
-/** Rises with every start of a VM, so that a restarted one overrides what is said of its old life.
+/** Increases with every start of a VM, so that its state overrides that of its previous run.
  */
-std::uint64_t first_incarnation()
+std::uint64_t initial_incarnation()
 {
     const auto since = std::chrono::system_clock::now().time_since_epoch();
     return static_cast<std::uint64_t>(std::chrono::duration_cast<milliseconds>(since).count());
@@ -40,8 +42,8 @@
 
 member_update describe_self(const settings& options)
 {
-    return {options.vm,        options.data_centre, options.link.address,
-            options.link.port, first_incarnation(), member_state::alive};
+    return {options.vm,        options.data_centre,   options.link.address,
+            options.link.port, initial_incarnation(), member_state::alive};
 }
 
 } // namespace
@@ -96,16 +98,16 @@
         this->schedule_tick();
     });
     this->front.on_request.connect(
-        [this](const accepted_request& accepted) { this->take_request(accepted); });
+        [this](const accepted_request& accepted) { this->accept_request(accepted); });
     this->front.on_gone.connect([this](std::uint64_t request) {
         this->core.data().in.departures.push_back(request);
-        this->forget(request);
+        this->release_request(request);
         this->schedule_tick();
     });
     this->front.on_drained.connect([this](std::uint64_t request, std::uint32_t bytes) {
         this->return_credit(request, bytes);
     });
-    this->front.extra_metrics = [this] { return this->describe_numbers(); };
+    this->front.extra_metrics = [this] { return this->format_metrics(); };
     this->core.answers().on_head.connect(
         [this](std::uint64_t request, std::uint16_t status, const std::vector<header>& headers) {
             this->front.send_head(request, status, headers);
@@ -153,77 +155,77 @@
     this->calls.sweep(time);
     this->core.tick({time, unix_seconds()});
     for (const action& item : this->core.take_actions())
-        this->carry_out(item);
+        this->execute(item);
     for (const outgoing_gossip& datagram : this->core.members().drain()) {
         this->gossip.send(datagram, time);
     }
     const auto& config = this->core.config().config;
-    if (config != nullptr && config->revision != this->config_given) {
-        this->config_given = config->revision;
+    if (config != nullptr && config->revision != this->published_revision) {
+        this->published_revision = config->revision;
         this->front.set_config(config);
     }
     if (this->stopping) this->finish_stop_if_idle();
 }
 
-void daemon::carry_out(const action& item)
+void daemon::execute(const action& item)
 {
-    std::visit([this](const auto& order) { this->carry_out_one(order); }, item);
+    std::visit([this](const auto& order) { this->execute_one(order); }, item);
 }
 
-void daemon::carry_out_one(const send_message& order)
+void daemon::execute_one(const send_message& order)
 {
     this->send(order.to, order.message);
 }
 
-void daemon::carry_out_one(const start_call& order)
+void daemon::execute_one(const start_call& order)
 {
     this->calls.start(order, now());
 }
 
-void daemon::carry_out_one(const cancel_call& order)
+void daemon::execute_one(const cancel_call& order)
 {
     this->calls.cancel(order.id);
 }
 
-void daemon::carry_out_one(const bind_attempt& order)
+void daemon::execute_one(const bind_attempt& order)
 {
     const auto stream = this->streams.find(order.request);
     this->core.answers().bind(order.request, order.id, order.gate,
                               stream != this->streams.end() && stream->second);
 }
 
-void daemon::carry_out_one(const complete_request& order)
+void daemon::execute_one(const complete_request& order)
 {
-    this->forget(order.request);
+    this->release_request(order.request);
     this->front.complete(order.request);
 }
 
-void daemon::carry_out_one(const fail_request& order)
+void daemon::execute_one(const fail_request& order)
 {
-    this->forget(order.request);
+    this->release_request(order.request);
     this->front.fail(order);
 }
 
-void daemon::carry_out_one(const replay_request& order)
+void daemon::execute_one(const replay_request& order)
 {
-    this->forget(order.request);
+    this->release_request(order.request);
     this->front.replay(order);
 }
 
-void daemon::carry_out_one(const drop_request& order)
+void daemon::execute_one(const drop_request& order)
 {
-    this->forget(order.request);
+    this->release_request(order.request);
 }
 
-/** Drops what the data path holds of a request that is over. */
-void daemon::forget(std::uint64_t request)
+/** Releases the data path's state of a request that has ended. */
+void daemon::release_request(std::uint64_t request)
 {
     this->core.answers().release(request);
     this->streams.erase(request);
     this->credits.erase(request);
 }
 
-void daemon::carry_out_one(const object_call& order)
+void daemon::execute_one(const object_call& order)
 {
     this->platform.run(order, [this](const object_result& result) {
         this->core.data().in.objects.push_back(result);
@@ -231,7 +233,7 @@
     });
 }
 
-void daemon::carry_out_one(const start_order& order)
+void daemon::execute_one(const start_order& order)
 {
     this->engines.give_order(order, [this](order_ended ended) {
         this->core.data().in.orders_ended.push_back(std::move(ended));
@@ -246,8 +248,8 @@
         return;
     }
     const member* row = this->core.members().find(to);
-    // A link that is open serves also when this VM, just started, has not met the other yet: its
-    // requests need their answers.
+    // An open link is used even if this VM, just started, does not know the other member yet: the
+    // other's requests need their responses.
     if (row == nullptr && !this->links.connected(to)) {
         if (const auto* open = std::get_if<open_attempt>(&message)) {
             this->core.data().in.undelivered.push_back(open->id);
@@ -268,11 +270,11 @@
     }
     const bool data = std::holds_alternative<attempt_data>(message);
     this->core.receive(from, std::move(message));
-    // Data passes through at once; only what decides something needs a tick.
+    // Data frames are forwarded at once; only messages that need a decision schedule a tick.
     if (!data || !this->core.data().in.ended.empty()) this->schedule_tick();
 }
 
-void daemon::take_request(accepted_request accepted)
+void daemon::accept_request(accepted_request accepted)
 {
     this->streams[accepted.row.id] = accepted.stream;
     this->core.data().in.arrivals.push_back(std::move(accepted.row));
@@ -283,7 +285,7 @@
 {
     std::uint32_t& drained = this->credits[request];
     drained += bytes;
-    if (drained < credit_step) return;
+    if (drained < min_credit_bytes) return;
     const auto bound = this->core.answers().bound(request);
     if (!bound) return;
     this->send(bound->second, data_credit{bound->first, drained});
@@ -327,22 +329,22 @@
     this->platform.watch(manifest_object, this->manifest_version,
                          [this](const object_result& result) {
                              this->watching = false;
-                             this->take_manifest(result);
+                             this->handle_manifest(result);
                          });
 }
 
-void daemon::take_manifest(const object_result& result)
+void daemon::handle_manifest(const object_result& result)
 {
     const bool newer = result.status == object_status::ok;
-    // When a whole fleet starts at once, hundreds of VMs see the manifest before they have met
-    // their peers. Only watchers read the shards; the others get them from these.
-    const bool left_to_watchers = newer && !is_watcher(this->core.members());
-    this->watch_timer.start_once(newer && !left_to_watchers ? duration::zero() : watch_pause);
+    // When a whole fleet starts at once, hundreds of VMs see the manifest before they know their
+    // peers. Only watchers read the shards; the others fetch them from the watchers.
+    const bool fetched_by_watchers = newer && !is_watcher(this->core.members());
+    this->watch_timer.start_once(newer && !fetched_by_watchers ? duration::zero() : watch_interval);
     if (result.status == object_status::failed && this->core.config().revision() == 0) {
         log_event(log_level::warn, "waiting_for_config",
                   {{"step", "watch manifest"}, {"peer", "platform"}});
     }
-    if (!newer || left_to_watchers) return;
+    if (!newer || fetched_by_watchers) return;
     this->manifest_version = result.version;
     manifest_head head;
     try {
@@ -359,7 +361,7 @@
     this->fetcher.fetch(result.value, head,
                         [this](const std::optional<config_documents>& documents) {
                             if (!documents) {
-                                this->manifest_version = 0; // the watch brings it again
+                                this->manifest_version = 0; // so that the watch returns it again
                                 return;
                             }
                             this->core.offer(*documents);
@@ -411,17 +413,17 @@
 
 void daemon::finish_stop_if_idle()
 {
-    // The balancer goes on sending for a while after /healthz fails, and is served meanwhile.
+    // The load balancer keeps sending requests for a while after /healthz fails; they are served.
     if (now() - this->stop_since < seconds(this->options.stop_linger_s)) return;
     this->front.close();
     const bool idle = this->core.idle() && this->front.size() == 0 && this->calls.size() == 0;
     if (!idle || this->exiting) return;
     this->exiting = true;
-    const timeval wait = to_timeval(last_bytes_wait);
+    const timeval wait = to_timeval(flush_time);
     event_base_loopexit(this->base.get(), &wait);
 }
 
-std::string daemon::describe_numbers() const
+std::string daemon::format_metrics() const
 {
     const node_counters& counts = this->core.data().counters;
     std::ostringstream out;
@@ -443,7 +445,7 @@
         << "worksshift_link_bytes_total " << this->links.counters().bytes_sent << '\n'
         << "worksshift_link_refused_total " << this->links.counters().frames_refused << '\n'
         << "worksshift_platform_calls_total " << this->platform.calls() << '\n'
-        << "worksshift_config_revision " << this->config_given << '\n';
+        << "worksshift_config_revision " << this->published_revision << '\n';
     return out.str();
 }
 
--- a/src/daemon.h
+++ b/src/daemon.h
@@ -1,5 +1,5 @@
 /** \file
- * One worksshiftd process: carries bytes between sockets and the node's decisions.
+ * One worksshiftd process: connects sockets, timers and signals to the decisions of `node`.
  */
 #pragma once
 
@@ -25,42 +25,42 @@
     daemon(daemon&&) = delete;
     daemon& operator=(daemon&&) = delete;
 
-    /** Runs until a stop is complete. Returns the process's exit status: 0 when nothing was cut
-     * off. */
+    /** Runs until a stop is complete. Returns the process's exit status: 0 if no work was aborted,
+     * 1 otherwise. */
     int run();
 
 private:
     void connect_signals();
     void schedule_tick();
     void tick();
-    void carry_out(const action& item);
-    void carry_out_one(const send_message& order);
-    void carry_out_one(const start_call& order);
-    void carry_out_one(const cancel_call& order);
-    void carry_out_one(const bind_attempt& order);
-    void carry_out_one(const complete_request& order);
-    void carry_out_one(const fail_request& order);
-    void carry_out_one(const replay_request& order);
-    void carry_out_one(const drop_request& order);
-    void forget(std::uint64_t request);
-    void carry_out_one(const object_call& order);
-    void carry_out_one(const start_order& order);
+    void execute(const action& item);
+    void execute_one(const send_message& order);
+    void execute_one(const start_call& order);
+    void execute_one(const cancel_call& order);
+    void execute_one(const bind_attempt& order);
+    void execute_one(const complete_request& order);
+    void execute_one(const fail_request& order);
+    void execute_one(const replay_request& order);
+    void execute_one(const drop_request& order);
+    void release_request(std::uint64_t request);
+    void execute_one(const object_call& order);
+    void execute_one(const start_order& order);
 
     void send(const vm_id& to, link_message message);
     void receive(const vm_id& from, link_message message);
-    void take_request(accepted_request accepted);
+    void accept_request(accepted_request accepted);
     void return_credit(std::uint64_t request, std::uint32_t bytes);
 
     void start_discovery();
     void list_vms();
     void watch_config();
-    void take_manifest(const object_result& result);
+    void handle_manifest(const object_result& result);
     void poll_loads();
     void poll_load(const gate_row& gate);
 
     void stop();
     void finish_stop_if_idle();
-    std::string describe_numbers() const;
+    std::string format_metrics() const;
 
     settings options;
     event_ptr<event_base> base;
@@ -88,9 +88,10 @@
     signal_watch on_int;
 
     std::unordered_map<std::uint64_t, bool> streams; ///< whether the request asked for a stream
-    std::unordered_map<std::uint64_t, std::uint32_t> credits; ///< drained, not yet returned
+    std::unordered_map<std::uint64_t, std::uint32_t>
+        credits; ///< bytes drained but not yet returned
     std::uint64_t manifest_version = 0;
-    std::uint64_t config_given = 0; ///< revision that the front and the admin API have
+    std::uint64_t published_revision = 0; ///< of the configuration that the front uses
     bool watching = false;
     bool tick_scheduled = false;
     bool stopping = false;
