--- a/src/platform_client.cpp
+++ b/src/platform_client.cpp
@@ -12,8 +12,8 @@
 namespace {
 
 constexpr duration call_timeout = milliseconds(1500);
-constexpr duration turn_period = milliseconds(50);
-constexpr int watch_seconds = 30;
+constexpr duration queue_interval = milliseconds(50);
+constexpr int watch_timeout_s = 30;
 constexpr int status_ok = 200;
 constexpr int status_unchanged = 204;
 constexpr int status_missing = 404;
@@ -61,7 +61,7 @@
 platform_client::platform_client(event_base* base, http_caller& caller, link_address address,
                                  double calls_per_second)
     : caller(caller), address(std::move(address)), calls_per_second(calls_per_second),
-      turn(base, [this] { this->run_waiting(); })
+      queue_timer(base, [this] { this->run_queued(); })
 {
 }
 
@@ -69,9 +69,9 @@
 {
     const instant now = std::chrono::steady_clock::now();
     if (this->budget_at != instant{}) {
-        const double passed = std::chrono::duration<double>(now - this->budget_at).count();
+        const double elapsed_s = std::chrono::duration<double>(now - this->budget_at).count();
         this->budget =
-            std::min(platform_call_burst, this->budget + passed * this->calls_per_second);
+            std::min(platform_call_burst, this->budget + elapsed_s * this->calls_per_second);
     }
     this->budget_at = now;
 }
@@ -96,20 +96,20 @@
 
 void platform_client::run_in_turn(object_call call, object_handler handler)
 {
-    this->waiting.push_back({std::move(call), std::move(handler)});
-    this->run_waiting();
+    this->queued.push_back({std::move(call), std::move(handler)});
+    this->run_queued();
 }
 
-void platform_client::run_waiting()
+void platform_client::run_queued()
 {
     this->refill();
-    while (!this->waiting.empty() && this->budget >= platform_calls_spared + 1) {
-        waiting_call next = std::move(this->waiting.front());
-        this->waiting.pop_front();
+    while (!this->queued.empty() && this->budget >= platform_calls_spared + 1) {
+        queued_call next = std::move(this->queued.front());
+        this->queued.pop_front();
         this->take_budget();
         this->start(next.call, std::move(next.handler));
     }
-    if (!this->waiting.empty()) this->turn.start_once(turn_period);
+    if (!this->queued.empty()) this->queue_timer.start_once(queue_interval);
 }
 
 void platform_client::start(const object_call& call, object_handler handler)
@@ -133,9 +133,9 @@
         handler(to_result(0, response));
     };
     const std::string path = object_path(name) + "?after=" + std::to_string(version) +
-                             "&wait_s=" + std::to_string(watch_seconds);
+                             "&wait_s=" + std::to_string(watch_timeout_s);
     this->caller.call(this->address, EVHTTP_REQ_GET, path, {}, {},
-                      {seconds(watch_seconds) + call_timeout}, done);
+                      {seconds(watch_timeout_s) + call_timeout}, done);
 }
 
 void platform_client::list_vms(list_handler handler)
--- a/src/platform_client.h
+++ b/src/platform_client.h
@@ -1,10 +1,10 @@
 /** \file
  * Client of the platform's object API (docs/platform-api.md) and of its list of VMs.
  *
- * Each call has a deadline and counts against a budget of calls per second, so that a fault of ours
- * cannot load the platform. Calls that decide something now fail at once when the budget is spent;
- * bulk work (the shards of a configuration) waits in line for what the others leave of it. A failed
- * write says nothing of whether it took effect.
+ * Each call has a timeout and counts against a budget of calls per second, so that a fault in this
+ * program cannot overload the platform. When the budget is used up, urgent calls fail at once; bulk
+ * calls (the shards of a configuration) are queued and use only what the urgent ones leave. After a
+ * failed write it is unknown whether it took effect.
  */
 #pragma once
 
@@ -18,39 +18,39 @@
 
 namespace worksshift {
 
-constexpr double platform_call_burst = 100;
-constexpr double platform_calls_spared = 50; ///< of the burst, that bulk work leaves untouched
+constexpr double platform_call_burst = 100;  ///< calls; size of the token bucket
+constexpr double platform_calls_spared = 50; ///< of the burst, reserved for urgent calls
 
 class platform_client {
 public:
     using object_handler = std::function<void(const object_result&)>;
-    /** Nothing when the call failed. */
+    /** Gets std::nullopt if the call failed. */
     using list_handler = std::function<void(const std::optional<std::vector<listed_vm>>&)>;
 
-    /** \p calls_per_second bounds what this VM may ask of the platform, sustained. */
+    /** \p calls_per_second is the sustained rate of this VM's calls. */
     platform_client(event_base* base, http_caller& caller, link_address address,
                     double calls_per_second);
 
-    /** Reads or writes an object. */
+    /** Reads or writes an object; fails at once if the budget is used up. */
     void run(const object_call& call, object_handler handler);
-    /** The same, but waits for its turn while the budget is low. */
+    /** Reads or writes an object as bulk work, queued while the budget is low. */
     void run_in_turn(object_call call, object_handler handler);
-    /** Waits until the object is newer than \p version; `missing` when it did not change in time.
-     */
+    /** Waits until the object is newer than \p version; the result is `missing` if it did not
+     * change in time. */
     void watch(const std::string& name, std::uint64_t version, object_handler handler);
     void list_vms(list_handler handler);
 
     [[nodiscard]] std::uint64_t calls() const { return this->call_count; }
 
 private:
-    struct waiting_call {
+    struct queued_call {
         object_call call;
         object_handler handler;
     };
 
     void refill();
     bool take_budget();
-    void run_waiting();
+    void run_queued();
     void start(const object_call& call, object_handler handler);
 
     http_caller& caller;
@@ -59,8 +59,8 @@
     std::uint64_t call_count = 0;
     double budget = platform_call_burst;
     instant budget_at{};
-    std::deque<waiting_call> waiting;
-    timer turn;
+    std::deque<queued_call> queued;
+    timer queue_timer;
 };
 
 /** Parses the list of VMs. \throws peer_error. */
