--- a/test/correctness/status_shows_what_is_in_force.cpp
+++ b/test/correctness/status_shows_what_is_in_force.cpp
@@ -1,7 +1,7 @@
 /** \file
- * The revision that a VM's status shows is the one that its callers are served by. A document that
- * was accepted but waits for the tick is not in force yet, so what the status says of servers must
- * belong to the revision beside it, at any moment.
+ * The status of a VM shows the configuration revision that is in force. A document that is accepted
+ * but not yet applied by a tick is not in force, so the servers in a status must always match the
+ * revision in the same status.
  */
 #include <cppunit/extensions/HelperMacros.h>
 
@@ -15,6 +15,8 @@
     CPPUNIT_TEST_SUITE_END();
 
 public:
+    /** Guards against a status that combines a new revision with the servers of the previous one.
+     */
     void after_each_confirmation()
     {
         support::fleet_options options;
