--- a/test/error/bad_peers_are_refused.cpp
+++ b/test/error/bad_peers_are_refused.cpp
@@ -1,6 +1,6 @@
 /** \file
- * Frames and datagrams of a wrong key, a wrong version, a wrong order, too long or malformed are
- * refused; the codec never accepts a changed byte.
+ * Frames and datagrams with a wrong key, version or sequence number, too long or malformed, are
+ * refused; the codec never accepts a modified byte.
  */
 #include <array>
 
@@ -28,6 +28,7 @@
     CPPUNIT_TEST_SUITE_END();
 
 public:
+    /** Guards against a modified frame that is accepted, and a length over the maximum. */
     void changed_frames()
     {
         authenticator keys("0123456789abcdef");
@@ -45,6 +46,7 @@
         CPPUNIT_ASSERT_THROW(frame_reader::frame_length(bytes_of(long_head)), peer_error);
     }
 
+    /** Guards against a replayed frame, and against one that follows a dropped frame. */
     void repeated_frames()
     {
         authenticator keys("0123456789abcdef");
@@ -54,10 +56,12 @@
         const std::string second = writer.write(cancel_attempt{{1, 2}});
         reader.read(bytes_of(first));
         CPPUNIT_ASSERT_THROW(reader.read(bytes_of(first)), peer_error);
-        frame_reader skips(keys);
-        CPPUNIT_ASSERT_THROW(skips.read(bytes_of(second)), peer_error);
+        frame_reader after_drop(keys);
+        CPPUNIT_ASSERT_THROW(after_drop.read(bytes_of(second)), peer_error);
     }
 
+    /** Guards against datagrams authenticated by another key, truncated or over the maximum length.
+     */
     void wrong_key()
     {
         authenticator keys("0123456789abcdef");
@@ -72,6 +76,7 @@
         CPPUNIT_ASSERT(!write_datagram(keys, large).has_value());
     }
 
+    /** Guards against a VM that accepts, or is disturbed by, invalid data on its link port. */
     void noise_on_a_link()
     {
         support::fleet_options options;
@@ -91,11 +96,11 @@
         support::send_raw(port, frame_writer(right).write(greeting), 500);
         support::send_raw(port, std::string(64, '\xff'), 500);
         support::send_raw(port, "GET / HTTP/1.1\r\nHost: somewhere\r\n\r\n", 500);
-        const bool counted = support::fleet::wait_for(
+        const bool all_refused = support::fleet::wait_for(
             [&] { return fleet.metric(0, "worksshift_link_refused_total") >= 4; }, 5000);
-        CPPUNIT_ASSERT(counted);
-        const support::reply answer = fleet.chat(0, "a", "after noise", 5);
-        CPPUNIT_ASSERT_EQUAL(support::expected_stream("after noise", 5), answer.body);
+        CPPUNIT_ASSERT(all_refused);
+        const support::reply response = fleet.chat(0, "a", "after noise", 5);
+        CPPUNIT_ASSERT_EQUAL(support::expected_stream("after noise", 5), response.body);
     }
 };
 
