--- a/test/error/settings_name_the_fault.cpp
+++ b/test/error/settings_name_the_fault.cpp
@@ -1,5 +1,5 @@
 /** \file
- * A bad setting is refused with an error that names it, its value and the valid range.
+ * An invalid setting is refused with an error that names it, its value and the valid range.
  */
 #include <cppunit/extensions/HelperMacros.h>
 
@@ -19,7 +19,7 @@
     CPPUNIT_TEST_SUITE_END();
 
 public:
-    static std::string fault_of(std::vector<const char*> arguments)
+    static std::string error_of(std::vector<const char*> arguments)
     {
         arguments.insert(arguments.begin(), "worksshiftd");
         try {
@@ -30,7 +30,7 @@
         return {};
     }
 
-    static std::vector<const char*> good_arguments()
+    static std::vector<const char*> valid_arguments()
     {
         return {"--vm=a",
                 "--data-centre=dc",
@@ -41,37 +41,42 @@
                 "--fleet-key=0123456789abcdef"};
     }
 
+    /** Guards against an error without the valid range. */
     void out_of_range()
     {
-        auto arguments = good_arguments();
+        auto arguments = valid_arguments();
         arguments.push_back("--queue-capacity=0");
         CPPUNIT_ASSERT_EQUAL(std::string("queue-capacity=0 is not a whole number from 1 to 100000"),
-                             fault_of(arguments));
+                             error_of(arguments));
     }
 
+    /** Guards against an address without a port that is accepted. */
     void bad_address()
     {
-        auto arguments = good_arguments();
+        auto arguments = valid_arguments();
         arguments[2] = "--link=localhost";
-        const std::string fault = fault_of(arguments);
+        const std::string fault = error_of(arguments);
         CPPUNIT_ASSERT(fault.starts_with("link=localhost is not ADDRESS:PORT"));
     }
 
+    /** Guards against a start without a required setting. */
     void missing()
     {
-        auto arguments = good_arguments();
+        auto arguments = valid_arguments();
         arguments.erase(arguments.begin());
-        CPPUNIT_ASSERT_EQUAL(std::string("vm is missing; give --vm"), fault_of(arguments));
+        CPPUNIT_ASSERT_EQUAL(std::string("vm is missing; give --vm"), error_of(arguments));
     }
 
+    /** Guards against a fleet key that is too short to be secret. */
     void short_key()
     {
-        auto arguments = good_arguments();
+        auto arguments = valid_arguments();
         arguments.back() = "--fleet-key=short";
-        CPPUNIT_ASSERT(fault_of(arguments).starts_with("fleet-key has 5 characters"));
+        CPPUNIT_ASSERT(error_of(arguments).starts_with("fleet-key has 5 characters"));
     }
 
-    void good() { CPPUNIT_ASSERT_EQUAL(std::string(), fault_of(good_arguments())); }
+    /** Guards against valid settings that are refused. */
+    void good() { CPPUNIT_ASSERT_EQUAL(std::string(), error_of(valid_arguments())); }
 };
 
 CPPUNIT_TEST_SUITE_REGISTRATION(settings_name_the_fault);
