--- a/test/performance/control.cpp
+++ b/test/performance/control.cpp
@@ -1,7 +1,7 @@
 /** \file
- * Control traffic, processor time and memory of one node, by the size of the fleet: 8, 60, 240 and
- * 480 nodes' decisions, idle and with replacements a hundred times as often as the letter's 310 a
- * day. The slopes feed docs/CAPACITY.md.
+ * Control traffic, CPU time and memory per node for fleets of 8, 60, 240 and 480 nodes, idle and
+ * with VM replacements at 100 times the required rate of 310 a day. docs/CAPACITY.md extrapolates
+ * from the results.
  */
 #include <chrono>
 
@@ -40,13 +40,13 @@
         fleet.gossip_by_kind.clear();
         const double cpu_before = own_cpu_seconds();
         constexpr int span_s = 20;
-        // 310 a day, a hundred times as often, of 480 nodes; at least one.
-        const double each_s = 86400.0 / 310 / 100 * 480 / count;
-        double next = 1;
+        // Interval of replacements: 100 times the required 310 a day of 480 nodes.
+        const double replacement_interval_s = 86400.0 / 310 / 100 * 480 / count;
+        double next_replacement_s = 1;
         for (int s = 0; s < span_s; ++s) {
-            while (churn && next <= s) {
-                fleet.restart(static_cast<std::size_t>(next * 37) % nodes);
-                next += each_s;
+            while (churn && next_replacement_s <= s) {
+                fleet.restart(static_cast<std::size_t>(next_replacement_s * 37) % nodes);
+                next_replacement_s += replacement_interval_s;
             }
             fleet.run_for(seconds(1));
         }
