--- a/test/performance/drain.cpp
+++ b/test/performance/drain.cpp
@@ -1,6 +1,6 @@
 /** \file
- * Planned stops: with many streams in flight, every router in turn is stopped and replaced, and a
- * server is drained. Counted: streams cut, new work on the leaving server after 3 s.
+ * Planned stops: with many streams in flight, a server is drained and every router in turn is
+ * stopped and replaced. Measures broken streams, and new work on the drained server after 3 s.
  */
 #include <chrono>
 #include <fstream>
@@ -26,15 +26,15 @@
                                            report);
     const auto pause = [](int ms) { std::this_thread::sleep_for(std::chrono::milliseconds(ms)); };
     pause(4000);
-    const auto requests_of = [&](std::size_t i) {
+    const auto request_count = [&](std::size_t i) {
         return fleet.engine_stats(i)["requests"].get<double>();
     };
     fleet.change(0, {{"kind", "drain_server"}, {"server", "engine-0"}});
     pause(3000);
-    const double at_3_s = requests_of(0);
+    const double at_3_s = request_count(0);
     pause(1500);
-    const double late_work = requests_of(0) - at_3_s;
-    const bool emptied =
+    const double late_work = request_count(0) - at_3_s;
+    const bool drained =
         support::fleet::wait_for([&] { return fleet.engine_stats(0)["running"] == 0; }, 10000);
     int bad_exits = 0;
     double longest_stop_s = 0;
@@ -42,8 +42,8 @@
         const auto start = std::chrono::steady_clock::now();
         fleet.routers[i].process.signal(SIGTERM);
         if (fleet.routers[i].process.wait() != 0) ++bad_exits;
-        const std::chrono::duration<double> spent = std::chrono::steady_clock::now() - start;
-        longest_stop_s = std::max(longest_stop_s, spent.count());
+        const std::chrono::duration<double> elapsed = std::chrono::steady_clock::now() - start;
+        longest_stop_s = std::max(longest_stop_s, elapsed.count());
         fleet.start_router(i);
         support::fleet::wait_for([&] { return fleet.settled(fleet.routers.size()); }, 8000);
     }
@@ -59,7 +59,7 @@
     out.note("drain.not_run", result["not_run"], "requests");
     out.note("drain.connections_refused_after_stop", result["refused_connections"], "requests");
     out.at_most("drain.new_work_on_drained_server_after_3_s", late_work, "requests", 0);
-    out.at_least("drain.server_emptied", emptied ? 1 : 0, "flag", 1);
+    out.at_least("drain.server_emptied", drained ? 1 : 0, "flag", 1);
     out.at_most("drain.unclean_exits", bad_exits, "processes", 0);
     out.note("drain.longest_stop", longest_stop_s, "s");
     return out.exit_status();
