--- a/test/performance/control.cpp
+++ b/test/performance/control.cpp
@@ -40,7 +40,8 @@
         fleet.gossip_by_kind.clear();
         const double cpu_before = own_cpu_seconds();
         constexpr int span_s = 20;
-        // Interval of replacements: 100 times the required 310 a day of 480 nodes.
+        // Interval of replacements: 100 times the required 310 a day of 480 nodes,
+        // scaled to this fleet; the first is at 1 s, so that there is at least one.
         const double replacement_interval_s = 86400.0 / 310 / 100 * 480 / count;
         double next_replacement_s = 1;
         for (int s = 0; s < span_s; ++s) {
