--- a/test/correctness/whole_fleet_restarts.cpp
+++ b/test/correctness/whole_fleet_restarts.cpp
@@ -1,7 +1,7 @@
 /** \file
- * All VMs lose power at once and start again while the platform is down. They say what they wait
- * for and refuse requests unrun; when the platform is back they are in force again, and a ticket
- * that was filed before is not filed again.
+ * All VMs are killed at once and restart while the platform is down. Until the platform is back
+ * they refuse requests with outcome not_run; then they load the configuration, and a request with
+ * an idempotency key that was completed before is replayed, not run again.
  */
 #include <cppunit/extensions/HelperMacros.h>
 
@@ -32,12 +32,14 @@
         return sum;
     }
 
+    /** Guards against requests that run without a configuration, and against a claim that is lost
+     * with all VMs. */
     void while_the_platform_is_down()
     {
         support::fleet fleet({});
         fleet.start();
         CPPUNIT_ASSERT_EQUAL(201, file_ticket(fleet, 0).status);
-        // The outcome is recorded a moment after the answer; a repeat waits for that.
+        // The outcome is recorded shortly after the response; a repeated request waits for it.
         CPPUNIT_ASSERT_EQUAL(std::string("true"),
                              file_ticket(fleet, 1).header("X-Worksshift-Replayed"));
         CPPUNIT_ASSERT_EQUAL(std::size_t{1}, runs(fleet));
