--- a/test/performance/demo.cpp
+++ b/test/performance/demo.cpp
@@ -1,6 +1,7 @@
 /** \file
- * The demonstration: a fleet of separate processes on loopback does its daily work and loses parts
- * of itself, and a short report says whether each promise held. Exit status 1 if one broke.
+ * The demonstration: a fleet of separate processes on loopback serves chats and tickets while a
+ * server is drained and a router stopped, and a short report states whether each guarantee held.
+ * Exit status 1 if one did not.
  */
 #include <chrono>
 #include <cstdio>
@@ -11,7 +12,7 @@
 
 namespace {
 
-/** Prints one line of the report and remembers failures. */
+/** Prints one line of the report per check and records failures. */
 class report {
 public:
     void say(bool held, const std::string& what)
