--- a/test/performance/faults.cpp
+++ b/test/performance/faults.cpp
@@ -1,7 +1,8 @@
 /** \file
- * The faults of the brief on real processes: 8 routers, 20 engines, 4 plain services, with load
- * that checks every answer, while routers are killed, frozen and stopped, engines crash and break
- * off, and the platform goes away. Also non-idempotent tickets, each counted at the services.
+ * The required fault scenarios on real processes: 8 routers, 20 engines and 4 plain services under
+ * load that checks every response, while routers are killed, suspended and stopped, engines crash
+ * and break responses off, and the platform is down. Also non-idempotent tickets, whose runs are
+ * counted at the services.
  */
 #include <chrono>
 #include <cstdio>
@@ -17,7 +18,7 @@
 
 constexpr std::size_t router_count = 8;
 
-/** Sends tickets through all routers, each key twice, until told; counts the answers. */
+/** Counts of the responses to tickets. */
 struct ticket_result {
     std::uint32_t sent = 0;
     std::uint32_t created = 0;
@@ -26,6 +27,7 @@
     std::map<std::string, std::string> outcome_by_body;
 };
 
+/** Sends \p rounds tickets, each twice with the same key, through different routers. */
 ticket_result send_tickets(const support::fleet& fleet, int rounds)
 {
     ticket_result result;
@@ -111,7 +113,8 @@
     support::fleet fleet(options);
     fleet.start();
     const std::string report = std::string(WORKSSHIFT_BINARY_DIR) + "/faults-report.json";
-    // The load goes to the routers that are neither killed nor stopped: the balancer's part.
+    // Load goes only to the routers that are neither killed, suspended nor stopped, as a load
+    // balancer would send it.
     std::string targets;
     for (const std::size_t i : {0U, 1U, 2U, 3U}) {
         targets += (i == 0 ? "" : ",") + ("127.0.0.1:" + std::to_string(fleet.routers[i].front));
