--- a/test/support/core_fleet.cpp
+++ b/test/support/core_fleet.cpp
@@ -84,7 +84,7 @@
         this->build_node(i);
 }
 
-/** All servers of one service are in one region; a region's data centres take turns. */
+/** All servers of one service are in one region, distributed round robin over its data centres. */
 std::string core_fleet::data_centre_of(std::size_t server) const
 {
     const std::size_t centres = this->options.data_centres;
@@ -129,7 +129,7 @@
     this->events.push({when, this->orders++, std::move(action)});
 }
 
-/** Runs an action of a node's, now or when its pause is over, unless it died meanwhile. */
+/** Runs an action of a node, now or after its pause, unless the node has been killed since. */
 void core_fleet::for_vm(std::size_t index, std::uint64_t life, const std::function<void()>& action)
 {
     vm& item = this->vms[index];
@@ -201,7 +201,7 @@
 
 void core_fleet::finish(std::size_t index, std::uint64_t request, ending how)
 {
-    // Like the daemon's, also when the caller has gone meanwhile.
+    // As in the daemon, also if the caller has disconnected.
     this->vms[index].core->answers().release(request);
     const auto found = this->vms[index].requests.find(request);
     if (found == this->vms[index].requests.end()) return;
@@ -280,7 +280,7 @@
     const std::uint64_t epoch = this->link_epochs[{std::min(from, target), std::max(from, target)}];
     this->at(last, [this, from, target, life, sender, own_life, epoch,
                     message = std::move(message)] {
-        // What was under way when the sender died or the link was cut is lost.
+        // Messages in flight are lost if the sender was killed or the link was cut.
         const auto pair = std::pair{std::min(from, target), std::max(from, target)};
         const bool arrives = epoch == this->link_epochs[pair] && this->reachable(from, target) &&
                              this->vms[from].life == own_life && this->vms[from].up;
@@ -596,7 +596,7 @@
     }
 }
 
-/** An order that has left its node arrives, whatever becomes of the node. */
+/** An order that was sent arrives even if its node is killed. */
 void core_fleet::send_order(std::size_t index, const start_order& order)
 {
     const std::uint64_t life = this->vms[index].life;
@@ -717,7 +717,7 @@
 {
     this->gossip_cuts.clear();
     this->platform_cuts.clear();
-    // A cut that outlasts TCP's patience shows as a broken link; so does one that ends.
+    // The end of a partition breaks the link, as a TCP time-out would in a long partition.
     for (const auto& [a, b] : std::exchange(this->cuts, {}))
         this->break_link(a, b);
 }
--- a/test/support/core_fleet.h
+++ b/test/support/core_fleet.h
@@ -1,6 +1,7 @@
 /** \file
- * Many nodes' decisions in one plain loop: virtual time, messages handed over in memory with delay
- * and loss, servers and a platform as simple tables. No sockets and no network model.
+ * A simulation of a fleet in one process: the decisions of many nodes in virtual time, with
+ * messages passed in memory with delay and loss, and simple tables for servers and the platform. It
+ * uses no sockets and models no network.
  */
 #pragma once
 
@@ -27,7 +28,7 @@
     std::size_t data_centres = 4;
     std::size_t models = 1;
     std::size_t regions = 0;  ///< 0: all data centres are one region
-    std::uint32_t limit = 64; ///< of a server
+    std::uint32_t limit = 64; ///< requests in flight at a server
     double bound = 1.25;
     std::uint32_t accounts = 10;
     std::uint64_t seed = 1;
@@ -37,13 +38,13 @@
     double gossip_loss = 0;
     worksshift::duration heartbeat = milliseconds(250);
     double ms_per_cost = 5;       ///< run time of a request per token of cost
-    std::uint32_t pieces = 1;     ///< data frames of an answer
-    std::size_t cache_tokens = 0; ///< of a server; 0 keeps no cache
+    std::uint32_t pieces = 1;     ///< data frames of a response
+    std::size_t cache_tokens = 0; ///< of a server; 0: no cache
     bool plain = false;           ///< servers of a plain service rather than engines
     worksshift::node_settings settings;
 };
 
-/** 480 nodes before 1,400 servers of 110 services, one for each model and region. */
+/** The target fleet: 480 nodes, 1,400 servers and 110 services, one per model and region. */
 core_options target_size();
 
 /** A request as a caller makes it. */
@@ -63,7 +64,7 @@
 
 enum class ending : std::uint8_t { none, whole, not_run, unknown, replayed, gone };
 
-/** What became of a request. */
+/** The outcome of a request. */
 struct core_result {
     core_request request;
     std::string request_id;
@@ -85,8 +86,8 @@
     std::uint32_t peak = 0;
     std::uint64_t cost = 0;
     bool up = true;
-    bool crash_next = false;  ///< the next request breaks after its first piece
-    bool refuse_next = false; ///< the next request is refused unrun
+    bool crash_next = false;  ///< the next response breaks off after its first piece
+    bool refuse_next = false; ///< the next request is refused without being run
     bool tells_versions = false;
     bool checks_fence = true;
     std::set<std::string> loaded;
@@ -101,11 +102,12 @@
     std::map<std::uint64_t, std::uint64_t> by_use;                          ///< use: chat
     std::uint64_t uses = 0;
 
-    /** Counts what of the prompt was cached, and keeps all of it now; the least recent chats go. */
+    /** Counts the cached part of the prompt and caches all of it, evicting the chats least recently
+     * used. */
     void use_cache(const core_request& request, std::size_t capacity);
 };
 
-/** An order as it left a node. */
+/** An order as sent by a node. */
 struct order_given {
     instant at{};
     std::size_t node = 0;
@@ -114,7 +116,7 @@
     worksshift::order_kind kind = worksshift::order_kind::load;
 };
 
-/** Loads at the moments at which servers began a request, against the true mean then. */
+/** Loads of servers when they start a request, relative to the true mean at that time. */
 struct admission_tally {
     std::uint64_t admissions = 0;
     std::uint64_t over_bound = 0; ///< load before it at or above the bound times the mean after it
@@ -127,11 +129,11 @@
 public:
     explicit core_fleet(const core_options& options);
 
-    /** Runs events until the virtual time has moved by \p span. */
+    /** Runs events until the virtual time has advanced by \p span. */
     void run_for(worksshift::duration span);
     [[nodiscard]] instant now() const { return this->clock; }
 
-    /** Hands a request to a node; the index names its result. */
+    /** Submits a request to a node; returns the index of its result. */
     std::size_t submit(std::size_t node_index, const core_request& request);
     void hang_up(std::size_t result);
 
@@ -139,9 +141,9 @@
     void restart(std::size_t node_index);
     void leave(std::size_t node_index);
     void pause(std::size_t node_index, worksshift::duration span);
-    /** Messages between the two neither arrive nor fail until `heal`. */
+    /** Partitions two nodes: messages between them neither arrive nor fail until `heal`. */
     void cut(std::size_t a, std::size_t b);
-    /** Datagrams alone are lost between the two, so that views of the members drift apart. */
+    /** Drops only datagrams between two nodes, so that their membership views diverge. */
     void cut_gossip(std::size_t a, std::size_t b);
     void heal();
     void break_link(std::size_t a, std::size_t b);
@@ -172,11 +174,13 @@
     admission_tally admissions;
     bool tally_admissions = false;
     std::vector<order_given> orders_given;
-    worksshift::duration order_delay = milliseconds(5); ///< at most, between a node and an engine
-    worksshift::duration load_time = seconds(3);        ///< of a version
-    std::size_t loading_at_most = 0;                    ///< engines at once, as counted
-    /** Goes back to the objects of an earlier `back_up`, as a platform does from its backup. */
+    worksshift::duration order_delay =
+        milliseconds(5);                         ///< longest delay between a node and an engine
+    worksshift::duration load_time = seconds(3); ///< of a version
+    std::size_t loading_at_most = 0;             ///< engines at once, as counted
+    /** Saves the platform's objects for a later `restore_backup`. */
     void back_up() { this->backup = this->objects; }
+    /** Restores the saved objects under new versions, as a platform does from its backup. */
     void restore_backup();
     std::map<std::string, std::uint64_t> gossip_by_kind;
 
@@ -188,8 +192,8 @@
         std::uint64_t life = 0;
         instant paused_until{};
         bool tick_due = false;
-        std::vector<std::function<void()>> held;       ///< events for the time after a pause
-        std::map<std::uint64_t, std::size_t> requests; ///< id at this node: result
+        std::vector<std::function<void()>> held;       ///< events deferred until a pause ends
+        std::map<std::uint64_t, std::size_t> requests; ///< request id to index of its result
     };
     struct event {
         instant at{};
@@ -263,7 +267,7 @@
     std::map<std::pair<std::size_t, std::size_t>, instant> last_arrival;      ///< links keep order
 };
 
-/** Text of one data frame of the answer to a request. */
+/** Text of one data frame of the response to a request. */
 std::string piece_text(const std::string& request_id, std::uint32_t piece);
 
 } // namespace support
