--- a/test/support/fleet.cpp
+++ b/test/support/fleet.cpp
@@ -56,7 +56,7 @@
     return target;
 }
 
-/** Decodes chunks; whole is set when the last one was there. */
+/** Decodes chunked transfer coding; sets \p whole if the final chunk was received. */
 std::string decode_chunks(std::string_view bytes, bool& whole)
 {
     std::string text;
@@ -225,7 +225,7 @@
 
 std::uint16_t free_port()
 {
-    // Ports below the ephemeral range, so that no outgoing connection takes one meanwhile.
+    // Ports below the ephemeral range, so that no outgoing connection can take one before its use.
     static std::uint16_t next = static_cast<std::uint16_t>(10000 + (getpid() * 97) % 20000);
     for (;;) {
         ++next;
--- a/test/support/fleet.h
+++ b/test/support/fleet.h
@@ -1,6 +1,6 @@
 /** \file
- * A whole fleet as separate processes on loopback: the fakes, the routers, and what a test does to
- * them. Processes are ended by id when the object goes.
+ * A complete fleet as separate processes on loopback: the fakes, the routers, and operations on
+ * them for tests. The destructor ends the processes by id.
  */
 #pragma once
 
@@ -18,7 +18,7 @@
 
 namespace support {
 
-/** A process of ours. */
+/** A child process; killed and reaped by the destructor. */
 class child {
 public:
     child() = default;
@@ -31,9 +31,10 @@
     child& operator=(child&& other) noexcept;
 
     void signal(int number) const;
-    /** Waits for the end; the exit status, or 128 plus the signal that ended it. */
+    /** Waits for the exit; returns the exit status, or 128 plus the signal that ended the process.
+     */
     int wait();
-    /** Whether it has ended by now; its id is given up then. */
+    /** Whether the process has exited; if so, reaps it and clears its id. */
     bool ended();
     [[nodiscard]] bool running() const { return this->pid > 0; }
     [[nodiscard]] pid_t id() const { return this->pid; }
@@ -43,10 +44,10 @@
 };
 
 struct reply {
-    int status = 0; ///< 0: no answer
+    int status = 0; ///< 0: no response
     std::string head;
     std::string body;   ///< decoded if it was chunked
-    bool whole = false; ///< ended as HTTP says a whole answer ends
+    bool whole = false; ///< complete according to its HTTP framing
 
     [[nodiscard]] std::string header(const std::string& name) const;
     [[nodiscard]] nlohmann::json json() const;
@@ -56,7 +57,7 @@
 reply http(std::uint16_t port, const std::string& method, const std::string& path,
            const std::vector<worksshift::header>& headers = {}, const std::string& body = {},
            int timeout_ms = 10000);
-/** Sends bytes as they are and reads until the peer closes or the time is over. */
+/** Sends bytes unchanged and reads until the peer closes or the timeout expires. */
 std::string send_raw(std::uint16_t port, std::string_view bytes, int timeout_ms);
 /** Splits raw bytes into a reply. */
 reply parse_reply(const std::string& bytes);
@@ -118,16 +119,17 @@
                std::vector<worksshift::header> headers = {}) const;
     reply admin(std::size_t router_index, const std::string& method, const std::string& path,
                 const std::string& body = {}) const;
-    /** Makes a plan and confirms it. Returns the confirmation. */
+    /** Creates a plan and confirms it. Returns the response to the confirmation, or to the plan if
+     * that failed. */
     reply change(std::size_t router_index, const nlohmann::json& intent) const;
     void set_faults(const nlohmann::json& faults) const;
     [[nodiscard]] nlohmann::json engine_stats(std::size_t index) const;
     [[nodiscard]] nlohmann::json service_stats(std::size_t index) const;
-    /** A number out of a router's /metrics. */
+    /** A value from a router's /metrics; 0 if it is not there. */
     [[nodiscard]] double metric(std::size_t router_index, const std::string& name) const;
-    /** Runs worksshift-load against the routers; its report. */
+    /** Runs worksshift-load against the routers; returns its report. */
     nlohmann::json load(const std::vector<std::string>& arguments) const;
-    /** Starts it; the report stands in the file later. */
+    /** Starts worksshift-load, which writes its report to a file when it ends. */
     child start_load(const std::vector<std::string>& arguments, const std::string& report) const;
     [[nodiscard]] std::string fronts() const;
 
