--- a/src/codec.cpp
+++ b/src/codec.cpp
@@ -154,7 +154,8 @@
     for (const std::uint8_t byte : head.first(length_size))
         length = length << 8U | byte;
     if (length < tag_size || length + length_size > frame_at_most) {
-        throw peer_error("read frame", "", "invalid frame length: " + std::to_string(length));
+        throw peer_error("read frame", "",
+                         "invalid frame length: " + std::to_string(length) + " bytes");
     }
     return length + length_size;
 }
--- a/src/membership.h
+++ b/src/membership.h
@@ -71,8 +71,8 @@
 
     /** Handles an authenticated datagram; replies are returned by the next `drain`. */
     void receive(const gossip_message& message, instant now);
-    /** Merges the platform's list. Because the list lags, it only adds members and lets dead members
-     * that are not in it be removed early; it never marks a responding member dead. */
+    /** Merges the platform's list. Because the list lags, it only adds members and lets dead
+     * members that are not in it be removed early; it never marks a responding member dead. */
     void merge_list(std::span<const listed_vm> list, instant now);
     /** Probes the address of a VM whose name is not known yet. */
     void add_seed(const std::string& address, std::uint16_t port);
