--- a/src/codec.h
+++ b/src/codec.h
@@ -3,9 +3,10 @@
  * limited in length and authenticated with HMAC-SHA256 under the fleet key.
  *
  * A link frame is `length (4 bytes, big endian) | tag (16) | body`. The tag covers the receiver's
- * nonce, the frame's sequence number on the connection and the body, so a modified, replayed,
- * dropped or injected frame is detected. A datagram is `tag (16) | body`; replayed datagrams are
- * harmless, because incarnations and revisions only increase and each nonce is used once.
+ * nonce, the frame's sequence number on the connection and the body, so a frame that is
+ * modified, replayed, dropped or moved to another connection is detected. A datagram is `tag (16) |
+ * body`; replayed datagrams are harmless, because incarnations and revisions only increase and an
+ * ack whose nonce is no longer pending is ignored.
  */
 #pragma once
 
