--- a/lab/experiment.cpp
+++ b/lab/experiment.cpp
@@ -295,10 +295,10 @@
     vm_model& vm = *this->vms[item->vm];
     vm.admission_control.on_request(engines_service, item->work.shared, this->now);
     const placing wanted{engines_service, true, item->work.shared, {}, item->work.priority};
-    const verdict decided = vm.admission_control.decide(wanted, true, this->now);
+    const admission_decision decided = vm.admission_control.decide(wanted, true, this->now);
     std::visit(
-        visitor{[&](const send_to& to) { this->send(item, to.where); },
-                [&](const come_back& answer) { this->schedule_retry(item, answer.retry_after); },
+        visitor{[&](const admit_to& to) { this->send(item, to.where); },
+                [&](const retry_later& answer) { this->schedule_retry(item, answer.retry_after); },
                 [&](const no_server&) { this->record_outcome(*item, false); }},
         decided);
 }
@@ -445,7 +445,7 @@
         vm->table.expire_stated(this->now);
         vm->table.mark_slow(this->now);
         vm->table.sum_loads(this->now);
-        vm->admission_control.set_fleet_demand(static_cast<double>(this->vms.size()));
+        vm->admission_control.set_fleet_demand_multiple(static_cast<double>(this->vms.size()));
     }
 }
 
@@ -555,7 +555,7 @@
         {"no-slot-limit", [](placement_policy& policy) { policy.wait_of_objective = 0; }},
         {"no-rate-limit", [](placement_policy& policy) { policy.busy_from = 0; }},
         {"no-slow", [](placement_policy& policy) { policy.slow_multiple = 0; }},
-        {"no-spread", [](placement_policy& policy) { policy.spread_of_loads = 0; }},
+        {"no-spread", [](placement_policy& policy) { policy.load_spread = 0; }},
         {"no-hot-prompts", [](placement_policy& policy) { policy.hot_prompt_share = 0; }},
         {"any-rank", [](placement_policy& policy) { policy.ranks_to_wait_at = 1000; }},
         {"no-margin", [](placement_policy& policy) { policy.lateness_margin = 0; }},
--- a/src/admission.cpp
+++ b/src/admission.cpp
@@ -16,12 +16,12 @@
 double load_age_s(const service_load& load)
 {
     const bool stated_by_most = load.stated * 2 >= load.engines;
-    return stated_by_most ? load.age_s : as_seconds(sums_are_late_by);
+    return stated_by_most ? load.age_s : as_seconds(load_sums_staleness);
 }
 
 } // namespace
 
-verdict admission::decide(placing wanted, bool may_refuse, instant now)
+admission_decision admission::decide(placing wanted, bool may_refuse, instant now)
 {
     if (wanted.engine) wanted.engines = this->engine_count_for(wanted, now);
     const placed where = this->table.choose(wanted, now);
@@ -29,21 +29,21 @@
         const std::optional<instant> opens = this->table.opens_at(wanted, now);
         return no_server{opens ? std::max(*opens - now, duration::zero()) : duration::zero()};
     }
-    if (!wanted.engine) return send_to{where};
+    if (!wanted.engine) return admit_to{where};
     service_state& state = this->services[wanted.service];
-    state.mean_priority += (wanted.priority - state.mean_priority) / requests_of_usual;
-    const admission_view view = this->measure_load(wanted.service, now);
+    state.mean_priority += (wanted.priority - state.mean_priority) / mean_priority_requests;
+    const admission_inputs view = this->measure_load(wanted.service, now);
     const bool refused =
         where.crowded || this->exceeds_share(view.share * state.priority_boost(wanted), view);
     if (refused && may_refuse) {
-        return come_back{where, state.overload.refuse(now, this->random), view};
+        return retry_later{where, state.overload.refuse(now, this->random), view};
     }
     state.admitted.on_request(now);
-    return send_to{where};
+    return admit_to{where};
 }
 
 /** Random decision to refuse a request of whose priority the \p share is admitted. */
-bool admission::exceeds_share(double share, const admission_view& view)
+bool admission::exceeds_share(double share, const admission_inputs& view)
 {
     // Priorities matter only while some requests have to be refused.
     if (view.share >= 1) return false;
@@ -53,7 +53,7 @@
 double admission::service_state::priority_boost(const placing& wanted) const
 {
     const double ahead = this->mean_priority - wanted.priority;
-    return std::clamp(1 + favour_of_urgency * ahead, least_favour, most_favour);
+    return std::clamp(1 + priority_boost_per_step * ahead, min_priority_boost, max_priority_boost);
 }
 
 /** Number of engines over which the prompt is spread, so that its requests take at most
@@ -72,10 +72,10 @@
 
 /** Measures demand and load of the service. While nearly all slots are in use, the admitted share
  * is the fraction of the demand that the engines can serve; otherwise it is 1. */
-admission_view admission::measure_load(const service_id& service, instant now)
+admission_inputs admission::measure_load(const service_id& service, instant now)
 {
     const service_load load = this->table.load_of(service);
-    admission_view view;
+    admission_inputs view;
     if (load.slots <= 0 || load.span_s <= 0) return view;
     const service_state& state = this->services[service];
     view.asked = state.demand.rate(now) * this->fleet_multiple;
@@ -90,7 +90,7 @@
     }
     // Admits less than the service rate while requests are queued, to drain the queue, and more
     // while slots are free, to fill them.
-    const double correction = std::clamp(2 - view.taken, least_correction, most_correction);
+    const double correction = std::clamp(2 - view.taken, min_rate_correction, max_rate_correction);
     view.share = std::min(1.0, view.served / view.asked * correction);
     return view;
 }
--- a/src/admission.h
+++ b/src/admission.h
@@ -23,11 +23,11 @@
 namespace worksshift {
 
 /** The request is sent to the chosen server. */
-struct send_to {
+struct admit_to {
     placed where;
 };
 /** Inputs of an admission decision, for the log. */
-struct admission_view {
+struct admission_inputs {
     double share = 1;  ///< fraction of the requests that is admitted
     double asked = 0;  ///< demand of the whole fleet, requests per second
     double served = 0; ///< requests per second that the engines complete with all slots in use
@@ -35,33 +35,33 @@
 };
 
 /** The request is refused; its caller should retry after `retry_after`. */
-struct come_back {
+struct retry_later {
     placed where; ///< the chosen engine, or the least loaded one if none has a slot
     duration retry_after{};
-    admission_view view;
+    admission_inputs view;
 };
 /** No server accepts the request. */
 struct no_server {
     /** Time until a cold server or one that is backing off accepts the request; zero if none is
      * known to. */
-    duration opens_in{};
+    duration available_in{};
 };
-using verdict = std::variant<send_to, come_back, no_server>;
+using admission_decision = std::variant<admit_to, retry_later, no_server>;
 
 /** Age of the summed in-flight counts, used where engines do not state their own load. Requests
  * admitted above the engines' service rate during this time are added to the known load. */
-constexpr duration sums_are_late_by = milliseconds(700);
+constexpr duration load_sums_staleness = milliseconds(700);
 /** A request one priority level more urgent than the mean is admitted more often by this fraction,
  * within the limits below. Without it, request classes whose callers retry later, further into an
  * overload, would be served less often than less urgent ones. */
-constexpr double favour_of_urgency = 0.4;
-constexpr double least_favour = 0.5;
-constexpr double most_favour = 1.15;
+constexpr double priority_boost_per_step = 0.4;
+constexpr double min_priority_boost = 0.5;
+constexpr double max_priority_boost = 1.15;
 /** Number of requests over which the mean priority is averaged. */
-constexpr double requests_of_usual = 64;
+constexpr double mean_priority_requests = 64;
 /** Limits of the factor by which the admitted rate may differ from the engines' service rate. */
-constexpr double least_correction = 0.4;
-constexpr double most_correction = 1.25;
+constexpr double min_rate_correction = 0.4;
+constexpr double max_rate_correction = 1.25;
 class admission {
 public:
     explicit admission(server_table& table, unsigned seed = std::random_device{}())
@@ -77,12 +77,12 @@
     }
     /** \p may_refuse: whether the request has run nowhere, so that it may be refused as "not run".
      * \return the chosen server, a refusal, or `no_server`. */
-    verdict decide(placing wanted, bool may_refuse, instant now);
+    admission_decision decide(placing wanted, bool may_refuse, instant now);
 
     /** Rate of requests for model engines that arrive at this VM, per second. */
     [[nodiscard]] double engine_requests_per_s(instant now) const;
     /** Sets the ratio of the fleet's rate of engine requests to this VM's. */
-    void set_fleet_demand(double multiple) { this->fleet_multiple = multiple; }
+    void set_fleet_demand_multiple(double multiple) { this->fleet_multiple = multiple; }
 
 private:
     struct service_state {
@@ -95,9 +95,9 @@
         overload_watch overload;
     };
 
-    bool exceeds_share(double share, const admission_view& view);
+    bool exceeds_share(double share, const admission_inputs& view);
     [[nodiscard]] std::size_t engine_count_for(const placing& wanted, instant now) const;
-    [[nodiscard]] admission_view measure_load(const service_id& service, instant now);
+    [[nodiscard]] admission_inputs measure_load(const service_id& service, instant now);
 
     server_table& table;
     std::map<service_id, service_state> services;
--- a/src/event_stream.h
+++ b/src/event_stream.h
@@ -21,15 +21,15 @@
     void resume() { this->partial.clear(); }
 
     /** Whether bytes of an incomplete event are buffered. */
-    [[nodiscard]] bool inside_event() const { return !this->partial.empty(); }
-    /** Id of the last forwarded event, or the one set by `start_after`; std::nullopt if there is
-     * none.
+    [[nodiscard]] bool has_partial_event() const { return !this->partial.empty(); }
+    /** Id of the last forwarded event, or the one set by `set_last_event_id`; std::nullopt if there
+     * is none.
      */
     [[nodiscard]] std::optional<std::uint64_t> last_id() const { return this->last; }
     /** Number of forwarded events. */
     [[nodiscard]] std::uint64_t events() const { return this->count; }
     /** Sets the id after which the caller asked to resume. */
-    void start_after(std::optional<std::uint64_t> id) { this->last = id; }
+    void set_last_event_id(std::optional<std::uint64_t> id) { this->last = id; }
 
 private:
     bool is_new(std::string_view event);
--- a/src/first_event_delay.h
+++ b/src/first_event_delay.h
@@ -18,16 +18,16 @@
     /** Weights of a new sample in the moving average, when it is longer or shorter than the
      * average. An engine that processes a long prompt for the first time is late once, a slow
      * engine every time, so a shorter delay has more weight. */
-    static constexpr double weight_of_longer = 0.15;
-    static constexpr double weight_of_shorter = 0.6;
+    static constexpr double weight_of_increase = 0.15;
+    static constexpr double weight_of_decrease = 0.6;
     /** Without new samples, the average decays to 1/e in this time. */
-    static constexpr duration fades_in = seconds(5);
+    static constexpr duration decay_time = seconds(5);
 
     void add(duration delay, instant now)
     {
         const double previous = this->at(now);
         const double change = as_seconds(delay) - previous;
-        this->value = previous + (change > 0 ? weight_of_longer : weight_of_shorter) * change;
+        this->value = previous + (change > 0 ? weight_of_increase : weight_of_decrease) * change;
         this->seen = now;
     }
 
@@ -42,7 +42,7 @@
     static double as_seconds(duration span) { return std::chrono::duration<double>(span).count(); }
     [[nodiscard]] double at(instant now) const
     {
-        return this->value * std::exp(-as_seconds(now - this->seen) / as_seconds(fades_in));
+        return this->value * std::exp(-as_seconds(now - this->seen) / as_seconds(decay_time));
     }
 
     double value = 0; ///< seconds
--- a/src/fleet_retry_budget.h
+++ b/src/fleet_retry_budget.h
@@ -25,7 +25,7 @@
 public:
     /** Fraction of the allowance that is used. VMs count windows by their own clocks, and requests
      * that never arrive here add to no VM's allowance. */
-    static constexpr double used_share = 0.7;
+    static constexpr double allowance_safety_factor = 0.7;
 
     void on_request(instant now) { this->requests.push_back(now); }
 
@@ -38,7 +38,8 @@
         const double own_slack =
             settings.slack / static_cast<double>(std::max<std::size_t>(vms, 1));
         const double allowed =
-            used_share * (settings.ratio * static_cast<double>(this->requests.size()) + own_slack);
+            allowance_safety_factor *
+            (settings.ratio * static_cast<double>(this->requests.size()) + own_slack);
         if (static_cast<double>(this->retries.size()) + 1 > allowed) return false;
         this->retries.push_back(now);
         return true;
--- a/src/live_request.h
+++ b/src/live_request.h
@@ -20,9 +20,9 @@
     http_head head;
     std::string body;
     request_facts facts;
-    /** The configuration at admission. Keeps `way` and `account_regions` valid. */
+    /** The configuration at admission. Keeps `matched_route` and `account_regions` valid. */
     router_config_ptr config;
-    const route* way = nullptr;
+    const route* matched_route = nullptr;
     client_account_id account;
     std::span<const region_id> account_regions; ///< allowed by the account; part of `config`
     unsigned priority = 0;                      ///< 0 is the most urgent
@@ -33,27 +33,27 @@
     instant arrived{};
     instant deadline{};
 
-    std::vector<server_id> tried; ///< one for each send, in order
+    std::vector<server_id> tried_servers; ///< one for each send, in order
     unsigned sends = 0;
     unsigned runs = 0; ///< sends that may have run
     std::uint64_t attempt = 0;
     server_entry* row = nullptr; ///< server of the current attempt; nullptr: none
     placed where;
     duration loads_age{}; ///< age of the other VMs' loads when the server was chosen
-    instant attempt_since{};
+    instant attempt_started_at{};
     instant sent{};      ///< when the attempt was sent; the epoch once its first event has arrived
     instant last_byte{}; ///< last response byte of the attempt, or when it was sent
 
     std::optional<std::uint32_t> told_load; ///< load that the server stated in its response
     http_head answer;
-    duration come_back_in{}; ///< until a server accepts the request; zero: not known
-    bool refused = false;    ///< the response shows that the attempt did not run
+    duration retry_after_hint{}; ///< until a server accepts the request; zero: not known
+    bool refused = false;        ///< the response shows that the attempt did not run
     bool streaming = false;
-    bool unusable = false; ///< the response cannot continue what the caller already has
-    bool begun = false;    ///< the response head was sent to the caller
-    bool gone = false;     ///< the caller disconnected; the attempt is left to complete
+    bool cannot_resume = false;  ///< the response cannot continue what the caller already has
+    bool response_begun = false; ///< the response head was sent to the caller
+    bool caller_left = false;    ///< the caller disconnected; the attempt is left to complete
     bool ended = false;
-    std::string held; ///< buffered body of a response not yet forwarded
+    std::string buffered_body; ///< buffered body of a response not yet forwarded
     event_stream events;
     instant first_event{}; ///< when it was forwarded; the epoch: not yet
 };
--- a/src/placement_policy.h
+++ b/src/placement_policy.h
@@ -32,7 +32,7 @@
     /** The load at which an engine counts as full is randomised per request by up to this many
      * requests in either direction. Loads of other VMs are known late; without this all VMs would
      * start or stop sending to an engine at the same moment. */
-    double spread_of_loads = 4;
+    double load_spread = 4;
     /** An engine whose time to first event exceeds this multiple of the first quartile counts as
      * slow and is used only if no other has a slot; 0: none counts as slow. With half of the
      * engines at a sixth of their speed during a wave of short requests, late requests fell from
--- a/src/prompt_demand.h
+++ b/src/prompt_demand.h
@@ -19,13 +19,13 @@
 class prompt_demand {
 public:
     /** The weight of past requests decays to 1/e in this time. */
-    static constexpr duration fades_in = seconds(3);
+    static constexpr duration decay_time = seconds(3);
     /** Maximum number of tracked prompts. When it is reached, decayed entries are evicted. */
-    static constexpr std::size_t prompts_at_most = 4096;
+    static constexpr std::size_t max_prompts = 4096;
 
     void on_request(std::uint64_t prompt, instant now)
     {
-        if (this->prompts.size() >= prompts_at_most) this->evict_decayed(now);
+        if (this->prompts.size() >= max_prompts) this->evict_decayed(now);
         entry& item = this->prompts[prompt];
         item.weight = item.decayed_weight(now) + 1;
         item.at = now;
@@ -39,7 +39,8 @@
         if (found == this->prompts.end()) return 0;
         const double weight = found->second.decayed_weight(now);
         const double lower_bound = weight - std::sqrt(weight);
-        return lower_bound <= 0 ? 0 : lower_bound / std::chrono::duration<double>(fades_in).count();
+        return lower_bound <= 0 ? 0
+                                : lower_bound / std::chrono::duration<double>(decay_time).count();
     }
 
 private:
@@ -50,7 +51,7 @@
         [[nodiscard]] double decayed_weight(instant now) const
         {
             const std::chrono::duration<double> span = now - this->at;
-            return this->weight * std::exp(-span / std::chrono::duration<double>(fades_in));
+            return this->weight * std::exp(-span / std::chrono::duration<double>(decay_time));
         }
     };
 
@@ -62,7 +63,7 @@
         });
         // No entry has decayed. With this many active prompts the rate of each is low, so all are
         // dropped.
-        if (this->prompts.size() >= prompts_at_most) this->prompts.clear();
+        if (this->prompts.size() >= max_prompts) this->prompts.clear();
     }
 
     std::unordered_map<std::uint64_t, entry> prompts;
--- a/src/request_path.cpp
+++ b/src/request_path.cpp
@@ -107,7 +107,7 @@
     item.body = std::move(request.body);
     this->requests.emplace(item.id, std::move(made));
     if (this->config == nullptr) {
-        item.deadline = item.arrived + first_config_within;
+        item.deadline = item.arrived + first_config_timeout;
         this->awaiting_config.push_back(item.id);
     } else {
         this->begin(item);
@@ -125,13 +125,13 @@
 bool request_path::resolve_route(live_request& item)
 {
     const std::string* host = item.head.find("host");
-    item.way = host == nullptr ? nullptr : item.config->find(*host, item.head.target);
-    if (item.way == nullptr) {
+    item.matched_route = host == nullptr ? nullptr : item.config->find(*host, item.head.target);
+    if (item.matched_route == nullptr) {
         this->answer_locally(item, not_found, "no route");
         return false;
     }
-    item.priority = item.way->priority;
-    if (!item.way->is_public) {
+    item.priority = item.matched_route->priority;
+    if (!item.matched_route->is_public) {
         const auto account = item.config->account_of_key.find(item.facts.api_key);
         if (account == item.config->account_of_key.end()) {
             this->answer_locally(item, unauthorized, "unknown key");
@@ -141,18 +141,18 @@
         item.account_regions = account->second.allowed_regions;
         item.priority = account->second.priority.value_or(item.priority);
     }
-    item.service = pick_target(*item.way, item.facts.id);
+    item.service = pick_target(*item.matched_route, item.facts.id);
     const auto traits = item.config->services.find(item.service);
     item.engine = traits != item.config->services.end() && traits->second.engine;
     item.affinity = affinity_of(item.facts.prompt);
-    item.content = content_of(item.way->host, item.head.target, item.account, item.body);
-    duration span = item.way->timeout;
+    item.content = content_of(item.matched_route->host, item.head.target, item.account, item.body);
+    duration span = item.matched_route->timeout;
     if (item.facts.deadline) span = std::min<duration>(span, *item.facts.deadline);
     item.deadline = item.arrived + span;
     // On other routes a server that resumed would return only the tail of its response, which the
     // caller could not tell from a complete one.
-    if (item.way->resumable) {
-        item.events.start_after(item.facts.last_event_id);
+    if (item.matched_route->resumable) {
+        item.events.set_last_event_id(item.facts.last_event_id);
     } else if (item.facts.last_event_id) {
         this->numbers.count("worksshift_ignored_resumptions_total");
     }
@@ -169,12 +169,12 @@
     const instant time = now();
     const std::optional<block> found = this->suspect_contents.blocked(item.content, time);
     if (!found) return false;
-    if (found->trial_due && this->makes_trials(item.content)) {
+    if (found->trial_due && this->is_trial_vm(item.content)) {
         this->suspect_contents.begin_trial(item.content, time);
         return false;
     }
     this->numbers.count("worksshift_blocked_total");
-    item.come_back_in = found->until_trial;
+    item.retry_after_hint = found->until_trial;
     this->fail(item, "blocked", "servers ended under it");
     return true;
 }
@@ -182,22 +182,23 @@
 void request_path::dispatch(live_request& item)
 {
     if (this->is_blocked(item)) return;
-    placing wanted{item.service, item.engine, item.affinity, item.tried, item.priority};
-    wanted.repeatable = item.way->repeatable() && item.runs + 1 < item.way->attempts;
-    wanted.allowed_regions = {item.way->allowed_regions, item.account_regions};
-    const verdict decided =
-        this->admission_control.decide(wanted, item.runs == 0 && !item.begun, now());
-    std::visit(visitor{[&](const send_to& to) { this->send(item, to.where); },
-                       [&](const come_back& answer) { this->refuse(item, answer); },
+    placing wanted{item.service, item.engine, item.affinity, item.tried_servers, item.priority};
+    wanted.repeatable =
+        item.matched_route->repeatable() && item.runs + 1 < item.matched_route->attempts;
+    wanted.allowed_regions = {item.matched_route->allowed_regions, item.account_regions};
+    const admission_decision decided =
+        this->admission_control.decide(wanted, item.runs == 0 && !item.response_begun, now());
+    std::visit(visitor{[&](const admit_to& to) { this->send(item, to.where); },
+                       [&](const retry_later& answer) { this->refuse(item, answer); },
                        [&](const no_server& none) {
-                           item.come_back_in = none.opens_in;
+                           item.retry_after_hint = none.available_in;
                            this->fail(item, "choose", "no server");
                        }},
                decided);
 }
 
 /** Answers a request that no engine can start in time with 503 and a Retry-After. */
-void request_path::refuse(live_request& item, const come_back& answer)
+void request_path::refuse(live_request& item, const retry_later& answer)
 {
     item.where = answer.where;
     log_event(log_level::info, "refused",
@@ -226,11 +227,11 @@
     item.row = &row;
     item.where = where;
     item.loads_age = time - this->table.peers_summed_at;
-    item.attempt_since = time;
+    item.attempt_started_at = time;
     item.sent = time;
     item.last_byte = time;
     item.refused = false;
-    item.tried.push_back(row.record.id);
+    item.tried_servers.push_back(row.record.id);
     if (row.in_flight++ == 0) row.waited_from = time;
     row.health.on_sent(time);
     row.cold.on_sent(time);
@@ -252,7 +253,7 @@
     order.head = this->dialect.encode_request(item.head, facts, item.body.size());
     order.body = item.body;
     order.no_answer_body = item.head.method == "HEAD";
-    order.repeatable = item.way->repeatable();
+    order.repeatable = item.matched_route->repeatable();
     this->servers.start(order);
 }
 
@@ -277,18 +278,18 @@
     }
     item->refused = facts.not_executed || head.status == misdirected;
     const std::string* type = head.find("content-type");
-    item->streaming = item->way->kind == route_kind::event_stream && head.status == ok &&
+    item->streaming = item->matched_route->kind == route_kind::event_stream && head.status == ok &&
                       type != nullptr && type->starts_with(event_stream_type);
     // A resumed response keeps the head of the first server.
-    if (!item->begun) item->answer = head;
-    item->held.clear();
+    if (!item->response_begun) item->answer = head;
+    item->buffered_body.clear();
     if (head.status == misdirected) {
         this->table.mark_replaced(item->row->record.id);
     } else {
         this->apply_server_hints(*item, head.status, facts);
     }
     item->events.resume();
-    item->unusable = item->begun && !item->streaming;
+    item->cannot_resume = item->response_begun && !item->streaming;
 }
 
 /** Applies the shutdown and Retry-After hints of a response. They override the registry, whose
@@ -319,18 +320,19 @@
     if (item == nullptr) return;
     item->last_byte = now();
     item->row->heard_at = item->last_byte;
-    if (item->gone) return;
+    if (item->caller_left) return;
     if (!item->streaming) {
-        if (item->begun) {
-            if (!item->unusable) this->callers.add(item->id, bytes);
+        if (item->response_begun) {
+            if (!item->cannot_resume) this->callers.add(item->id, bytes);
             return;
         }
-        item->held.append(bytes);
-        const bool pass_on = item->held.size() > answer_held_at_most && !item->refused;
+        item->buffered_body.append(bytes);
+        const bool pass_on =
+            item->buffered_body.size() > max_buffered_response_bytes && !item->refused;
         if (!pass_on) return;
-        item->begun = true;
-        this->callers.begin(item->id, item->answer, item->held);
-        item->held.clear();
+        item->response_begun = true;
+        this->callers.begin(item->id, item->answer, item->buffered_body);
+        item->buffered_body.clear();
         return;
     }
     const std::string_view events = item->events.take(bytes);
@@ -339,11 +341,11 @@
         item->row->first_delay.add(item->last_byte - item->sent, item->last_byte);
         item->sent = {};
     }
-    if (item->begun) {
+    if (item->response_begun) {
         this->callers.add(item->id, events);
         return;
     }
-    item->begun = true;
+    item->response_begun = true;
     item->first_event = item->last_byte;
     this->callers.begin(item->id, item->answer, events);
 }
@@ -378,8 +380,8 @@
     }
     ++item.runs;
     this->record_broken_attempt(item, row.record, end, time);
-    const bool whole =
-        end.result == send_result::answered && !item.unusable && !item.events.inside_event();
+    const bool whole = end.result == send_result::answered && !item.cannot_resume &&
+                       !item.events.has_partial_event();
     if (!whole) {
         row.health.on_failure(time);
         this->retry_or_fail(item, true, end.step, end.detail);
@@ -388,7 +390,8 @@
     if (item.answer.status >= server_error && !item.streaming) {
         row.health.on_failure(time);
         // If no retry is possible, the server's own error response is passed on.
-        if (!item.begun && item.answer.status != gateway_timeout && this->may_retry(item, true)) {
+        if (!item.response_begun && item.answer.status != gateway_timeout &&
+            this->may_retry(item, true)) {
             this->log_attempt(item, "retried", "answer", std::to_string(item.answer.status));
             this->dispatch(item);
             return;
@@ -404,7 +407,7 @@
 /** Records the attempt's outcome in its server's statistics. */
 void request_path::record_outcome(const live_request& item, const attempt_end& end, instant time)
 {
-    if (item.gone || item.answer.status == misdirected) return;
+    if (item.caller_left || item.answer.status == misdirected) return;
     // An engine that refuses a request is full, which its load already shows. Unreachability is
     // tracked by each VM separately, since it may affect only that VM.
     if (item.engine && (item.refused || end.result == send_result::not_sent)) return;
@@ -458,14 +461,14 @@
     // Callers take these statuses to mean "not run", which the server did not state.
     const bool unproved_refusal =
         std::ranges::find(not_run_statuses, item.answer.status) != not_run_statuses.end();
-    if (!item.begun && unproved_refusal) {
+    if (!item.response_begun && unproved_refusal) {
         this->answer_locally(item, bad_gateway, "the server failed");
         return;
     }
-    if (item.begun) {
+    if (item.response_begun) {
         this->callers.finish(item.id);
-    } else if (!item.gone) {
-        this->callers.answer_whole(item.id, item.answer, item.held);
+    } else if (!item.caller_left) {
+        this->callers.answer_whole(item.id, item.answer, item.buffered_body);
     }
     this->end(item, "answered", item.answer.status);
 }
@@ -476,8 +479,8 @@
 {
     const bool sent = end.result != send_result::not_sent;
     const bool has_budget = !sent || this->may_retry(item, false);
-    const bool time_left = item.deadline - now() > least_time_to_retry;
-    if (!item.gone && has_budget && time_left && item.sends < sends_at_most) {
+    const bool time_left = item.deadline - now() > min_remaining_time_to_retry;
+    if (!item.caller_left && has_budget && time_left && item.sends < max_sends_per_request) {
         this->log_attempt(item, "retried", end.step, sent ? "not executed" : end.detail);
         this->dispatch(item);
         return;
@@ -488,9 +491,11 @@
 bool request_path::may_retry(live_request& item, bool may_have_run)
 {
     const instant time = now();
-    if (item.gone || item.sends >= sends_at_most) return false;
-    if (item.deadline - time <= least_time_to_retry) return false;
-    if (may_have_run && (!item.way->repeatable() || item.runs >= item.way->attempts)) return false;
+    if (item.caller_left || item.sends >= max_sends_per_request) return false;
+    if (item.deadline - time <= min_remaining_time_to_retry) return false;
+    if (may_have_run &&
+        (!item.matched_route->repeatable() || item.runs >= item.matched_route->attempts))
+        return false;
     return this->budgets[item.service].take(time, this->budget_settings, this->vms);
 }
 
@@ -498,9 +503,9 @@
                                  const std::string& detail)
 {
     // Once the caller has part of the response, only an event stream can be resumed.
-    const bool resumable = !item.begun || item.streaming;
+    const bool resumable = !item.response_begun || item.streaming;
     if (resumable && this->may_retry(item, may_have_run)) {
-        this->log_attempt(item, item.begun ? "resumed" : "retried", step, detail);
+        this->log_attempt(item, item.response_begun ? "resumed" : "retried", step, detail);
         this->numbers.count("worksshift_retries_total");
         this->dispatch(item);
         return;
@@ -513,7 +518,7 @@
 void request_path::fail(live_request& item, const char* step, const std::string& detail)
 {
     this->log_attempt(item, "failed", step, detail);
-    if (item.begun) {
+    if (item.response_begun) {
         this->callers.abort(item.id);
         this->end(item, "broken", 0);
         return;
@@ -523,13 +528,13 @@
         return;
     }
     this->answer_locally(item, unavailable, "not run: " + detail,
-                         std::max(item.come_back_in, refusal_retry_after));
+                         std::max(item.retry_after_hint, refusal_retry_after));
 }
 
 void request_path::answer_locally(live_request& item, int status, std::string text,
                                   duration retry_after)
 {
-    if (!item.gone) this->callers.answer(item.id, {status, std::move(text), retry_after});
+    if (!item.caller_left) this->callers.answer(item.id, {status, std::move(text), retry_after});
     this->end(item, "own_answer", status);
 }
 
@@ -544,11 +549,11 @@
         {{"request", item.facts.id},
          {"outcome", outcome},
          {"status", status},
-         {"route", item.way == nullptr ? std::string() : item.way->name},
+         {"route", item.matched_route == nullptr ? std::string() : item.matched_route->name},
          {"account", item.account.text},
          {"content", to_text(item.content)},
          {"ignored_headers", item.facts.ignored_headers.size()},
-         {"server", item.tried.empty() ? none.text : item.tried.back().text},
+         {"server", item.tried_servers.empty() ? none.text : item.tried_servers.back().text},
          {"rank", item.where.rank},
          {"of", item.where.candidates},
          {"load", item.where.load},
@@ -562,7 +567,7 @@
          {"first_ms", item.first_event == instant{} ? -1 : in_ms(item.first_event - item.arrived)},
          {"total_ms", in_ms(span)},
          {"config", item.config == nullptr ? 0 : item.config->version}});
-    if (item.way != nullptr) {
+    if (item.matched_route != nullptr) {
         this->numbers.observe(latency::whole, item.service, item.account, span);
         if (item.first_event != instant{}) {
             this->numbers.observe(latency::first_byte, item.service, item.account,
@@ -581,8 +586,9 @@
     const auto found = this->requests.find(request);
     if (found == this->requests.end() || found->second->ended) return;
     live_request& item = *found->second;
-    item.gone = true;
-    if (item.way != nullptr && item.way->kind == route_kind::non_idempotent) return;
+    item.caller_left = true;
+    if (item.matched_route != nullptr && item.matched_route->kind == route_kind::non_idempotent)
+        return;
     if (item.row != nullptr) {
         item.row->health.on_neutral();
         this->servers.cancel(item.attempt);
@@ -593,15 +599,16 @@
 
 void request_path::check_silence(live_request& item, instant time)
 {
-    if (item.row == nullptr || item.gone || !item.way->repeatable()) return;
+    if (item.row == nullptr || item.caller_left || !item.matched_route->repeatable()) return;
     duration limit =
-        std::max<duration>(shortest_silence, item.way->latency_objective * silence_of_objective);
+        std::max<duration>(min_silence_timeout, item.matched_route->latency_objective *
+                                                    silence_timeout_objective_multiple);
     // A server that still answers other requests is busy, not unreachable.
     const bool responsive = time - item.row->heard_at <= server_entry::quiet_after;
     const double multiple = responsive ? this->table.policy.patience_while_heard : 1;
     limit = std::chrono::duration_cast<duration>(limit * multiple);
     if (time - item.last_byte < limit) return;
-    if (item.runs + 1 >= item.way->attempts) return;
+    if (item.runs + 1 >= item.matched_route->attempts) return;
     // The current attempt may still run, so it is counted before the retry limit is checked.
     ++item.runs;
     if (!this->may_retry(item, true)) {
@@ -617,7 +624,7 @@
 void request_path::on_deadline(live_request& item)
 {
     if (item.config == nullptr) {
-        this->answer_locally(item, unavailable, "no configuration yet", starting_retry_after);
+        this->answer_locally(item, unavailable, "no configuration yet", no_config_retry_after);
         return;
     }
     if (item.row != nullptr) {
@@ -625,7 +632,7 @@
         this->abandon_silent_attempt(item, now());
     }
     this->log_attempt(item, "failed", "deadline", {});
-    if (item.begun) {
+    if (item.response_begun) {
         this->callers.abort(item.id);
         this->end(item, "broken", 0);
         return;
@@ -666,17 +673,18 @@
 void request_path::log_attempt(const live_request& item, std::string_view outcome,
                                std::string_view step, std::string_view detail) const
 {
-    log_event(log_level::info, "attempt",
-              {{"request", item.facts.id},
-               {"outcome", outcome},
-               {"step", step},
-               {"detail", detail},
-               {"content", to_text(item.content)},
-               {"ran_ms", in_ms(now() - item.attempt_since)},
-               {"server", item.tried.empty() ? std::string() : item.tried.back().text},
-               {"send", item.sends},
-               {"runs", item.runs},
-               {"left_ms", in_ms(item.deadline - now())}});
+    log_event(
+        log_level::info, "attempt",
+        {{"request", item.facts.id},
+         {"outcome", outcome},
+         {"step", step},
+         {"detail", detail},
+         {"content", to_text(item.content)},
+         {"ran_ms", in_ms(now() - item.attempt_started_at)},
+         {"server", item.tried_servers.empty() ? std::string() : item.tried_servers.back().text},
+         {"send", item.sends},
+         {"runs", item.runs},
+         {"left_ms", in_ms(item.deadline - now())}});
 }
 
 } // namespace worksshift
--- a/src/request_path.h
+++ b/src/request_path.h
@@ -27,25 +27,25 @@
 namespace worksshift {
 
 /** Upper limit on sends of one request, including refused ones, independent of its route. */
-constexpr unsigned sends_at_most = 4;
+constexpr unsigned max_sends_per_request = 4;
 /** A repeatable request is retried on another server when its server has sent nothing for this
- * multiple of the route's latency objective, and for at least `shortest_silence`. */
-constexpr int silence_of_objective = 2;
-constexpr duration shortest_silence = milliseconds(600);
+ * multiple of the route's latency objective, and for at least `min_silence_timeout`. */
+constexpr int silence_timeout_objective_multiple = 2;
+constexpr duration min_silence_timeout = milliseconds(600);
 /** No retry when less time than this remains until the deadline: it could not complete in time. */
-constexpr duration least_time_to_retry = milliseconds(60);
+constexpr duration min_remaining_time_to_retry = milliseconds(60);
 /** Body bytes of a non-streaming response that are buffered until it is complete, so that a broken
  * response can still be retried or reported as an error. Larger bodies are forwarded as they
  * arrive. */
-constexpr std::size_t answer_held_at_most = std::size_t{64} * 1024;
+constexpr std::size_t max_buffered_response_bytes = std::size_t{64} * 1024;
 /** Minimum Retry-After when a request fails without having run: about the time in which a short
  * burst is drained. */
 constexpr duration refusal_retry_after = milliseconds(400);
 /** Retry-After of answers given while this VM has no configuration. */
-constexpr duration starting_retry_after = milliseconds(500);
+constexpr duration no_config_retry_after = milliseconds(500);
 /** How long requests that arrive before the first configuration wait for it. It arrives 45 ms after
  * the process starts; a refused caller would retry only after half a second. */
-constexpr duration first_config_within = milliseconds(300);
+constexpr duration first_config_timeout = milliseconds(300);
 
 class request_path {
 public:
@@ -58,7 +58,10 @@
     request_path& operator=(request_path&&) = delete;
 
     void set_config(router_config_ptr config);
-    void set_budget(const fleet_retry_settings& settings) { this->budget_settings = settings; }
+    void set_retry_budget(const fleet_retry_settings& settings)
+    {
+        this->budget_settings = settings;
+    }
     void set_fleet_size(std::size_t vms) { this->vms = std::max(this->vms, vms); }
 
     /** The VM was suspended for \p span, which the clock used for deadlines did not count. */
@@ -70,7 +73,7 @@
     [[nodiscard]] crash_suspects& suspects() { return this->suspect_contents; }
     [[nodiscard]] const crash_suspects& suspects() const { return this->suspect_contents; }
     /** Whether this VM is the one that makes trial sends of the blocked content. */
-    std::function<bool(content_key)> makes_trials = [](content_key) { return false; };
+    std::function<bool(content_key)> is_trial_vm = [](content_key) { return false; };
     [[nodiscard]] std::size_t active() const { return this->requests.size(); }
     /** When the latest request arrived; the epoch if none has. */
     [[nodiscard]] instant last_arrival() const { return this->last_arrival_at; }
@@ -84,7 +87,7 @@
     void record_broken_attempt(const live_request& item, const server_record& server,
                                const attempt_end& end, instant time);
     void on_server_checked(server_life server, bool ended);
-    void refuse(live_request& item, const come_back& answer);
+    void refuse(live_request& item, const retry_later& answer);
     void send(live_request& item, const placed& where);
     void on_response_head(std::uint64_t attempt, const http_head& head, const answer_facts& facts);
     void apply_server_hints(const live_request& item, int status, const answer_facts& facts);
--- a/src/retry_budget.h
+++ b/src/retry_budget.h
@@ -9,10 +9,10 @@
 
 class retry_budget {
 public:
-    static constexpr double share = 0.1;    ///< retries earned per request
-    static constexpr double reserve = 20.0; ///< maximum retries saved up
+    static constexpr double share = 0.1;              ///< retries earned per request
+    static constexpr double max_saved_retries = 20.0; ///< maximum retries saved up
 
-    void on_request() { this->balance = std::min(reserve, this->balance + share); }
+    void on_request() { this->balance = std::min(max_saved_retries, this->balance + share); }
 
     /** Takes one retry out of the budget. Returns false if there is none. */
     bool withdraw()
@@ -23,7 +23,7 @@
     }
 
 private:
-    double balance = reserve;
+    double balance = max_saved_retries;
 };
 
 } // namespace worksshift
--- a/src/router.cpp
+++ b/src/router.cpp
@@ -89,7 +89,7 @@
 {
     std::signal(SIGPIPE, SIG_IGN);
     raise_file_limit();
-    this->path.set_budget(this->options.retries);
+    this->path.set_retry_budget(this->options.retries);
     this->apply_placement();
     this->settings_text = read_text(this->options.file);
     this->connect_signals();
@@ -152,7 +152,7 @@
 
 void router::connect_signals()
 {
-    this->path.makes_trials = [this](content_key content) {
+    this->path.is_trial_vm = [this](content_key content) {
         return is_first_in_fleet(this->members, static_cast<std::uint64_t>(content));
     };
     this->configuration.on_config.connect([this] {
@@ -226,7 +226,7 @@
     this->loads_summed_at = time;
     const std::size_t alive = this->gossip.fleet().alive(time);
     this->path.set_fleet_size(alive);
-    this->path.admissions().set_fleet_demand(this->fleet_demand_ratio(alive, time));
+    this->path.admissions().set_fleet_demand_multiple(this->fleet_demand_ratio(alive, time));
     if (!std::exchange(this->loads_changed, false) && !this->gossip.fleet().heard(time).empty()) {
         return;
     }
@@ -418,7 +418,7 @@
         this->options.stop_grace = given.stop_grace;
         this->gossip.add_seeds(given.seeds);
         set_log_level(given.level);
-        this->path.set_budget(given.retries);
+        this->path.set_retry_budget(given.retries);
         this->options.placement = given.placement;
         this->options.cold = given.cold;
         this->options.regions = given.regions;
--- a/src/router_settings.cpp
+++ b/src/router_settings.cpp
@@ -49,7 +49,7 @@
     placement_setting{"failing-share", &placement_policy::failing_share, 1,
                       "share of recent failures from which an engine is avoided, 0 to 1; 0: never"},
     placement_setting{
-        "load-spread", &placement_policy::spread_of_loads, 1000,
+        "load-spread", &placement_policy::load_spread, 1000,
         "random spread, in requests, of the load from which an engine is full, 0 to 1000"},
 };
 
--- a/src/server_table.cpp
+++ b/src/server_table.cpp
@@ -617,7 +617,7 @@
             : std::max(static_cast<std::size_t>(this->policy.ranks_to_wait_at), wanted.engines);
     const std::uint64_t near = weight_at(weights, ranks);
     std::uniform_real_distribution<double> spreads(-1, 1);
-    const double spread = spreads(this->random) * this->policy.spread_of_loads;
+    const double spread = spreads(this->random) * this->policy.load_spread;
     const auto grade = [&](std::size_t at) {
         const server_entry& row = *rows[at];
         const bool open =
--- a/src/slot_forecast.h
+++ b/src/slot_forecast.h
@@ -20,13 +20,13 @@
     /** Number of requests after which the weight of an earlier one has decayed to 1/e. A VM
      * completes 10 to 50 requests per second, so the mean follows a change within a few seconds,
      * and a single long answer moves it by only a few hundredths. */
-    static constexpr double fades_in = 32;
+    static constexpr double decay_requests = 32;
 
     /** Adds a request that held its slot for \p span. */
     void on_finished(duration span)
     {
         const double seconds_held = std::chrono::duration<double>(span).count();
-        this->finished = std::min(this->finished + 1, fades_in);
+        this->finished = std::min(this->finished + 1, decay_requests);
         this->mean += (seconds_held - this->mean) / this->finished;
     }
 
@@ -47,7 +47,7 @@
 
 private:
     double mean = 0;     ///< seconds
-    double finished = 0; ///< requests in the mean, at most `fades_in`
+    double finished = 0; ///< requests in the mean, at most `decay_requests`
 };
 
 } // namespace worksshift
--- a/test/correctness/admission_refuses_what_cannot_begin.cpp
+++ b/test/correctness/admission_refuses_what_cannot_begin.cpp
@@ -44,21 +44,21 @@
         this->table->sum_loads(this->now);
     }
 
-    verdict ask(std::uint64_t prompt = 7, bool may_refuse = true)
+    admission_decision ask(std::uint64_t prompt = 7, bool may_refuse = true)
     {
         return this->admitting->decide({llm, true, prompt, {}, 0}, may_refuse, this->now);
     }
 
     bool is_sent(std::uint64_t prompt = 7, bool may_refuse = true)
     {
-        return std::holds_alternative<send_to>(this->ask(prompt, may_refuse));
+        return std::holds_alternative<admit_to>(this->ask(prompt, may_refuse));
     }
 
 public:
     void setUp() override
     {
         this->table = std::make_unique<server_table>(data_centre_id{"dc"}, 1U);
-        this->table->policy.spread_of_loads = 0;
+        this->table->policy.load_spread = 0;
         this->admitting = std::make_unique<admission>(*this->table, 1U);
         for (std::size_t i = 0; i < engines; ++i) {
             server_record record;
@@ -86,9 +86,9 @@
         for (int i = 0; i < 400; ++i) {
             this->now += milliseconds(20);
             const unsigned priority = i % 4;
-            const verdict decided =
+            const admission_decision decided =
                 this->admitting->decide({llm, true, 7, {}, priority}, true, this->now);
-            CPPUNIT_ASSERT(std::holds_alternative<send_to>(decided));
+            CPPUNIT_ASSERT(std::holds_alternative<admit_to>(decided));
         }
     }
 
@@ -99,8 +99,8 @@
         this->load_all(slots + 1);
         CPPUNIT_ASSERT(this->is_sent());
         this->load_all(slots + 2);
-        const verdict decided = this->ask();
-        const auto* answer = std::get_if<come_back>(&decided);
+        const admission_decision decided = this->ask();
+        const auto* answer = std::get_if<retry_later>(&decided);
         CPPUNIT_ASSERT(answer != nullptr);
         CPPUNIT_ASSERT(answer->where.wait > milliseconds(200));
         CPPUNIT_ASSERT(answer->retry_after >= overload_watch::shortest_stay);
@@ -120,15 +120,15 @@
         this->load_all(slots * 3);
         duration last{};
         for (int i = 0; i < 80; ++i) {
-            const verdict decided = this->ask();
-            last = std::get<come_back>(decided).retry_after;
+            const admission_decision decided = this->ask();
+            last = std::get<retry_later>(decided).retry_after;
             this->now += milliseconds(50);
         }
         // After four seconds of overload, randomised by up to half in either direction.
         CPPUNIT_ASSERT(last >= milliseconds(1950) && last <= milliseconds(6000));
         this->now += seconds(10);
         CPPUNIT_ASSERT_EQUAL(duration(overload_watch::shortest_stay),
-                             std::get<come_back>(this->ask()).retry_after);
+                             std::get<retry_later>(this->ask()).retry_after);
     }
 
     /** Guards against admitting more than the engines complete: 200 requests per second arrive, and
@@ -156,13 +156,13 @@
     void slow_engine()
     {
         this->load_all(0);
-        const placed usual = std::get<send_to>(this->ask()).where;
+        const placed usual = std::get<admit_to>(this->ask()).where;
         for (std::size_t i = 0; i < engines; ++i)
             this->engine(i).first_delay.add(milliseconds(60), this->now);
         for (int i = 0; i < 20; ++i)
             usual.row->first_delay.add(milliseconds(900), this->now);
         this->table->mark_slow(this->now);
-        CPPUNIT_ASSERT(std::get<send_to>(this->ask()).where.row != usual.row);
+        CPPUNIT_ASSERT(std::get<admit_to>(this->ask()).where.row != usual.row);
         // The slow engine is still used if no other has a slot.
         this->load_all(slots * 3);
         usual.row->peers_in_flight = 0;
@@ -177,7 +177,7 @@
         const auto engines_used = [&](std::uint64_t prompt) {
             std::set<server_entry*> rows;
             for (int i = 0; i < 60; ++i)
-                rows.insert(std::get<send_to>(this->ask(prompt)).where.row);
+                rows.insert(std::get<admit_to>(this->ask(prompt)).where.row);
             return rows.size();
         };
         CPPUNIT_ASSERT_EQUAL(std::size_t{1}, engines_used(8));
--- a/test/correctness/cold_servers_are_spared.cpp
+++ b/test/correctness/cold_servers_are_spared.cpp
@@ -404,10 +404,11 @@
     {
         for (const std::string id : {"a", "b", "c"})
             this->table->put(record(id, 2, 3000), this->now);
-        const verdict decided = this->admitting->decide({llm, true, 7, {}, 0}, true, this->now);
+        const admission_decision decided =
+            this->admitting->decide({llm, true, 7, {}, 0}, true, this->now);
         const auto* none = std::get_if<no_server>(&decided);
         CPPUNIT_ASSERT(none != nullptr);
-        CPPUNIT_ASSERT(none->opens_in == seconds(3));
+        CPPUNIT_ASSERT(none->available_in == seconds(3));
     }
 
     /** Cold servers are not limited if the configuration states no rate. */
--- a/test/correctness/requests_stay_in_their_regions.cpp
+++ b/test/correctness/requests_stay_in_their_regions.cpp
@@ -99,7 +99,7 @@
         placing wanted{llm, true, 1, {}, 0};
         const std::vector<region_id> route{{"south"}};
         wanted.allowed_regions = {route, {}};
-        const verdict decided = admitting.decide(wanted, true, this->now);
+        const admission_decision decided = admitting.decide(wanted, true, this->now);
         CPPUNIT_ASSERT(std::holds_alternative<no_server>(decided));
     }
 
--- a/test/error/busy_is_not_silent.cpp
+++ b/test/error/busy_is_not_silent.cpp
@@ -102,21 +102,21 @@
     void silent_is_left()
     {
         this->ask_and_wait();
-        this->rig->run_for(shortest_silence + milliseconds(200));
+        this->rig->run_for(min_silence_timeout + milliseconds(200));
         CPPUNIT_ASSERT_EQUAL(std::size_t{2}, this->times_sent());
     }
 
     /** Guards against a retry while the server answers other requests. */
     void busy_is_waited_for()
     {
-        this->wait_during_answers(shortest_silence + milliseconds(300));
+        this->wait_during_answers(min_silence_timeout + milliseconds(300));
         CPPUNIT_ASSERT_EQUAL(std::size_t{1}, this->times_sent());
     }
 
     /** Guards against waiting on when a busy server stops answering. */
     void busy_turns_silent()
     {
-        this->wait_during_answers(shortest_silence);
+        this->wait_during_answers(min_silence_timeout);
         CPPUNIT_ASSERT_EQUAL(std::size_t{1}, this->times_sent());
         this->rig->run_for(server_entry::quiet_after + milliseconds(250));
         CPPUNIT_ASSERT_EQUAL(std::size_t{2}, this->times_sent());
--- a/test/error/servers_that_start_again.cpp
+++ b/test/error/servers_that_start_again.cpp
@@ -167,7 +167,8 @@
         const std::string asked = std::ranges::any_of(engines[0]->requests, waits) ? "a" : "b";
         const link_address address = engines[asked == "a" ? 0 : 1]->address();
         rig.table.put(rig.dialect.decode_server(entry(asked, second_born, "ready", address)));
-        const instant end = std::chrono::steady_clock::now() + shortest_silence + milliseconds(300);
+        const instant end =
+            std::chrono::steady_clock::now() + min_silence_timeout + milliseconds(300);
         for (unsigned next = 0; std::chrono::steady_clock::now() < end; ++next) {
             rig.add_caller().send(with_prompt("/once/x", std::to_string(next)));
             rig.run_for(milliseconds(40));
--- a/test/fuzz/path_keeps_promises.cpp
+++ b/test/fuzz/path_keeps_promises.cpp
@@ -136,7 +136,7 @@
     {
         path_rig rig;
         rig.path->set_config(rig.dialect.decode_config(example_config(1)));
-        rig.path->set_budget({1.0, seconds(10), 100.0});
+        rig.path->set_retry_budget({1.0, seconds(10), 100.0});
         this->runs.clear();
         this->arrivals = 0;
         for (const std::string service : {"desk", "llm"}) {
