--- a/lab/experiment.cpp
+++ b/lab/experiment.cpp
@@ -98,7 +98,7 @@
     [[nodiscard]] double hot_share(const request_kind& kind) const;
     void start_request(std::size_t kind);
     void dispatch(const std::shared_ptr<caller_request>& item);
-    void send(const std::shared_ptr<caller_request>& item, const placed& where);
+    void send(const std::shared_ptr<caller_request>& item, const placement_result& where);
     void schedule_retry(const std::shared_ptr<caller_request>& item, duration after);
     void schedule_departure(const std::shared_ptr<caller_request>& item);
     void leave(caller_request& item);
@@ -294,7 +294,8 @@
     item->vm = draw_vm(this->random);
     vm_model& vm = *this->vms[item->vm];
     vm.admission_control.on_request(engines_service, item->work.shared, this->now);
-    const placing wanted{engines_service, true, item->work.shared, {}, item->work.priority};
+    const placement_request wanted{
+        engines_service, true, item->work.shared, {}, item->work.priority};
     const admission_decision decided = vm.admission_control.decide(wanted, true, this->now);
     std::visit(
         visitor{[&](const admit_to& to) { this->send(item, to.where); },
@@ -316,7 +317,7 @@
     return count > 0 ? total / count : 0;
 }
 
-void simulation::send(const std::shared_ptr<caller_request>& item, const placed& where)
+void simulation::send(const std::shared_ptr<caller_request>& item, const placement_result& where)
 {
     const auto found = std::ranges::find(this->engine_ids, where.row->record.id);
     item->engine = static_cast<std::size_t>(found - this->engine_ids.begin());
@@ -335,13 +336,13 @@
         item->work.copied = this->engines[at]->holds(item->work.shared);
     }
     if (!engine.dark && !engine.take(item->work)) {
-        this->schedule_retry(item, overload_watch::shortest_stay);
+        this->schedule_retry(item, overload_tracker::min_overload_retry_after);
         return;
     }
     item->at_engine = true;
     this->requests.emplace(item->id, item);
     server_entry& row = this->row(*item);
-    if (row.in_flight++ == 0) row.waited_from = this->now;
+    if (row.in_flight++ == 0) row.in_flight_since = this->now;
     row.health.on_sent(this->now);
     this->schedule_departure(item);
 }
@@ -387,7 +388,7 @@
     row.heard_at = this->now;
     row.first_delay.add(this->now - item.sent, this->now);
     row.state(this->engines[item.engine]->load(), this->now);
-    row.stated_here = true;
+    row.reported_here = true;
 }
 
 void simulation::handle_end(caller_request& item)
@@ -442,7 +443,7 @@
             row.peers_in_flight = known_loads[i] - std::min(known_loads[i], row.in_flight);
             if (this->all_knowing) row.state(this->engines[i]->load(), this->now);
         }
-        vm->table.expire_stated(this->now);
+        vm->table.expire_reported_loads(this->now);
         vm->table.mark_slow(this->now);
         vm->table.sum_loads(this->now);
         vm->admission_control.set_fleet_demand_multiple(static_cast<double>(this->vms.size()));
@@ -455,11 +456,12 @@
     constexpr std::size_t data_centres = 4;
     const std::size_t groups = this->vms.size() > max_vms_in_one_data_centre ? data_centres : 1;
     for (std::size_t from = 0; from < this->vms.size(); ++from) {
-        const std::vector<stated_load> reported = this->vms[from]->table.take_news(this->now);
+        const std::vector<stated_load> reported =
+            this->vms[from]->table.drain_reported_loads(this->now);
         for (std::size_t to = from % groups; to < this->vms.size(); to += groups) {
             if (to == from) continue;
             for (const stated_load& item : reported)
-                this->vms[to]->table.take_stated(item, this->now);
+                this->vms[to]->table.apply_reported_load(item, this->now);
         }
     }
 }
--- a/lab/plain_service.cpp
+++ b/lab/plain_service.cpp
@@ -178,8 +178,9 @@
 std::size_t simulation::choose(request& item)
 {
     if (this->chooser == plain_chooser::product) {
-        const placing wanted{service, false, 0, item.tried};
-        const placed where = this->routers[item.vm]->table.choose(wanted, to_instant(this->now));
+        const placement_request wanted{service, false, 0, item.tried};
+        const placement_result where =
+            this->routers[item.vm]->table.choose(wanted, to_instant(this->now));
         const std::string& name = where.row->record.id.text;
         ++where.row->in_flight;
         return std::stoul(name.substr(name.find('-') + 1));
@@ -294,13 +295,13 @@
 /** Sends the outcomes of the VM's attempts to the other VMs of its data centre. */
 void simulation::send_outcomes(std::size_t vm)
 {
-    const std::vector<told_outcomes> outcomes = this->routers[vm]->table.take_outcome_news();
+    const std::vector<told_outcomes> outcomes = this->routers[vm]->table.drain_outcomes();
     this->after(this->given.told_after_s, [this, vm, outcomes] {
         for (std::size_t other = 0; other < this->routers.size(); ++other) {
             const bool same_data_centre = this->routers[other]->centre == this->routers[vm]->centre;
             if (other == vm || !same_data_centre) continue;
             for (const told_outcomes& item : outcomes)
-                this->routers[other]->table.take_outcomes(item, to_instant(this->now));
+                this->routers[other]->table.apply_outcomes(item, to_instant(this->now));
         }
     });
     this->after(this->given.told_after_s, [this, vm] { this->send_outcomes(vm); });
--- a/src/admission.cpp
+++ b/src/admission.cpp
@@ -21,10 +21,10 @@
 
 } // namespace
 
-admission_decision admission::decide(placing wanted, bool may_refuse, instant now)
+admission_decision admission::decide(placement_request wanted, bool may_refuse, instant now)
 {
     if (wanted.engine) wanted.engines = this->engine_count_for(wanted, now);
-    const placed where = this->table.choose(wanted, now);
+    const placement_result where = this->table.choose(wanted, now);
     if (where.row == nullptr) {
         const std::optional<instant> opens = this->table.opens_at(wanted, now);
         return no_server{opens ? std::max(*opens - now, duration::zero()) : duration::zero()};
@@ -50,7 +50,7 @@
     return std::uniform_real_distribution<double>(0, 1)(this->random) > share;
 }
 
-double admission::service_state::priority_boost(const placing& wanted) const
+double admission::service_state::priority_boost(const placement_request& wanted) const
 {
     const double ahead = this->mean_priority - wanted.priority;
     return std::clamp(1 + priority_boost_per_step * ahead, min_priority_boost, max_priority_boost);
@@ -58,7 +58,7 @@
 
 /** Number of engines over which the prompt is spread, so that its requests take at most
  * `hot_prompt_share` of the slots of each. */
-std::size_t admission::engine_count_for(const placing& wanted, instant now) const
+std::size_t admission::engine_count_for(const placement_request& wanted, instant now) const
 {
     const service_load load = this->table.load_of(wanted.service);
     if (wanted.affinity == 0 || load.engines == 0 || load.slots <= 0) return 1;
--- a/src/admission.h
+++ b/src/admission.h
@@ -16,7 +16,7 @@
 #include <variant>
 
 #include "demand_meter.h"
-#include "overload_watch.h"
+#include "overload_tracker.h"
 #include "prompt_demand.h"
 #include "server_table.h"
 
@@ -24,7 +24,7 @@
 
 /** The request is sent to the chosen server. */
 struct admit_to {
-    placed where;
+    placement_result where;
 };
 /** Inputs of an admission decision, for the log. */
 struct admission_inputs {
@@ -36,7 +36,7 @@
 
 /** The request is refused; its caller should retry after `retry_after`. */
 struct retry_later {
-    placed where; ///< the chosen engine, or the least loaded one if none has a slot
+    placement_result where; ///< the chosen engine, or the least loaded one if none has a slot
     duration retry_after{};
     admission_inputs view;
 };
@@ -77,7 +77,7 @@
     }
     /** \p may_refuse: whether the request has run nowhere, so that it may be refused as "not run".
      * \return the chosen server, a refusal, or `no_server`. */
-    admission_decision decide(placing wanted, bool may_refuse, instant now);
+    admission_decision decide(placement_request wanted, bool may_refuse, instant now);
 
     /** Rate of requests for model engines that arrive at this VM, per second. */
     [[nodiscard]] double engine_requests_per_s(instant now) const;
@@ -91,12 +91,12 @@
         double mean_priority = 0; ///< of the latest requests
 
         /** Factor on the admitted share, by the request's priority. */
-        [[nodiscard]] double priority_boost(const placing& wanted) const;
-        overload_watch overload;
+        [[nodiscard]] double priority_boost(const placement_request& wanted) const;
+        overload_tracker overload;
     };
 
     bool exceeds_share(double share, const admission_inputs& view);
-    [[nodiscard]] std::size_t engine_count_for(const placing& wanted, instant now) const;
+    [[nodiscard]] std::size_t engine_count_for(const placement_request& wanted, instant now) const;
     [[nodiscard]] admission_inputs measure_load(const service_id& service, instant now);
 
     server_table& table;
--- a/src/breaker.h
+++ b/src/breaker.h
@@ -14,8 +14,8 @@
 class breaker {
 public:
     static constexpr int failures_to_open = 3;
-    static constexpr duration first_pause = seconds(2);
-    static constexpr duration longest_pause = seconds(60);
+    static constexpr duration initial_pause = seconds(2);
+    static constexpr duration max_pause = seconds(60);
 
     /** Whether a request may be sent now. While half open, only one at a time. */
     [[nodiscard]] bool allows(instant now) const
@@ -38,7 +38,7 @@
             (!this->open && this->failures >= failures_to_open && may_open)) {
             this->open = true;
             this->open_until = now + this->next_pause;
-            this->next_pause = std::min(this->next_pause * 2, longest_pause);
+            this->next_pause = std::min(this->next_pause * 2, max_pause);
         }
         this->trial_in_flight = false;
     }
@@ -52,7 +52,7 @@
     bool trial_in_flight = false;
     int failures = 0;
     instant open_until{}; ///< when the breaker becomes half open
-    duration next_pause = first_pause;
+    duration next_pause = initial_pause;
 };
 
 } // namespace worksshift
--- a/src/cold_servers.cpp
+++ b/src/cold_servers.cpp
@@ -25,7 +25,7 @@
 /** Even share of every VM of the fleet, if all data centres have as many VMs as this one. */
 cold_share even_share(const cold_bound& bound, const fleet_members& members)
 {
-    const double mean = std::min(bound.per_s, max_poisson_mean(bound.in_a_second));
+    const double mean = std::min(bound.per_s, max_poisson_mean(bound.max_in_any_second));
     const auto vms = static_cast<double>(members.near.size() * members.data_centres.size());
     return {in_seconds(vms / mean), true};
 }
@@ -43,12 +43,12 @@
 
 } // namespace
 
-cold_share share_of_cold(const cold_bound& bound, std::uint64_t server,
-                         const fleet_members& members, double senders)
+cold_share compute_cold_share(const cold_bound& bound, std::uint64_t server,
+                              const fleet_members& members, double senders)
 {
     if (!members.complete || bound.per_s <= 0) return {};
     if (senders <= 0) return even_share(bound, members);
-    const auto total = static_cast<std::size_t>(bound.in_a_second * senders);
+    const auto total = static_cast<std::size_t>(bound.max_in_any_second * senders);
     const std::size_t data_centre_count = members.data_centres.size();
     const std::size_t data_centre_rank =
         count_above(server, members.data_centre, members.data_centres);
@@ -61,7 +61,7 @@
         in_seconds(static_cast<double>(total) / bound.per_s * static_cast<double>(count) /
                    static_cast<double>(local_total));
     const auto per_sender_in_a_second = static_cast<duration::rep>(local_total / count);
-    return {std::max(pause, cold_second / per_sender_in_a_second), false};
+    return {std::max(pause, cold_window / per_sender_in_a_second), false};
 }
 
 bool is_first_in_fleet(const fleet_members& members, std::uint64_t key)
--- a/src/cold_servers.h
+++ b/src/cold_servers.h
@@ -32,11 +32,11 @@
 
 /** Limits on the requests that all VMs together send to one cold server. */
 struct cold_bound {
-    double per_s = 0;       ///< mean rate, requests per second
-    double in_a_second = 0; ///< maximum number of requests in any second
+    double per_s = 0;             ///< mean rate, requests per second
+    double max_in_any_second = 0; ///< maximum number of requests in any second
 
     cold_bound(double per_s, const cold_tolerance& allowed)
-        : per_s(per_s), in_a_second(per_s * allowed.over + allowed.slack)
+        : per_s(per_s), max_in_any_second(per_s * allowed.over + allowed.slack)
     {
     }
 };
@@ -66,13 +66,13 @@
 
 /** Length of the window in which the requests of one VM are limited. 50 ms longer than the second
  * of the bound, because a request may take longer to arrive than the one after it. */
-constexpr duration cold_second = milliseconds(1050);
+constexpr duration cold_window = milliseconds(1050);
 
-/** Computes the share of one VM. \p senders: share of `in_a_second` that is given out; the rest is
- * a reserve for VMs that disagree on which VMs are alive. This is also the number of VMs that may
- * send, if the fleet has that many. 0: every VM may send an even share. */
-cold_share share_of_cold(const cold_bound& bound, std::uint64_t server,
-                         const fleet_members& members, double senders);
+/** Computes the share of one VM. \p senders: share of `max_in_any_second` that is given out; the
+ * rest is a reserve for VMs that disagree on which VMs are alive. This is also the number of VMs
+ * that may send, if the fleet has that many. 0: every VM may send an even share. */
+cold_share compute_cold_share(const cold_bound& bound, std::uint64_t server,
+                              const fleet_members& members, double senders);
 
 /** Whether this VM is the highest-ranked of the fleet for \p key, and so has to do the task that
  * the key identifies. This may hold for two VMs that know different members, and for none while a
--- a/src/crash_suspects.cpp
+++ b/src/crash_suspects.cpp
@@ -30,19 +30,19 @@
 {
     constexpr unsigned max_doublings = 8;
     const auto factor = 1U << std::min<unsigned>(trials, max_doublings);
-    return std::min<duration>(first_trial_after * factor, longest_until_trial);
+    return std::min<duration>(initial_trial_delay * factor, max_trial_delay);
 }
 
 } // namespace
 
-void crash_suspects::on_broken(content_key content, server_life server, instant now)
+void crash_suspects::on_attempt_broken(content_key content, server_incarnation server, instant now)
 {
-    if (this->unchecked.size() < reports_waiting_at_most) {
+    if (this->unchecked.size() < max_pending_reports) {
         this->unchecked.push_back({content, server, now});
     }
 }
 
-void crash_suspects::on_checked(server_life server, bool ended, instant now)
+void crash_suspects::on_checked(server_incarnation server, bool ended, instant now)
 {
     std::vector<crash_report> reports;
     for (const broken_attempt& item : this->unchecked) {
@@ -85,7 +85,7 @@
     found.changed = now;
     found.answered_crashes.merge(found.ends);
     found.ends.clear();
-    while (found.answered_crashes.size() > settled_at_most)
+    while (found.answered_crashes.size() > max_settled_crashes)
         found.answered_crashes.erase(found.answered_crashes.begin());
 }
 
@@ -93,7 +93,7 @@
  * checked yet: the VM that made them stops sending without waiting for the check. */
 std::size_t crash_suspects::crashes_with_unchecked(content_key content) const
 {
-    std::set<server_life> crashes;
+    std::set<server_incarnation> crashes;
     const auto found = this->suspects.find(content);
     if (found != this->suspects.end()) crashes = found->second.ends;
     for (const broken_attempt& item : this->unchecked) {
@@ -107,7 +107,7 @@
     if (this->suspects.empty() && this->unchecked.empty()) return std::nullopt;
     const auto found = this->suspects.find(content);
     if (found == this->suspects.end() || !found->second.is_blocked) {
-        const bool enough = this->crashes_with_unchecked(content) >= ends_until_blocked;
+        const bool enough = this->crashes_with_unchecked(content) >= crashes_until_blocked;
         return enough ? std::optional(block{}) : std::nullopt;
     }
     const duration pause = pause_before_trial(found->second.trials);
@@ -131,7 +131,7 @@
 
 bool crash_suspects::add(const crash_report& report, instant now)
 {
-    const server_life server{report.server};
+    const server_incarnation server{report.server};
     if (std::ranges::find(this->explained_crashes, server) != this->explained_crashes.end())
         return false;
     if (!this->suspects.contains(key_of(report))) this->evict_oldest();
@@ -144,22 +144,23 @@
 }
 
 /** Attributes these crashes to a blocked content, so that they no longer count against others. */
-void crash_suspects::mark_explained(const std::set<server_life>& crashes)
+void crash_suspects::mark_explained(const std::set<server_incarnation>& crashes)
 {
     for (auto& [content, item] : this->suspects) {
         if (item.is_blocked) continue;
-        std::erase_if(item.ends, [&crashes](server_life each) { return crashes.contains(each); });
+        std::erase_if(item.ends,
+                      [&crashes](server_incarnation each) { return crashes.contains(each); });
     }
     this->explained_crashes.insert(this->explained_crashes.end(), crashes.begin(), crashes.end());
-    if (this->explained_crashes.size() <= explained_at_most) return;
-    const auto surplus = this->explained_crashes.size() - explained_at_most;
+    if (this->explained_crashes.size() <= max_explained_crashes) return;
+    const auto surplus = this->explained_crashes.size() - max_explained_crashes;
     this->explained_crashes.erase(this->explained_crashes.begin(),
                                   this->explained_crashes.begin() +
                                       static_cast<std::ptrdiff_t>(surplus));
 }
 
 /** Blocks the contents with the most crashes, which explains these crashes. Repeats with the
- * crashes that remain until no content reaches `ends_until_blocked`. */
+ * crashes that remain until no content reaches `crashes_until_blocked`. */
 void crash_suspects::block_suspects(instant now)
 {
     for (;;) {
@@ -167,8 +168,8 @@
         for (const auto& [content, item] : this->suspects) {
             if (!item.is_blocked) most = std::max(most, item.ends.size());
         }
-        if (most < ends_until_blocked) return;
-        std::set<server_life> crashes;
+        if (most < crashes_until_blocked) return;
+        std::set<server_incarnation> crashes;
         for (auto& [content, item] : this->suspects) {
             if (item.is_blocked || item.ends.size() != most) continue;
             this->block_content(content, item, now);
@@ -190,7 +191,7 @@
 
 void crash_suspects::evict_oldest()
 {
-    if (this->suspects.size() < suspects_at_most) return;
+    if (this->suspects.size() < max_suspects) return;
     const auto oldest = std::ranges::min_element(this->suspects, {}, [](const auto& entry) {
         return std::pair(entry.second.is_blocked, entry.second.changed);
     });
@@ -244,7 +245,7 @@
 
 void crash_suspects::queue(std::vector<pending_report>& to, const crash_report& report)
 {
-    if (to.size() < reports_waiting_at_most) to.push_back({report, report_tellings});
+    if (to.size() < max_pending_reports) to.push_back({report, report_repeats});
 }
 
 std::size_t crash_suspects::crashes_of(content_key content) const
@@ -291,7 +292,7 @@
     std::erase_if(this->unchecked,
                   [now](const broken_attempt& item) { return now - item.at > check_timeout; });
     std::erase_if(this->suspects, [now](const auto& entry) {
-        return now - entry.second.changed > suspects_remembered_for;
+        return now - entry.second.changed > suspect_retention;
     });
 }
 
--- a/src/crash_suspects.h
+++ b/src/crash_suspects.h
@@ -26,29 +26,29 @@
 
 /** Number of server crashes after which a content is blocked. With two, a request that was resent
  * from one crashed server to another would often be taken for the cause. */
-constexpr std::size_t ends_until_blocked = 3;
+constexpr std::size_t crashes_until_blocked = 3;
 /** A blocked content is retried after this pause, which doubles with each unsuccessful trial, up to
- * `longest_until_trial`. Each trial may crash a server and lose all requests in flight there. */
-constexpr duration first_trial_after = seconds(60);
-constexpr duration longest_until_trial = seconds(600);
+ * `max_trial_delay`. Each trial may crash a server and lose all requests in flight there. */
+constexpr duration initial_trial_delay = seconds(60);
+constexpr duration max_trial_delay = seconds(600);
 /** A suspect is dropped after this time without a change of its state. */
-constexpr duration suspects_remembered_for = seconds(1800);
+constexpr duration suspect_retention = seconds(1800);
 /** Maximum number of suspects; the one unchanged for longest is evicted, unblocked ones first. */
-constexpr std::size_t suspects_at_most = 1024;
+constexpr std::size_t max_suspects = 1024;
 /** Maximum number of remembered crashes that a blocked content explains; the oldest are evicted. */
-constexpr std::size_t explained_at_most = 1024;
+constexpr std::size_t max_explained_crashes = 1024;
 /** Maximum number of remembered crashes per content from before a response to it. They are
  * kept so that a late report of one does not count again. */
-constexpr std::size_t settled_at_most = 64;
+constexpr std::size_t max_settled_crashes = 64;
 /** Number of digests in which each report is sent, as datagrams may be lost. */
-constexpr unsigned report_tellings = 3;
+constexpr unsigned report_repeats = 3;
 /** Maximum length of each queue of unsent reports, and of the list of attempts whose servers are
  * still to be checked. Entries beyond it are dropped. */
-constexpr std::size_t reports_waiting_at_most = 256;
+constexpr std::size_t max_pending_reports = 256;
 
 /** Identifies one incarnation of a server, the time from one start to the next. A server that
  * restarts under its id gets a new one. */
-enum class server_life : std::uint32_t {};
+enum class server_incarnation : std::uint32_t {};
 
 /** State of a blocked content. */
 struct block {
@@ -61,9 +61,9 @@
 public:
     /** The connection of an attempt of this VM broke. It counts as a crash once `on_checked`
      * confirms that the server has ended. */
-    void on_broken(content_key content, server_life server, instant now);
+    void on_attempt_broken(content_key content, server_incarnation server, instant now);
     /** Result of the check of a server whose attempts broke off. \p ended: it no longer runs. */
-    void on_checked(server_life server, bool ended, instant now);
+    void on_checked(server_incarnation server, bool ended, instant now);
     /** A server responded to a request with the content, which clears it. */
     void on_answered(content_key content, instant now);
 
@@ -90,8 +90,8 @@
 
 private:
     struct suspect {
-        std::set<server_life> ends;             ///< crashes that count against it
-        std::set<server_life> answered_crashes; ///< crashes from before a response to it
+        std::set<server_incarnation> ends;             ///< crashes that count against it
+        std::set<server_incarnation> answered_crashes; ///< crashes from before a response to it
         instant changed{}; ///< last time a crash was added, or it was blocked, retried or cleared
         bool is_blocked = false;
         bool cleared = false;    ///< a server responded to it while it was blocked or close to that
@@ -103,14 +103,14 @@
     };
     struct broken_attempt {
         content_key content{};
-        server_life server{};
+        server_incarnation server{};
         instant at{};
     };
 
     bool add(const crash_report& report, instant now);
     void block_suspects(instant now);
     void block_content(content_key content, suspect& found, instant now);
-    void mark_explained(const std::set<server_life>& crashes);
+    void mark_explained(const std::set<server_incarnation>& crashes);
     void clear(suspect& found, instant now);
     void evict_oldest();
     bool take_blocked(const blocked_content& told, instant now);
@@ -121,7 +121,7 @@
 
     std::map<content_key, suspect> suspects;
     std::vector<broken_attempt> unchecked;
-    std::vector<server_life> explained_crashes;
+    std::vector<server_incarnation> explained_crashes;
     std::vector<pending_report> for_near;
     std::vector<pending_report> for_distant;
     bool urgent = false;
--- a/src/demand_meter.h
+++ b/src/demand_meter.h
@@ -13,7 +13,7 @@
 public:
     /** The weight of past requests decays to 1/e in this time. Short compared to an overload of
      * seconds, and long enough for an error of at most a third at ten requests per second. */
-    static constexpr duration fades_in = milliseconds(700);
+    static constexpr duration decay_time = milliseconds(700);
 
     void on_request(instant now)
     {
@@ -24,14 +24,14 @@
     /** Requests per second. */
     [[nodiscard]] double rate(instant now) const
     {
-        return this->decayed(now) / std::chrono::duration<double>(fades_in).count();
+        return this->decayed(now) / std::chrono::duration<double>(decay_time).count();
     }
 
 private:
     [[nodiscard]] double decayed(instant now) const
     {
         const std::chrono::duration<double> span = now - this->last_request_at;
-        return this->weight * std::exp(-span / std::chrono::duration<double>(fades_in));
+        return this->weight * std::exp(-span / std::chrono::duration<double>(decay_time));
     }
 
     double weight = 0; ///< decayed number of requests as of `last_request_at`
--- a/src/live_request.h
+++ b/src/live_request.h
@@ -38,7 +38,7 @@
     unsigned runs = 0; ///< sends that may have run
     std::uint64_t attempt = 0;
     server_entry* row = nullptr; ///< server of the current attempt; nullptr: none
-    placed where;
+    placement_result where;
     duration loads_age{}; ///< age of the other VMs' loads when the server was chosen
     instant attempt_started_at{};
     instant sent{};      ///< when the attempt was sent; the epoch once its first event has arrived
--- a/src/overload_watch.h
+++ b/src/overload_tracker.h
@@ -14,27 +14,30 @@
 
 namespace worksshift {
 
-class overload_watch {
+class overload_tracker {
 public:
     /** An overload is over after this time without a refusal. */
-    static constexpr duration over_after = milliseconds(1500);
-    static constexpr duration shortest_stay = milliseconds(200);
-    static constexpr duration longest_stay = seconds(10);
+    static constexpr duration overload_gap = milliseconds(1500);
+    static constexpr duration min_overload_retry_after = milliseconds(200);
+    static constexpr duration max_overload_retry_after = seconds(10);
 
     /** Records a refused request. Returns the time after which its caller should retry. */
     template <class Random>
     duration refuse(instant now, Random& random)
     {
-        if (now - this->last_refusal > over_after) this->since = now;
+        if (now - this->last_refusal > overload_gap) this->since = now;
         this->last_refusal = now;
         std::uniform_real_distribution<double> spread(0.5, 1.5);
         const auto retry_after =
             std::chrono::duration_cast<duration>((now - this->since) * spread(random));
-        return std::clamp(retry_after, shortest_stay, longest_stay);
+        return std::clamp(retry_after, min_overload_retry_after, max_overload_retry_after);
     }
 
     /** Whether there is an overload: the last refusal is recent. */
-    [[nodiscard]] bool active(instant now) const { return now - this->last_refusal <= over_after; }
+    [[nodiscard]] bool active(instant now) const
+    {
+        return now - this->last_refusal <= overload_gap;
+    }
 
 private:
     instant since{};        ///< first refusal of the current overload
--- a/src/plain_choice.cpp
+++ b/src/plain_choice.cpp
@@ -15,7 +15,7 @@
     double time_s = 0;
     for (const server_entry* row : rows) {
         attempts += row->outcomes.weight();
-        time_s += row->outcomes.seconds_in_all();
+        time_s += row->outcomes.total_seconds();
     }
     return attempts > 0 ? time_s / attempts : 0;
 }
@@ -27,8 +27,8 @@
     const double best = std::ranges::min(expected);
     std::vector<double> factors(expected.size());
     std::ranges::transform(expected, factors.begin(), [best](double item) {
-        const double slowdown = best > 0 ? item / (best * alike_within) : 1;
-        return slowdown <= 1 ? 1 : std::max(1 / (slowdown * slowdown), least_drawn);
+        const double slowdown = best > 0 ? item / (best * similar_time_multiple) : 1;
+        return slowdown <= 1 ? 1 : std::max(1 / (slowdown * slowdown), min_draw_share);
     });
     return factors;
 }
@@ -49,7 +49,7 @@
                           instant now, std::minstd_rand& random)
 {
     for (server_entry* row : rows)
-        row->outcomes.fade(now);
+        row->outcomes.decay(now);
     const double mean_s = mean_response_s(rows);
     std::vector<double> expected(rows.size());
     std::ranges::transform(rows, expected.begin(), [mean_s](const server_entry* row) {
@@ -59,7 +59,7 @@
     std::vector<double> weights(rows.size());
     std::ranges::transform(
         rows, factors, weights.begin(), [&](const server_entry* row, double factor) {
-            const double preference = row->record.data_centre == here ? near_preference : 1;
+            const double preference = row->record.data_centre == here ? local_weight_multiple : 1;
             return factor * row->record.slots * preference;
         });
     const std::size_t first = draw(weights, random);
--- a/src/plain_choice.h
+++ b/src/plain_choice.h
@@ -20,13 +20,13 @@
 /** Servers whose expected response time is up to this multiple of the best one's are drawn with the
  * same probability per slot. Smaller differences are mostly noise, and VMs that act on them would
  * make each other switch servers. */
-constexpr double alike_within = 1.5;
+constexpr double similar_time_multiple = 1.5;
 /** Minimum weight of a server relative to the best one, so that its recovery is noticed. */
-constexpr double least_drawn = 0.02;
+constexpr double min_draw_share = 0.02;
 /** Factor on the weight of servers in the VM's own data centre, as traffic between data centres has
  * a cost. As a drawback, a server gets a fifth more than its share when its data centre sends three
  * times as many requests as the others. */
-constexpr double near_preference = 2;
+constexpr double local_weight_multiple = 2;
 
 /** The selected server. */
 struct plain_choice {
--- a/src/recent_outcomes.h
+++ b/src/recent_outcomes.h
@@ -18,25 +18,25 @@
 public:
     /** The weight of past results decays to 1/e in this time. Short enough to notice a server that
      * becomes slow, and a few times the interval at which results are exchanged. */
-    static constexpr duration plain_fade = milliseconds(1500);
+    static constexpr duration plain_decay_time = milliseconds(1500);
     /** The same for an engine, which gets about two requests a second from the VMs of one data
      * centre. */
-    static constexpr duration engine_fade = seconds(3);
+    static constexpr duration engine_decay_time = seconds(3);
 
-    void set_fade(duration given) { this->decay_time = given; }
+    void set_decay_time(duration given) { this->decay_time = given; }
 
     /** Adds \p answered attempts with a mean time of \p mean, and \p failed ones without a usable
      * response. */
     void add(std::uint32_t answered, std::uint32_t failed, duration mean, instant now)
     {
-        this->fade(now);
+        this->decay(now);
         this->answers += answered;
         this->failures += failed;
         this->time_s += answered * std::chrono::duration<double>(mean).count();
     }
 
     /** Decays the weights to the time \p now. */
-    void fade(instant now)
+    void decay(instant now)
     {
         const std::chrono::duration<double> span = now - this->decayed_at;
         const double kept = std::exp(-span / std::chrono::duration<double>(this->decay_time));
@@ -46,10 +46,10 @@
         this->decayed_at = now;
     }
 
-    /** Weight of the attempts with a response, as of the last `fade` or `add`; so are the others
+    /** Weight of the attempts with a response, as of the last `decay` or `add`; so are the others
      * below. */
     [[nodiscard]] double weight() const { return this->answers; }
-    [[nodiscard]] double seconds_in_all() const { return this->time_s; }
+    [[nodiscard]] double total_seconds() const { return this->time_s; }
     [[nodiscard]] double failed() const { return this->failures; }
     /** Weight of all attempts. */
     [[nodiscard]] double tries() const { return this->answers + this->failures; }
@@ -66,7 +66,7 @@
     }
 
 private:
-    duration decay_time = plain_fade;
+    duration decay_time = plain_decay_time;
     double answers = 0;
     double failures = 0;
     double time_s = 0;
--- a/src/request_path.cpp
+++ b/src/request_path.cpp
@@ -71,7 +71,7 @@
     });
     servers.on_end.connect([this](const attempt_end& end) { this->on_attempt_end(end); });
     servers.on_checked.connect([this](std::uint32_t server, bool ended) {
-        this->on_server_checked(server_life{server}, ended);
+        this->on_server_checked(server_incarnation{server}, ended);
     });
 }
 
@@ -182,7 +182,8 @@
 void request_path::dispatch(live_request& item)
 {
     if (this->is_blocked(item)) return;
-    placing wanted{item.service, item.engine, item.affinity, item.tried_servers, item.priority};
+    placement_request wanted{item.service, item.engine, item.affinity, item.tried_servers,
+                             item.priority};
     wanted.repeatable =
         item.matched_route->repeatable() && item.runs + 1 < item.matched_route->attempts;
     wanted.allowed_regions = {item.matched_route->allowed_regions, item.account_regions};
@@ -218,7 +219,7 @@
     this->answer_locally(item, unavailable, "not run: all engines are busy", answer.retry_after);
 }
 
-void request_path::send(live_request& item, const placed& where)
+void request_path::send(live_request& item, const placement_result& where)
 {
     const instant time = now();
     server_entry& row = *where.row;
@@ -232,7 +233,7 @@
     item.last_byte = time;
     item.refused = false;
     item.tried_servers.push_back(row.record.id);
-    if (row.in_flight++ == 0) row.waited_from = time;
+    if (row.in_flight++ == 0) row.in_flight_since = time;
     row.health.on_sent(time);
     row.cold.on_sent(time);
     row.trial.on_sent(time);
@@ -274,7 +275,7 @@
     item->told_load = facts.load;
     if (facts.load) {
         item->row->state(*facts.load, item->last_byte);
-        item->row->stated_here = true;
+        item->row->reported_here = true;
     }
     item->refused = facts.not_executed || head.status == misdirected;
     const std::string* type = head.find("content-type");
@@ -307,7 +308,7 @@
     if (status != unavailable || !facts.retry_after) return;
     // The server would refuse requests before then. Other servers can take them, or the caller can
     // retry later.
-    this->table.mark_resting(row, *facts.retry_after, item.last_byte);
+    this->table.mark_backing_off(row, *facts.retry_after, item.last_byte);
     log_event(log_level::info, "server_resting",
               {{"server", row.record.id.text},
                {"request", item.facts.id},
@@ -426,18 +427,18 @@
         return;
     }
     if (!end.peer_closed) return;
-    const server_life life = life_of(server);
-    this->suspect_contents.on_broken(item.content, life, time);
-    this->servers.check(static_cast<std::uint32_t>(life), server.id, server.address);
+    const server_incarnation incarnation = incarnation_of(server);
+    this->suspect_contents.on_attempt_broken(item.content, incarnation, time);
+    this->servers.check(static_cast<std::uint32_t>(incarnation), server.id, server.address);
 }
 
 /** Result of a connection check. If nothing listens at the server's address any more, the server
  * has ended and is marked unreachable at once. */
-void request_path::on_server_checked(server_life life, bool ended)
+void request_path::on_server_checked(server_incarnation incarnation, bool ended)
 {
     const instant time = now();
-    this->suspect_contents.on_checked(life, ended, time);
-    server_entry* row = this->table.find(life);
+    this->suspect_contents.on_checked(incarnation, ended, time);
+    server_entry* row = this->table.find(incarnation);
     if (row == nullptr) return;
     log_event(
         log_level::info, "server_checked",
@@ -604,7 +605,7 @@
         std::max<duration>(min_silence_timeout, item.matched_route->latency_objective *
                                                     silence_timeout_objective_multiple);
     // A server that still answers other requests is busy, not unreachable.
-    const bool responsive = time - item.row->heard_at <= server_entry::quiet_after;
+    const bool responsive = time - item.row->heard_at <= server_entry::unresponsive_after;
     const double multiple = responsive ? this->table.policy.patience_while_heard : 1;
     limit = std::chrono::duration_cast<duration>(limit * multiple);
     if (time - item.last_byte < limit) return;
--- a/src/request_path.h
+++ b/src/request_path.h
@@ -86,9 +86,9 @@
     [[nodiscard]] bool is_blocked(live_request& item);
     void record_broken_attempt(const live_request& item, const server_record& server,
                                const attempt_end& end, instant time);
-    void on_server_checked(server_life server, bool ended);
+    void on_server_checked(server_incarnation server, bool ended);
     void refuse(live_request& item, const retry_later& answer);
-    void send(live_request& item, const placed& where);
+    void send(live_request& item, const placement_result& where);
     void on_response_head(std::uint64_t attempt, const http_head& head, const answer_facts& facts);
     void apply_server_hints(const live_request& item, int status, const answer_facts& facts);
     void on_response_body(std::uint64_t attempt, std::string_view bytes);
--- a/src/router.cpp
+++ b/src/router.cpp
@@ -126,7 +126,7 @@
     this->follow_store(time);
     this->start_serving();
     this->servers.sweep(time);
-    this->servers.expire_stated(time);
+    this->servers.expire_reported_loads(time);
     this->servers.mark_slow(time);
     this->servers.sum_loads(time);
     this->update_peer_loads(time);
@@ -163,12 +163,12 @@
     this->gossip.on_digest.connect([this](const fleet_vm& from) {
         this->loads_changed = true;
         for (const stated_load& item : from.last.stated_loads)
-            this->servers.take_stated(item, from.heard_at);
+            this->servers.apply_reported_load(item, from.heard_at);
         for (const told_outcomes& item : from.last.outcomes)
-            this->servers.take_outcomes(item, from.heard_at);
-        for (const std::uint32_t life : from.last.leaving_servers) {
-            if (!this->servers.mark_leaving(server_life{life})) continue;
-            const server_entry* row = this->servers.find(server_life{life});
+            this->servers.apply_outcomes(item, from.heard_at);
+        for (const std::uint32_t incarnation : from.last.leaving_servers) {
+            if (!this->servers.mark_leaving(server_incarnation{incarnation})) continue;
+            const server_entry* row = this->servers.find(server_incarnation{incarnation});
             log_event(log_level::info, "server_leaving",
                       {{"server", row->record.id.text}, {"source", to_text(from.address)}});
         }
@@ -246,7 +246,7 @@
     this->members = this->gossip.fleet().members(time);
     for (const auto& [place, region] : this->options.regions)
         this->members.add(static_cast<std::uint32_t>(place.hash()));
-    this->servers.share_cold(this->members, time);
+    this->servers.update_cold_shares(this->members, time);
     this->servers.mark_failing(this->members, time);
 }
 
@@ -285,17 +285,17 @@
     state.digest.leaving = this->stopping;
     state.digest.requests_per_s = static_cast<std::uint16_t>(std::min(
         this->path.admissions().engine_requests_per_s(time) * demand_units_per_rps, max_demand));
-    state.digest.stated_loads = this->servers.take_news(time);
-    state.digest.outcomes = this->servers.take_outcome_news();
+    state.digest.stated_loads = this->servers.drain_reported_loads(time);
+    state.digest.outcomes = this->servers.drain_outcomes();
     this->registry.describe(state.digest, time);
     this->evacuations.describe(state.digest, this->registry.known());
     this->path.suspects().describe(state.digest, time);
-    state.digest.leaving_servers = this->servers.leaving_early(leaving_servers_at_most);
+    state.digest.leaving_servers = this->servers.leaving_but_listed(leaving_servers_at_most);
     state.distant_crash_reports = this->path.suspects().reports_to_distant();
     state.servers = this->servers.rows().size();
     for (const auto& [id, row] : this->servers.rows()) {
         // With a fresh load reported by the server itself, the VMs need no sum of request counts.
-        if (row.in_flight == 0 || row.stated_is_fresh) continue;
+        if (row.in_flight == 0 || row.report_is_fresh) continue;
         state.loads.push_back({short_hash(row), static_cast<std::uint16_t>(row.in_flight)});
     }
     const std::vector<const server_entry*> busy = this->servers.busy();
--- a/src/router_status.cpp
+++ b/src/router_status.cpp
@@ -58,7 +58,7 @@
              {"bound", load_bound_multiple},
              {"mean_load", totals.servers > 0 ? totals.load / totals.servers : 0},
              {"draining", !row.takes_work()},
-             {"accepting", row.takes_work() && row.health.usable(now) && !row.quiet(now)}});
+             {"accepting", row.takes_work() && row.health.usable(now) && !row.unresponsive(now)}});
     }
     return all;
 }
--- a/src/server_entry.h
+++ b/src/server_entry.h
@@ -16,7 +16,7 @@
 /** Maximum age at which a load reported by the server itself is used. With 1 s, engines counted as
  * idle between two reports, and prompts were copied to them: 1,684 GB in 14 s of a load peak with
  * 112 engines, against 892 GB with 3 s. */
-constexpr duration stated_load_for = milliseconds(3000);
+constexpr duration reported_load_lifetime = milliseconds(3000);
 /** Results of attempts at one server, summed up. */
 struct outcome_sum {
     std::uint32_t answered = 0;
@@ -27,78 +27,79 @@
 struct server_entry {
     server_record record;
     std::uint64_t hash = 0;            ///< of the server's id; input of the rendezvous weights
-    server_life life{};                ///< current incarnation of the server
+    server_incarnation incarnation{};  ///< current incarnation of the server
     instant listed_at{};               ///< when this incarnation was first listed
     std::uint32_t in_flight = 0;       ///< attempts of this VM
     std::uint32_t peers_in_flight = 0; ///< attempts of the other VMs, as last reported
     /** Requests of all VMs at the server, as it last reported to this VM or to another of this
      * VM's data centre. */
-    std::uint32_t stated = 0;
-    instant stated_at{};
-    std::uint32_t in_flight_when_stated = 0; ///< `in_flight` when `stated` was set
-    bool stated_is_fresh = false; ///< `stated` was recent enough for use at the last tick
-    bool stated_here = false;     ///< reported to this VM, and not yet passed on to others
+    std::uint32_t reported_requests = 0;
+    instant load_reported_at{};
+    std::uint32_t in_flight_at_report = 0; ///< `in_flight` when `reported_requests` was set
+    bool report_is_fresh =
+        false;                  ///< `reported_requests` was recent enough for use at the last tick
+    bool reported_here = false; ///< reported to this VM, and not yet passed on to others
     server_health health;
     region_id region;       ///< of its data centre; empty: unknown
     bool evacuated = false; ///< its data centre is being evacuated
     cold_gate cold;
-    bool gone = false;     ///< no longer in the registry; kept until no attempt is in flight
-    bool replaced = false; ///< another server answered at its address
-    bool leaving = false;  ///< a response to this VM or another said that it will stop
-    instant rests_until{}; ///< backing off until then; the epoch: never
+    bool gone = false;       ///< no longer in the registry; kept until no attempt is in flight
+    bool replaced = false;   ///< another server answered at its address
+    bool leaving = false;    ///< a response to this VM or another said that it will stop
+    instant backoff_until{}; ///< backing off until then; the epoch: never
 
-    instant heard_at{};    ///< when the last byte of a response arrived
-    instant waited_from{}; ///< since then at least one attempt has been in flight
+    instant heard_at{};        ///< when the last byte of a response arrived
+    instant in_flight_since{}; ///< since then at least one attempt has been in flight
 
     /** Recent delay from sending a request to its first event; decays with time. */
     first_event_delay first_delay;
     /** Recent results of attempts by this VM and the others of its data centre. */
     recent_outcomes outcomes;
-    outcome_sum untold;   ///< this VM's results not yet reported to others
-    bool failing = false; ///< compared to the engines of its service, see `mark_failing`
-    cold_gate trial;      ///< while it is failing: when this VM may send it a trial request
-    bool slow = false;    ///< compared to the engines of its service, see `mark_slow`
+    outcome_sum unreported_outcomes; ///< this VM's results not yet reported to others
+    bool failing = false;            ///< compared to the engines of its service, see `mark_failing`
+    cold_gate trial;   ///< while it is failing: when this VM may send it a trial request
+    bool slow = false; ///< compared to the engines of its service, see `mark_slow`
 
     /** After this time without a byte while attempts are in flight, the server is unresponsive:
      * it may be unreachable, which open connections do not show. New requests go elsewhere until it
      * sends something. Engines send every few tens of ms. With a third of the engines unresponsive
      * twice for 4 s, this reduced late requests in that time from 160 to 100, and expired deadlines
      * from 34 to none. */
-    static constexpr duration quiet_after = milliseconds(450);
+    static constexpr duration unresponsive_after = milliseconds(450);
 
-    [[nodiscard]] bool quiet(instant now) const
+    [[nodiscard]] bool unresponsive(instant now) const
     {
         return this->in_flight > 0 &&
-               now - std::max(this->heard_at, this->waited_from) > quiet_after;
+               now - std::max(this->heard_at, this->in_flight_since) > unresponsive_after;
     }
     /** Requests of all VMs at the server. Uses the server's own report if it is recent: it counts
      * the requests of all VMs and is passed on directly within a data centre. The sums of the other
      * VMs' requests pass through three VMs, and are a second old in a large fleet. */
     [[nodiscard]] std::uint32_t load() const
     {
-        if (!this->stated_is_fresh) return this->in_flight + this->peers_in_flight;
+        if (!this->report_is_fresh) return this->in_flight + this->peers_in_flight;
         // Corrected by this VM's own requests that began or ended since the report.
-        const std::uint32_t total = this->stated + this->in_flight;
-        return std::max(this->in_flight, total - std::min(total, this->in_flight_when_stated));
+        const std::uint32_t total = this->reported_requests + this->in_flight;
+        return std::max(this->in_flight, total - std::min(total, this->in_flight_at_report));
     }
     /** The server had \p requests in flight at \p at. Ignored if not newer than the last report. */
     void state(std::uint32_t requests, instant at)
     {
-        if (at <= this->stated_at) return;
-        this->stated = requests;
-        this->stated_at = at;
-        this->in_flight_when_stated = this->in_flight;
-        this->stated_is_fresh = true;
+        if (at <= this->load_reported_at) return;
+        this->reported_requests = requests;
+        this->load_reported_at = at;
+        this->in_flight_at_report = this->in_flight;
+        this->report_is_fresh = true;
     }
     /** Whether the server is backing off: it asked this VM with Retry-After for a pause. */
-    [[nodiscard]] bool rests(instant now) const { return now < this->rests_until; }
+    [[nodiscard]] bool backing_off(instant now) const { return now < this->backoff_until; }
     /** Whether to send it nothing because it is failing, and no trial request of this VM is due. */
     [[nodiscard]] bool avoided(instant now) const
     {
         return this->failing && !this->trial.open(now);
     }
     /** Whether the row may be removed. */
-    [[nodiscard]] bool over() const { return this->gone && this->in_flight == 0; }
+    [[nodiscard]] bool is_removable() const { return this->gone && this->in_flight == 0; }
     /** Whether the server may get new requests, as far as its lifecycle goes. */
     [[nodiscard]] bool takes_work() const
     {
--- a/src/server_health.h
+++ b/src/server_health.h
@@ -18,14 +18,14 @@
 public:
     /** The weight of past results decays to 1/e in this time, long enough for a few requests of one
      * VM. */
-    static constexpr duration outcomes_fade_in = seconds(3);
+    static constexpr duration outcome_decay_time = seconds(3);
     /** Minimum weight of results for the failure rate to be used. */
-    static constexpr double outcomes_needed = 2.5;
+    static constexpr double min_outcome_weight = 2.5;
     /** Failure rate above which a server is paused. Healthy services fail up to one request in
      * seven; a server that fails half is useless to a request that may be sent only once. */
     static constexpr double failing_share = 0.35;
-    static constexpr duration first_pause = milliseconds(1000); ///< doubles with further failures
-    static constexpr duration longest_pause = seconds(4);
+    static constexpr duration initial_pause = milliseconds(1000); ///< doubles with further failures
+    static constexpr duration max_pause = seconds(4);
 
     /** Whether a request may be sent: no pause, or it is over and no trial is in flight. */
     [[nodiscard]] bool usable(instant now) const
@@ -46,7 +46,7 @@
             this->failures = 0;
             this->total = 1;
             this->paused = false;
-            this->next_pause = first_pause;
+            this->next_pause = initial_pause;
         }
         this->trial = false;
     }
@@ -55,7 +55,7 @@
     {
         this->add(now, 1);
         const bool failing =
-            this->total >= outcomes_needed && this->failures > failing_share * this->total;
+            this->total >= min_outcome_weight && this->failures > failing_share * this->total;
         if (this->trial || failing) this->start_pause(now);
     }
 
@@ -75,7 +75,7 @@
     {
         const double span = std::chrono::duration<double>(now - this->last_result_at).count();
         const double kept =
-            std::exp(-span / std::chrono::duration<double>(outcomes_fade_in).count());
+            std::exp(-span / std::chrono::duration<double>(outcome_decay_time).count());
         this->failures = this->failures * kept + failure;
         this->total = this->total * kept + 1;
         this->last_result_at = now;
@@ -86,18 +86,17 @@
         this->trial = false;
         if (this->paused && now < this->paused_until) return;
         this->paused_until = now + this->next_pause;
-        this->next_pause =
-            this->paused ? std::min(this->next_pause * 2, longest_pause) : first_pause;
+        this->next_pause = this->paused ? std::min(this->next_pause * 2, max_pause) : initial_pause;
         this->paused = true;
     }
 
-    double failures = 0;               ///< decayed weight
-    double total = 0;                  ///< decayed weight of all results
-    instant last_result_at{};          ///< time of the last result
-    bool paused = false;               ///< until a trial succeeds
-    bool trial = false;                ///< a trial request is in flight
-    instant paused_until{};            ///< end of the pause, when a trial may begin
-    duration next_pause = first_pause; ///< length of the next pause
+    double failures = 0;                 ///< decayed weight
+    double total = 0;                    ///< decayed weight of all results
+    instant last_result_at{};            ///< time of the last result
+    bool paused = false;                 ///< until a trial succeeds
+    bool trial = false;                  ///< a trial request is in flight
+    instant paused_until{};              ///< end of the pause, when a trial may begin
+    duration next_pause = initial_pause; ///< length of the next pause
 };
 
 } // namespace worksshift
--- a/src/server_words.h
+++ b/src/server_notices.h
@@ -19,35 +19,35 @@
 namespace worksshift {
 
 /** Maximum number of remembered incarnations that are leaving; the oldest are evicted. */
-constexpr std::size_t leaving_lives_at_most = 4096;
+constexpr std::size_t max_leaving_incarnations = 4096;
 
-class server_words {
+class server_notices {
 public:
     /** The server is leaving. This is final: a later response that does not say so may have been
      * generated before the one that does. Returns whether this is new. */
-    bool note_leaving(server_life server)
+    bool note_leaving(server_incarnation server)
     {
         if (!this->leaving_lives.insert(server).second) return false;
         this->insertion_order.push_back(server);
-        if (this->insertion_order.size() > leaving_lives_at_most) {
+        if (this->insertion_order.size() > max_leaving_incarnations) {
             this->leaving_lives.erase(this->insertion_order.front());
             this->insertion_order.pop_front();
         }
         return true;
     }
-    [[nodiscard]] bool leaving(server_life server) const
+    [[nodiscard]] bool leaving(server_incarnation server) const
     {
         return this->leaving_lives.contains(server);
     }
 
     /** The server is backing off: this VM sends it nothing before \p until. */
-    void note_rest(server_life server, instant until)
+    void note_backoff(server_incarnation server, instant until)
     {
         instant& known = this->backoffs[server];
         known = std::max(known, until);
     }
     /** End of the back-off period; the epoch if the server did not ask for one. */
-    [[nodiscard]] instant rests_until(server_life server) const
+    [[nodiscard]] instant backoff_until(server_incarnation server) const
     {
         const auto found = this->backoffs.find(server);
         return found == this->backoffs.end() ? instant{} : found->second;
@@ -59,9 +59,9 @@
     }
 
 private:
-    std::unordered_set<server_life> leaving_lives;
-    std::deque<server_life> insertion_order;           ///< of `leaving_lives`, the oldest first
-    std::unordered_map<server_life, instant> backoffs; ///< ends of the back-off periods
+    std::unordered_set<server_incarnation> leaving_lives;
+    std::deque<server_incarnation> insertion_order; ///< of `leaving_lives`, the oldest first
+    std::unordered_map<server_incarnation, instant> backoffs; ///< ends of the back-off periods
 };
 
 } // namespace worksshift
--- a/src/server_table.cpp
+++ b/src/server_table.cpp
@@ -47,7 +47,7 @@
 
 duration decay_time_of(const service_traits& traits)
 {
-    return traits.engine ? recent_outcomes::engine_fade : recent_outcomes::plain_fade;
+    return traits.engine ? recent_outcomes::engine_decay_time : recent_outcomes::plain_decay_time;
 }
 
 /** Standard deviation of the change in an engine's load since it was reported, with arrivals taken
@@ -61,7 +61,7 @@
 
 double load_bound(double mean)
 {
-    return load_bound_multiple * mean + load_bound_spare;
+    return load_bound_multiple * mean + load_bound_offset;
 }
 
 /** Rendezvous weight of each row for the key. All VMs compute the same weights. */
@@ -141,20 +141,21 @@
         this->table, [now](const auto& entry) { return entry.second.cold.cold(now); }));
 }
 
-void server_table::share_cold(const fleet_members& members, instant now)
+void server_table::update_cold_shares(const fleet_members& members, instant now)
 {
     for (auto& [service, group] : this->services)
-        this->share_cold(group, members, now);
+        this->update_cold_shares(group, members, now);
 }
 
-void server_table::share_cold(service_state& group, const fleet_members& members, instant now)
+void server_table::update_cold_shares(service_state& group, const fleet_members& members,
+                                      instant now)
 {
     if (!group.traits.limits_cold()) return;
     const cold_bound bound(group.traits.cold_requests_per_s.value_or(0), this->cold);
     for (server_entry* row : group.rows) {
         if (!row->cold.cold(now)) continue;
         const cold_share share =
-            share_of_cold(bound, row->hash, members, this->policy.cold_senders);
+            compute_cold_share(bound, row->hash, members, this->policy.cold_senders);
         row->cold.set_share(share, now, this->random);
     }
 }
@@ -163,10 +164,10 @@
  * cold servers permits one. */
 bool server_table::is_open(const service_state& group, const server_entry& row, instant now) const
 {
-    return !row.rests(now) && (!group.traits.limits_cold() || row.cold.open(now));
+    return !row.backing_off(now) && (!group.traits.limits_cold() || row.cold.open(now));
 }
 
-bool server_table::is_allowed(const server_entry& row, const placing& wanted)
+bool server_table::is_allowed(const server_entry& row, const placement_request& wanted)
 {
     return std::ranges::all_of(wanted.allowed_regions, [&row](std::span<const region_id> regions) {
         if (regions.empty()) return true;
@@ -174,13 +175,13 @@
     });
 }
 
-bool server_table::may_serve(const server_entry& row, const placing& wanted)
+bool server_table::may_serve(const server_entry& row, const placement_request& wanted)
 {
     return row.takes_work() && is_allowed(row, wanted) &&
            std::ranges::find(wanted.tried, row.record.id) == wanted.tried.end();
 }
 
-std::optional<instant> server_table::opens_at(const placing& wanted, instant now) const
+std::optional<instant> server_table::opens_at(const placement_request& wanted, instant now) const
 {
     const auto group = this->services.find(wanted.service);
     if (group == this->services.end()) return std::nullopt;
@@ -190,7 +191,7 @@
         if (!row->takes_work() || !is_allowed(*row, wanted)) continue;
         if (this->is_open(group->second, *row, now)) continue;
         const bool cold = group->second.traits.limits_cold() && !row->cold.open(now);
-        const instant at = std::max(row->rests_until, cold ? row->cold.opens_at() : instant{});
+        const instant at = std::max(row->backoff_until, cold ? row->cold.opens_at() : instant{});
         if (!first || at < *first) first = at;
     }
     return first;
@@ -222,16 +223,16 @@
     const bool restarted = added && known_before;
     row.record = record;
     row.hash = record.id.hash();
-    row.life = life_of(record);
-    row.leaving = this->words.leaving(row.life);
-    row.rests_until = this->words.rests_until(row.life);
-    row.outcomes.set_fade(decay_time_of(this->services[record.service].traits));
+    row.incarnation = incarnation_of(record);
+    row.leaving = this->words.leaving(row.incarnation);
+    row.backoff_until = this->words.backoff_until(row.incarnation);
+    row.outcomes.set_decay_time(decay_time_of(this->services[record.service].traits));
     row.evacuated = this->evacuated.contains(short_hash(record.data_centre));
     const auto region = this->regions.find(record.data_centre);
     if (region != this->regions.end()) row.region = region->second;
     this->update_cold(row, restarted, now);
     this->by_short_hash[static_cast<std::uint32_t>(row.hash)] = &row;
-    this->by_life[row.life] = &row;
+    this->by_life[row.incarnation] = &row;
     row.gone = false;
     return changed;
 }
@@ -241,7 +242,7 @@
     row.gone = true;
     std::erase(this->services[row.record.service].rows, &row);
     this->by_short_hash.erase(static_cast<std::uint32_t>(row.hash));
-    this->by_life.erase(row.life);
+    this->by_life.erase(row.incarnation);
     this->retired.push_back(this->table.extract(row.record.id));
 }
 
@@ -264,37 +265,37 @@
     return found == this->table.end() ? nullptr : &found->second;
 }
 
-server_entry* server_table::find(server_life life)
+server_entry* server_table::find(server_incarnation incarnation)
 {
-    const auto found = this->by_life.find(life);
+    const auto found = this->by_life.find(incarnation);
     return found == this->by_life.end() ? nullptr : found->second;
 }
 
 bool server_table::mark_leaving(server_entry& row)
 {
     row.leaving = true;
-    return this->words.note_leaving(row.life);
+    return this->words.note_leaving(row.incarnation);
 }
 
-void server_table::mark_resting(server_entry& row, duration span, instant now)
+void server_table::mark_backing_off(server_entry& row, duration span, instant now)
 {
-    this->words.note_rest(row.life, now + span);
-    row.rests_until = this->words.rests_until(row.life);
+    this->words.note_backoff(row.incarnation, now + span);
+    row.backoff_until = this->words.backoff_until(row.incarnation);
 }
 
-bool server_table::mark_leaving(server_life life)
+bool server_table::mark_leaving(server_incarnation incarnation)
 {
-    server_entry* row = this->find(life);
+    server_entry* row = this->find(incarnation);
     return row != nullptr && this->mark_leaving(*row);
 }
 
-std::vector<std::uint32_t> server_table::leaving_early(std::size_t count) const
+std::vector<std::uint32_t> server_table::leaving_but_listed(std::size_t count) const
 {
     std::vector<std::uint32_t> lives;
     for (const auto& [id, row] : this->table) {
         if (lives.size() >= count) break;
         if (!row.leaving || row.gone || row.record.draining) continue;
-        lives.push_back(static_cast<std::uint32_t>(row.life));
+        lives.push_back(static_cast<std::uint32_t>(row.incarnation));
     }
     return lives;
 }
@@ -303,12 +304,13 @@
 {
     this->words.forget(now);
     for (auto& [service, group] : this->services) {
-        std::erase_if(group.rows, [](const server_entry* row) { return row->over(); });
+        std::erase_if(group.rows, [](const server_entry* row) { return row->is_removable(); });
     }
-    std::erase_if(this->by_short_hash, [](const auto& entry) { return entry.second->over(); });
-    std::erase_if(this->by_life, [](const auto& entry) { return entry.second->over(); });
-    std::erase_if(this->table, [](const auto& entry) { return entry.second.over(); });
-    std::erase_if(this->retired, [](const auto& node) { return node.mapped().over(); });
+    std::erase_if(this->by_short_hash,
+                  [](const auto& entry) { return entry.second->is_removable(); });
+    std::erase_if(this->by_life, [](const auto& entry) { return entry.second->is_removable(); });
+    std::erase_if(this->table, [](const auto& entry) { return entry.second.is_removable(); });
+    std::erase_if(this->retired, [](const auto& node) { return node.mapped().is_removable(); });
 }
 
 service_load server_table::load_of(const service_id& service) const
@@ -323,17 +325,18 @@
         group.sum = {};
         group.sum.span_s = as_seconds(group.forecast.span());
         for (const server_entry* row : group.rows) {
-            if (!row->takes_work() || !row->health.usable(now) || row->quiet(now)) continue;
-            if (row->failing || row->rests(now)) continue;
+            if (!row->takes_work() || !row->health.usable(now) || row->unresponsive(now)) continue;
+            if (row->failing || row->backing_off(now)) continue;
             if (group.traits.limits_cold() && row->cold.cold(now)) continue;
             ++group.sum.engines;
             group.sum.slots += row->record.slots;
             group.sum.requests += row->load();
-            if (!row->stated_is_fresh) continue;
-            ++group.sum.stated;
-            group.sum.age_s += as_seconds(now - row->stated_at);
+            if (!row->report_is_fresh) continue;
+            ++group.sum.reported_requests;
+            group.sum.age_s += as_seconds(now - row->load_reported_at);
         }
-        if (group.sum.stated > 0) group.sum.age_s /= static_cast<double>(group.sum.stated);
+        if (group.sum.reported_requests > 0)
+            group.sum.age_s /= static_cast<double>(group.sum.reported_requests);
     }
 }
 
@@ -343,32 +346,34 @@
     for (const auto& [service, group] : this->services) {
         const row_list& rows = group.rows;
         if (rows.empty()) continue;
-        const double limit = busy_share * load_bound(mean_load(rows));
+        const double limit = busy_load_share * load_bound(mean_load(rows));
         std::ranges::copy_if(rows, std::back_inserter(found),
                              [limit](const server_entry* row) { return row->load() >= limit; });
     }
     return found;
 }
 
-void server_table::take_stated(const stated_load& item, instant heard_at)
+void server_table::apply_reported_load(const stated_load& item, instant heard_at)
 {
     const auto found = this->by_short_hash.find(item.server);
     if (found == this->by_short_hash.end()) return;
-    const instant stated_at = heard_at - item.age * stated_age_unit;
+    const instant load_reported_at = heard_at - item.age * stated_age_unit;
     // An older report may come from the previous incarnation of the server.
-    if (stated_at < found->second->listed_at) return;
-    found->second->state(item.requests, stated_at);
+    if (load_reported_at < found->second->listed_at) return;
+    found->second->state(item.requests, load_reported_at);
 }
 
-std::vector<stated_load> server_table::take_news(instant now)
+std::vector<stated_load> server_table::drain_reported_loads(instant now)
 {
     std::vector<stated_load> reports;
     for (auto& [id, row] : this->table) {
-        if (!std::exchange(row.stated_here, false)) continue;
-        const auto age = std::min<std::int64_t>((now - row.stated_at) / stated_age_unit, 255);
-        reports.push_back({static_cast<std::uint32_t>(row.hash),
-                           static_cast<std::uint16_t>(std::min<std::uint32_t>(row.stated, 65535)),
-                           static_cast<std::uint8_t>(age)});
+        if (!std::exchange(row.reported_here, false)) continue;
+        const auto age =
+            std::min<std::int64_t>((now - row.load_reported_at) / stated_age_unit, 255);
+        reports.push_back(
+            {static_cast<std::uint32_t>(row.hash),
+             static_cast<std::uint16_t>(std::min<std::uint32_t>(row.reported_requests, 65535)),
+             static_cast<std::uint8_t>(age)});
     }
     std::ranges::sort(reports, {}, &stated_load::age);
     reports.resize(std::min(reports.size(), stated_loads_at_most));
@@ -379,21 +384,21 @@
 {
     row.outcomes.add(failed ? 0 : 1, failed ? 1 : 0, span, now);
     if (failed) {
-        ++row.untold.failed;
+        ++row.unreported_outcomes.failed;
     } else {
-        ++row.untold.answered;
-        row.untold.time += span;
+        ++row.unreported_outcomes.answered;
+        row.unreported_outcomes.time += span;
     }
 }
 
-void server_table::take_outcomes(const told_outcomes& item, instant now)
+void server_table::apply_outcomes(const told_outcomes& item, instant now)
 {
     const auto found = this->by_short_hash.find(item.server);
     if (found == this->by_short_hash.end()) return;
     found->second->outcomes.add(item.answered, item.failed, item.mean * told_time_unit, now);
 }
 
-std::vector<told_outcomes> server_table::take_outcome_news()
+std::vector<told_outcomes> server_table::drain_outcomes()
 {
     const auto byte = [](std::int64_t value) {
         constexpr std::int64_t byte_max = std::numeric_limits<std::uint8_t>::max();
@@ -401,7 +406,7 @@
     };
     std::vector<told_outcomes> reports;
     for (auto& [id, row] : this->table) {
-        const outcome_sum sum = std::exchange(row.untold, {});
+        const outcome_sum sum = std::exchange(row.unreported_outcomes, {});
         if (sum.answered + sum.failed == 0) continue;
         if (this->is_engine(row) && row.outcomes.failed() < min_reported_failures) continue;
         const duration mean = sum.time / std::max<std::uint32_t>(sum.answered, 1);
@@ -426,7 +431,7 @@
     service_state& group = this->services[service];
     group.traits = traits;
     for (server_entry* row : group.rows)
-        row->outcomes.set_fade(decay_time_of(traits));
+        row->outcomes.set_decay_time(decay_time_of(traits));
 }
 
 void server_table::mark_failing(const fleet_members& members, instant now)
@@ -441,7 +446,7 @@
     double failed = 0;
     double tries = 0;
     for (server_entry* row : group.rows) {
-        row->outcomes.fade(now);
+        row->outcomes.decay(now);
         failed += row->outcomes.failed();
         tries += row->outcomes.tries();
     }
@@ -466,7 +471,7 @@
         }
         if (!row->failing) continue;
         row->trial.extend(now + seconds(1));
-        row->trial.set_share(share_of_cold(trial_bound, row->hash, own_data_centre, 1), now,
+        row->trial.set_share(compute_cold_share(trial_bound, row->hash, own_data_centre, 1), now,
                              this->random);
     }
 }
@@ -481,10 +486,10 @@
                {"tries", row.outcomes.tries()}});
 }
 
-void server_table::expire_stated(instant now)
+void server_table::expire_reported_loads(instant now)
 {
     for (auto& [id, row] : this->table)
-        row.stated_is_fresh = now - row.stated_at <= stated_load_for;
+        row.report_is_fresh = now - row.load_reported_at <= reported_load_lifetime;
 }
 
 void server_table::mark_slow(instant now)
@@ -531,7 +536,7 @@
     return row.load() + 1 + std::abs(spread) <= this->policy.free_share * row.record.slots;
 }
 
-server_table::candidate_list server_table::candidates(const placing& wanted, instant now)
+server_table::candidate_list server_table::candidates(const placement_request& wanted, instant now)
 {
     const auto found = this->services.find(wanted.service);
     if (found == this->services.end()) return {};
@@ -542,7 +547,7 @@
                          [&wanted](const server_entry* row) { return may_serve(*row, wanted); });
     row_list healthy;
     std::ranges::copy_if(open, std::back_inserter(healthy), [now](const server_entry* row) {
-        return row->health.usable(now) && !row->quiet(now) && !row->avoided(now);
+        return row->health.usable(now) && !row->unresponsive(now) && !row->avoided(now);
     });
     // If more than half of the servers look unhealthy, the cause is probably elsewhere, and
     // excluding them would leave the remaining ones overloaded.
@@ -552,12 +557,12 @@
     return made;
 }
 
-placed server_table::choose(const placing& wanted, instant now)
+placement_result server_table::choose(const placement_request& wanted, instant now)
 {
     const candidate_list open = this->candidates(wanted, now);
     const row_list& rows = open.rows;
     if (rows.empty()) return {};
-    placed result;
+    placement_result result;
     if (wanted.engine) {
         result = this->choose_engine(wanted, open);
     } else {
@@ -602,11 +607,12 @@
 
 /** Selects in linear time: sorting all servers by rank took 301 us with 1,400 servers, this takes
  * 38 us (`measure router`). */
-placed server_table::choose_engine(const placing& wanted, const candidate_list& open)
+placement_result server_table::choose_engine(const placement_request& wanted,
+                                             const candidate_list& open)
 {
     const service_state& group = this->services[wanted.service];
     const row_list& rows = open.rows;
-    placed result;
+    placement_result result;
     result.mean_load = open.mean_load;
     const double bound = this->load_bound_of(group, result.mean_load);
     std::vector<std::uint64_t> weights = rank_weights(rows, wanted.affinity);
@@ -644,8 +650,8 @@
  * cache is empty. Copying cached tokens costs a tenth of processing them again: on a day without
  * faults with 10 of 18 servers replaced or added, 0.27 million tokens were processed again instead
  * of 0.85 million. */
-const server_entry* server_table::find_cached(const placing& wanted, const server_entry& chosen,
-                                              instant now) const
+const server_entry* server_table::find_cached(const placement_request& wanted,
+                                              const server_entry& chosen, instant now) const
 {
     const auto group = this->services.find(wanted.service);
     if (group == this->services.end()) return nullptr;
@@ -653,8 +659,8 @@
     std::uint64_t best_weight = 0;
     for (const server_entry* row : group->second.rows) {
         const bool eligible = !row->gone && !row->replaced && row->health.usable(now) &&
-                              !row->quiet(now) && !row->cold.cold(now) && !row->rests(now) &&
-                              is_allowed(*row, wanted);
+                              !row->unresponsive(now) && !row->cold.cold(now) &&
+                              !row->backing_off(now) && is_allowed(*row, wanted);
         if (row == &chosen || !eligible) continue;
         const std::uint64_t weight = rendezvous_weight(wanted.affinity, row->hash);
         if (best != nullptr && weight <= best_weight) continue;
@@ -664,9 +670,9 @@
     return best;
 }
 
-server_life life_of(const server_record& record)
+server_incarnation incarnation_of(const server_record& record)
 {
-    return server_life{
+    return server_incarnation{
         static_cast<std::uint32_t>(rendezvous_weight(record.id.hash(), record.born_ms))};
 }
 
--- a/src/server_table.h
+++ b/src/server_table.h
@@ -24,22 +24,22 @@
 #include "placement_policy.h"
 #include "protocol.h"
 #include "server_entry.h"
-#include "server_words.h"
+#include "server_notices.h"
 #include "slot_forecast.h"
 
 namespace worksshift {
 
 /** An engine may take a request if its load stays within this multiple of the mean load of its
- * service plus `load_bound_spare` requests. The specified bound is twice the mean plus three; the
+ * service plus `load_bound_offset` requests. The specified bound is twice the mean plus three; the
  * margin covers requests that other VMs have sent and not yet reported. Raising the values from
  * 1.35 and 2 to these reduced the shared tokens that were processed again on a day without faults
  * from 1.30 to 0.85 million, with unchanged delays of first tokens. */
 constexpr double load_bound_multiple = 1.7;
-constexpr double load_bound_spare = 2.5; ///< requests
+constexpr double load_bound_offset = 2.5; ///< requests
 /** A server whose load reaches this share of its load bound is reported to other VMs as busy. */
-constexpr double busy_share = 0.7;
+constexpr double busy_load_share = 0.7;
 /** What the selection needs to know of a request. */
-struct placing {
+struct placement_request {
     service_id service;
     bool engine = false;
     std::uint64_t affinity = 0;       ///< hash of the shared part of the prompt; 0: none
@@ -53,7 +53,7 @@
 };
 
 /** The selected server, and the figures behind the selection. */
-struct placed {
+struct placement_result {
     server_entry* row = nullptr; ///< nullptr: no server of the service accepts the request
     std::size_t rank = 0;        ///< of the selected server; 0: the highest-ranked
     std::size_t candidates = 0;
@@ -102,12 +102,12 @@
     /** A response said that the server is leaving: it will stop. Returns whether this is new. */
     bool mark_leaving(server_entry& row);
     /** Another VM reported that the server is leaving. Returns whether this is new. */
-    bool mark_leaving(server_life life);
+    bool mark_leaving(server_incarnation incarnation);
     /** Incarnations of leaving servers that the registry still lists as ready; at most \p count of
      * them. */
-    [[nodiscard]] std::vector<std::uint32_t> leaving_early(std::size_t count) const;
+    [[nodiscard]] std::vector<std::uint32_t> leaving_but_listed(std::size_t count) const;
     /** The server rejected a request and asked this VM to send nothing for \p span. */
-    void mark_resting(server_entry& row, duration span, instant now);
+    void mark_backing_off(server_entry& row, duration span, instant now);
     /** A connection to the server was refused or timed out. It may be restarting, so it is treated
      * as cold. */
     void mark_unreachable(server_entry& row, instant now);
@@ -123,16 +123,17 @@
      * the others. */
     void mark_failing(const fleet_members& members, instant now);
     /** Computes how many requests this VM may send to each cold server. Called once per tick. */
-    void share_cold(const fleet_members& members, instant now);
+    void update_cold_shares(const fleet_members& members, instant now);
     [[nodiscard]] std::size_t cold_servers(instant now) const;
     /** The earliest time at which a server that is cold or backing off accepts a request of this
      * VM; std::nullopt if no server of the service is in such a state. */
-    [[nodiscard]] std::optional<instant> opens_at(const placing& wanted, instant now) const;
+    [[nodiscard]] std::optional<instant> opens_at(const placement_request& wanted,
+                                                  instant now) const;
     [[nodiscard]] server_entry* find(const server_id& id);
     /** nullptr if the incarnation is unknown or no longer the current one of its server. */
-    [[nodiscard]] server_entry* find(server_life life);
+    [[nodiscard]] server_entry* find(server_incarnation incarnation);
     /** Selects a server for the request. */
-    placed choose(const placing& wanted, instant now);
+    placement_result choose(const placement_request& wanted, instant now);
     /** A request occupied a slot of the server for \p span. */
     void on_finished(const server_entry& row, duration span)
     {
@@ -152,18 +153,18 @@
     /** Servers near their load bound, which are reported to other VMs first. */
     [[nodiscard]] std::vector<const server_entry*> busy() const;
     /** Applies the load of a server that another VM received from it. */
-    void take_stated(const stated_load& item, instant heard_at);
+    void apply_reported_load(const stated_load& item, instant heard_at);
     /** Returns the loads that servers reported to this VM since the last call, the newest first. */
-    std::vector<stated_load> take_news(instant now);
+    std::vector<stated_load> drain_reported_loads(instant now);
     /** An attempt at a server ended. \p failed: without a usable response. */
     static void on_answered(server_entry& row, duration span, bool failed, instant now);
     /** Applies the results that another VM reports of its attempts at a server. */
-    void take_outcomes(const told_outcomes& item, instant now);
+    void apply_outcomes(const told_outcomes& item, instant now);
     /** Returns the results of this VM's attempts since the last call, servers with the most
      * failures first. Engines without recent failures are left out to save bandwidth. */
-    std::vector<told_outcomes> take_outcome_news();
-    /** Stops using reported loads older than `stated_load_for`. Called once per tick. */
-    void expire_stated(instant now);
+    std::vector<told_outcomes> drain_outcomes();
+    /** Stops using reported loads older than `reported_load_lifetime`. Called once per tick. */
+    void expire_reported_loads(instant now);
     /** Marks engines with recent delays far above those of the others. Called once per tick. */
     void mark_slow(instant now);
     /** Removes rows that are no longer listed and have no request in flight, and expired back-off
@@ -185,18 +186,18 @@
         double mean_load = 0; ///< also over servers that are cold or backing off
     };
 
-    candidate_list candidates(const placing& wanted, instant now);
-    placed choose_engine(const placing& wanted, const candidate_list& open);
+    candidate_list candidates(const placement_request& wanted, instant now);
+    placement_result choose_engine(const placement_request& wanted, const candidate_list& open);
     [[nodiscard]] bool is_open(const service_state& group, const server_entry& row,
                                instant now) const;
     /** Whether the regions allowed for the request include the server's region. */
-    static bool is_allowed(const server_entry& row, const placing& wanted);
-    static bool may_serve(const server_entry& row, const placing& wanted);
+    static bool is_allowed(const server_entry& row, const placement_request& wanted);
+    static bool may_serve(const server_entry& row, const placement_request& wanted);
     void update_cold(server_entry& row, bool restarted, instant now);
     static void mark_cold(server_entry& row, milliseconds span, std::string_view cause,
                           instant now);
-    [[nodiscard]] const server_entry* find_cached(const placing& wanted, const server_entry& chosen,
-                                                  instant now) const;
+    [[nodiscard]] const server_entry* find_cached(const placement_request& wanted,
+                                                  const server_entry& chosen, instant now) const;
 
     data_centre_id here;
     using row_map = std::map<server_id, server_entry>;
@@ -227,7 +228,7 @@
     [[nodiscard]] duration wait_limit(const service_state& group) const;
     void shuffle_highest(std::vector<std::uint64_t>& weights, std::size_t count);
     void mark_slow(service_state& group, instant now) const;
-    void share_cold(service_state& group, const fleet_members& members, instant now);
+    void update_cold_shares(service_state& group, const fleet_members& members, instant now);
     void mark_failing(service_state& group, const fleet_members& members, instant now);
     void set_failing(server_entry& row, bool failing, instant now);
 
@@ -236,13 +237,13 @@
 
     std::unordered_map<service_id, service_state> services;
     std::unordered_map<std::uint32_t, server_entry*> by_short_hash;
-    std::unordered_map<server_life, server_entry*> by_life;
-    server_words words;
+    std::unordered_map<server_incarnation, server_entry*> by_life;
+    server_notices words;
     std::minstd_rand random;
 };
 
 /** The incarnation of the server that the record describes. */
-server_life life_of(const server_record& record);
+server_incarnation incarnation_of(const server_record& record);
 
 /** Hash by which requests that share cached tokens are recognized: the id of the last part before
  * the request's own, or of the only part. 0 if the prompt is empty. */
--- a/src/store_watch.cpp
+++ b/src/store_watch.cpp
@@ -128,7 +128,7 @@
     if (this->list_revision < this->revision) {
         // The list is older than the state that is already known.
         this->list_linearizably = true;
-        this->wait_until(now + this->pace().first_pause);
+        this->wait_until(now + this->pace().initial_pause);
         return;
     }
     // Changes made while the pages were read are after the oldest page's revision.
@@ -190,7 +190,7 @@
     // Pages received before the failure may be older than those after the pause.
     this->listed_objects.clear();
     const watch_pace& timing = this->pace();
-    this->retry_pause = std::clamp(this->retry_pause * 2, timing.first_pause, timing.longest_pause);
+    this->retry_pause = std::clamp(this->retry_pause * 2, timing.initial_pause, timing.max_pause);
     // Jitter: 50% to 100% of the pause.
     const double jitter = 0.5 + 0.5 * std::uniform_real_distribution<>()(this->random);
     this->wait_until(now + std::chrono::duration_cast<duration>(this->retry_pause * jitter));
--- a/src/store_watch.h
+++ b/src/store_watch.h
@@ -45,10 +45,10 @@
 
 /** Timing of the watches in one read mode. */
 struct watch_pace {
-    milliseconds wait;    ///< longest wait of a watch for a change
-    duration gather;      ///< pause between a response with changes and the next watch
-    duration first_pause; ///< pause after the first failure; doubles with each further one
-    duration longest_pause;
+    milliseconds wait;      ///< longest wait of a watch for a change
+    duration gather;        ///< pause between a response with changes and the next watch
+    duration initial_pause; ///< pause after the first failure; doubles with each further one
+    duration max_pause;
     duration after_list; ///< pause between a list and the first watch
 };
 
--- a/test/correctness/admission_refuses_what_cannot_begin.cpp
+++ b/test/correctness/admission_refuses_what_cannot_begin.cpp
@@ -103,7 +103,7 @@
         const auto* answer = std::get_if<retry_later>(&decided);
         CPPUNIT_ASSERT(answer != nullptr);
         CPPUNIT_ASSERT(answer->where.wait > milliseconds(200));
-        CPPUNIT_ASSERT(answer->retry_after >= overload_watch::shortest_stay);
+        CPPUNIT_ASSERT(answer->retry_after >= overload_tracker::min_overload_retry_after);
     }
 
     /** Guards against refusing a request as "not run" that may have run. */
@@ -127,7 +127,7 @@
         // After four seconds of overload, randomised by up to half in either direction.
         CPPUNIT_ASSERT(last >= milliseconds(1950) && last <= milliseconds(6000));
         this->now += seconds(10);
-        CPPUNIT_ASSERT_EQUAL(duration(overload_watch::shortest_stay),
+        CPPUNIT_ASSERT_EQUAL(duration(overload_tracker::min_overload_retry_after),
                              std::get<retry_later>(this->ask()).retry_after);
     }
 
@@ -156,7 +156,7 @@
     void slow_engine()
     {
         this->load_all(0);
-        const placed usual = std::get<admit_to>(this->ask()).where;
+        const placement_result usual = std::get<admit_to>(this->ask()).where;
         for (std::size_t i = 0; i < engines; ++i)
             this->engine(i).first_delay.add(milliseconds(60), this->now);
         for (int i = 0; i < 20; ++i)
@@ -201,7 +201,7 @@
         row.state(4, this->now - milliseconds(10));
         CPPUNIT_ASSERT_EQUAL_MESSAGE("an older stated load is ignored", std::uint32_t{11},
                                      row.load());
-        this->table->expire_stated(this->now + stated_load_for + milliseconds(1));
+        this->table->expire_reported_loads(this->now + reported_load_lifetime + milliseconds(1));
         CPPUNIT_ASSERT_EQUAL(std::uint32_t{2}, row.load());
     }
 };
--- a/test/correctness/cold_servers_are_spared.cpp
+++ b/test/correctness/cold_servers_are_spared.cpp
@@ -121,8 +121,8 @@
             cold_gate& gate = own.servers[server];
             gate.extend(now + seconds(1));
             gate.set_share(
-                share_of_cold({rate, tolerance}, server * 7919 + 1, members, this->senders), now,
-                this->random);
+                compute_cold_share({rate, tolerance}, server * 7919 + 1, members, this->senders),
+                now, this->random);
         }
     }
 
@@ -201,7 +201,7 @@
         return made;
     }
 
-    placed choose(std::uint64_t prompt = 7)
+    placement_result choose(std::uint64_t prompt = 7)
     {
         return this->table->choose({llm, true, prompt, {}, 0}, this->now);
     }
@@ -211,7 +211,7 @@
     {
         std::size_t count = 0;
         for (std::uint64_t prompt = 1; prompt <= 1000; ++prompt) {
-            const placed where = this->choose(prompt);
+            const placement_result where = this->choose(prompt);
             if (where.row != nullptr && where.row->record.id.text == id) ++count;
         }
         return count;
@@ -324,12 +324,12 @@
     static void bounds_that_allow_nothing()
     {
         fleet_members members = known_vms(3);
-        CPPUNIT_ASSERT(!share_of_cold({0, {1.5, 5}}, 1, members, senders).pause);
-        CPPUNIT_ASSERT(!share_of_cold({0.5, {1, 0}}, 1, members, senders).pause);
-        CPPUNIT_ASSERT(share_of_cold({13, {1, 0}}, 1, members, senders).pause.has_value());
+        CPPUNIT_ASSERT(!compute_cold_share({0, {1.5, 5}}, 1, members, senders).pause);
+        CPPUNIT_ASSERT(!compute_cold_share({0.5, {1, 0}}, 1, members, senders).pause);
+        CPPUNIT_ASSERT(compute_cold_share({13, {1, 0}}, 1, members, senders).pause.has_value());
         // A VM that has not discovered the others yet may be one of hundreds in this state.
         members.complete = false;
-        CPPUNIT_ASSERT(!share_of_cold({13, {1, 0}}, 1, members, senders).pause);
+        CPPUNIT_ASSERT(!compute_cold_share({13, {1, 0}}, 1, members, senders).pause);
     }
 
     /** The senders differ from server to server, so that no VM serves all the cold ones. */
@@ -341,7 +341,8 @@
         for (std::uint64_t server = 1; server <= servers; ++server) {
             std::size_t count = 0;
             for (members.self = 1; members.self <= 65; ++members.self) {
-                if (!share_of_cold({rate, tolerance}, server, members, senders).pause) continue;
+                if (!compute_cold_share({rate, tolerance}, server, members, senders).pause)
+                    continue;
                 ++duties[members.self];
                 ++count;
             }
@@ -370,7 +371,7 @@
         row.in_flight = 1;
         this->table->put(record("a", 1, 2500), this->now);
         CPPUNIT_ASSERT_EQUAL(std::size_t{0}, this->chosen("a"));
-        this->table->share_cold(known_vms(1), this->now);
+        this->table->update_cold_shares(known_vms(1), this->now);
         this->now += milliseconds(100);
         row.heard_at = this->now;
         CPPUNIT_ASSERT(this->chosen("a") > 0);
@@ -393,7 +394,7 @@
     {
         this->table->put(record("a", 2, 3000), this->now);
         for (std::uint64_t prompt = 1; prompt <= 100; ++prompt) {
-            const placed where = this->choose(prompt);
+            const placement_result where = this->choose(prompt);
             CPPUNIT_ASSERT(where.cached_at == nullptr || where.cached_at->record.id.text != "a");
         }
     }
--- a/test/correctness/failing_engines_are_left.cpp
+++ b/test/correctness/failing_engines_are_left.cpp
@@ -104,7 +104,7 @@
     {
         constexpr double usual_failures = 0.01;
         server_table& table = *this->tables[vm];
-        placing wanted{llm, true, this->random() % 2000 + 1, {}, 0};
+        placement_request wanted{llm, true, this->random() % 2000 + 1, {}, 0};
         wanted.repeatable = this->random() % 3 == 0;
         server_entry& row = *table.choose(wanted, this->now).row;
         row.trial.on_sent(this->now);
@@ -135,11 +135,11 @@
         if (this->now >= this->next_told) {
             this->next_told = this->now + told_every;
             for (const auto& from : this->tables) {
-                const std::vector<told_outcomes> news = from->take_outcome_news();
+                const std::vector<told_outcomes> news = from->drain_outcomes();
                 for (const auto& to : this->tables) {
                     if (from == to) continue;
                     for (const told_outcomes& item : news)
-                        to->take_outcomes(item, this->now);
+                        to->apply_outcomes(item, this->now);
                 }
             }
         }
--- a/test/correctness/requests_stay_in_their_regions.cpp
+++ b/test/correctness/requests_stay_in_their_regions.cpp
@@ -37,9 +37,10 @@
     {
         std::set<std::string> found;
         for (std::uint64_t prompt = 1; prompt <= 200; ++prompt) {
-            placing wanted{prompt % 2 == 0 ? llm : desk, prompt % 2 == 0, prompt, tried, 0};
+            placement_request wanted{prompt % 2 == 0 ? llm : desk, prompt % 2 == 0, prompt, tried,
+                                     0};
             wanted.allowed_regions = {route, account};
-            const placed where = this->table.choose(wanted, this->now);
+            const placement_result where = this->table.choose(wanted, this->now);
             if (where.row == nullptr) continue;
             found.insert(where.row->region.text);
             if (where.cached_at != nullptr) found.insert(where.cached_at->region.text);
@@ -96,7 +97,7 @@
         }
         CPPUNIT_ASSERT(this->served_in({{"south"}}, {}).empty());
         admission admitting(this->table);
-        placing wanted{llm, true, 1, {}, 0};
+        placement_request wanted{llm, true, 1, {}, 0};
         const std::vector<region_id> route{{"south"}};
         wanted.allowed_regions = {route, {}};
         const admission_decision decided = admitting.decide(wanted, true, this->now);
--- a/test/error/busy_is_not_silent.cpp
+++ b/test/error/busy_is_not_silent.cpp
@@ -55,7 +55,7 @@
             this->rig->add_caller().send(with_prompt("/once/x", std::to_string(id)));
             this->rig->run_for(milliseconds(40));
             const instant time = std::chrono::steady_clock::now();
-            steady = steady && time - last < server_entry::quiet_after / 2;
+            steady = steady && time - last < server_entry::unresponsive_after / 2;
             last = time;
         }
         return steady;
@@ -118,7 +118,7 @@
     {
         this->wait_during_answers(min_silence_timeout);
         CPPUNIT_ASSERT_EQUAL(std::size_t{1}, this->times_sent());
-        this->rig->run_for(server_entry::quiet_after + milliseconds(250));
+        this->rig->run_for(server_entry::unresponsive_after + milliseconds(250));
         CPPUNIT_ASSERT_EQUAL(std::size_t{2}, this->times_sent());
     }
 };
--- a/test/error/servers_that_answer_badly.cpp
+++ b/test/error/servers_that_answer_badly.cpp
@@ -335,7 +335,7 @@
         waiting.send(request_text("POST", "/unsafe/x", "1", "{}"));
         CPPUNIT_ASSERT(this->rig->run_until([&] { return a.requests.size() == 1; }));
         scripted_server& b = this->rig->add_server("b", "desk", good);
-        this->rig->run_for(server_entry::quiet_after + milliseconds(50));
+        this->rig->run_for(server_entry::unresponsive_after + milliseconds(50));
         for (const std::string id : {"2", "3", "4", "5", "6", "7", "8"}) {
             const std::string answer = this->ask(request_text("POST", "/unsafe/x", id, "{}"));
             CPPUNIT_ASSERT_EQUAL(200, status_of(answer));
--- a/test/error/servers_that_start_again.cpp
+++ b/test/error/servers_that_start_again.cpp
@@ -84,7 +84,7 @@
         this->row().replaced = true;
         this->start_again();
         const instant now = this->start + seconds(60);
-        this->table->expire_stated(now);
+        this->table->expire_reported_loads(now);
         CPPUNIT_ASSERT_EQUAL(std::uint32_t{0}, this->row().load());
         CPPUNIT_ASSERT(this->row().health.usable(now));
         CPPUNIT_ASSERT(!this->row().first_delay.known());
@@ -110,9 +110,11 @@
         this->start_again();
         const auto hash = static_cast<std::uint32_t>(this->row().hash);
         constexpr std::uint8_t age = 40; // 400 ms
-        this->table->take_stated({hash, 9, age}, this->start + seconds(60) + milliseconds(100));
+        this->table->apply_reported_load({hash, 9, age},
+                                         this->start + seconds(60) + milliseconds(100));
         CPPUNIT_ASSERT_EQUAL(std::uint32_t{0}, this->row().load());
-        this->table->take_stated({hash, 2, 1}, this->start + seconds(60) + milliseconds(100));
+        this->table->apply_reported_load({hash, 2, 1},
+                                         this->start + seconds(60) + milliseconds(100));
         CPPUNIT_ASSERT_EQUAL(std::uint32_t{2}, this->row().load());
     }
 
--- a/test/error/store_that_fails.cpp
+++ b/test/error/store_that_fails.cpp
@@ -162,8 +162,7 @@
         const std::size_t before = this->store->watches;
         CPPUNIT_ASSERT(this->run_until([&] { return this->store->watches > before; }));
         this->store->fault = store_fault::none;
-        const duration longest =
-            store_watch::probe_timeout + store_watch::prompt_pace.longest_pause;
+        const duration longest = store_watch::probe_timeout + store_watch::prompt_pace.max_pause;
         CPPUNIT_ASSERT(longest < store_watch::prompt_pace.wait);
         // The return is noticed although no change completes a pending watch.
         CPPUNIT_ASSERT(
--- a/test/fuzz/choice_keeps_the_load_bound.cpp
+++ b/test/fuzz/choice_keeps_the_load_bound.cpp
@@ -48,9 +48,9 @@
             fill(here, loads, leaving);
             fill(there, loads, leaving);
             const std::vector<server_id> tried{{"s0"}};
-            const placing wanted{{"llm"}, true, key, tried};
+            const placement_request wanted{{"llm"}, true, key, tried};
             const instant now(seconds(1));
-            const placed chosen = here.choose(wanted, now);
+            const placement_result chosen = here.choose(wanted, now);
             double total = 0;
             double open = 0;
             unsigned least = 1000;
@@ -67,7 +67,7 @@
             RC_ASSERT(chosen.row != nullptr);
             RC_ASSERT(!chosen.row->record.draining);
             RC_ASSERT(chosen.row->record.id.text != "s0");
-            const double bound = load_bound_multiple * total / open + load_bound_spare;
+            const double bound = load_bound_multiple * total / open + load_bound_offset;
             RC_ASSERT(chosen.row->load() + 1 <= bound || chosen.row->load() == least);
             if (key == 0) return;
             RC_ASSERT(there.choose(wanted, now).row->record.id == chosen.row->record.id);
--- a/test/fuzz/crash_reports_reach_every_vm.cpp
+++ b/test/fuzz/crash_reports_reach_every_vm.cpp
@@ -61,9 +61,9 @@
     /** A server crashes, or only loses its responses, with these contents of a VM in flight. */
     void end_server(std::size_t vm, std::span<const content_key> contents, bool ends = true)
     {
-        const server_life server{++this->servers};
+        const server_incarnation server{++this->servers};
         for (const content_key content : contents)
-            this->known[vm].on_broken(content, server, this->fleet.now);
+            this->known[vm].on_attempt_broken(content, server, this->fleet.now);
         this->known[vm].on_checked(server, ends, this->fleet.now);
     }
 
@@ -116,7 +116,7 @@
     /** Checks that the harmful request is hardly sent any more once the reports have arrived. */
     static void check_blocked_in_time(suspect_fleet& fleet, double per_s, duration span)
     {
-        while (fleet.sends < ends_until_blocked)
+        while (fleet.sends < crashes_until_blocked)
             fleet.ask_harmful(per_s, milliseconds(50));
         fleet.ask_harmful(per_s, learnt_within);
         const std::size_t before = fleet.sends;
@@ -227,7 +227,7 @@
         };
         fleet.ask_harmful(10, seconds(2));
         CPPUNIT_ASSERT(!trial_due(2));
-        fleet.fleet.run(first_trial_after);
+        fleet.fleet.run(initial_trial_delay);
         CPPUNIT_ASSERT(trial_due(2));
         // Only once, and not by another VM that has learnt of the trial.
         fleet.known[2].begin_trial(harmful, fleet.fleet.now);
@@ -235,9 +235,9 @@
         fleet.fleet.run(seconds(1));
         CPPUNIT_ASSERT(!trial_due(3));
         // The pause doubles with each unsuccessful trial.
-        fleet.fleet.run(first_trial_after);
+        fleet.fleet.run(initial_trial_delay);
         CPPUNIT_ASSERT(!trial_due(3));
-        fleet.fleet.run(first_trial_after);
+        fleet.fleet.run(initial_trial_delay);
         CPPUNIT_ASSERT(trial_due(3));
         fleet.known[3].begin_trial(harmful, fleet.fleet.now);
         fleet.known[3].on_answered(harmful, fleet.fleet.now);
@@ -261,7 +261,7 @@
             fleet.fleet.run(milliseconds(10));
         }
         for (const auto& [vm, known] : fleet.known)
-            CPPUNIT_ASSERT(known.remembered() <= suspects_at_most);
+            CPPUNIT_ASSERT(known.remembered() <= max_suspects);
         CPPUNIT_ASSERT_EQUAL(std::size_t{0}, fleet.known[0].blocked_contents());
         // The harmful request is still detected.
         fleet.ask_harmful(10, learnt_within);
@@ -281,7 +281,7 @@
                              static_cast<std::uint16_t>(random())}};
             known.take_digest(told, random() % 2 == 0, now);
         }
-        CPPUNIT_ASSERT(known.remembered() <= suspects_at_most);
+        CPPUNIT_ASSERT(known.remembered() <= max_suspects);
         fleet_digest own;
         known.describe(own, now);
         CPPUNIT_ASSERT(own.blocked.size() <= blocked_contents_at_most);
