--- a/src/config_follower.h
+++ b/src/config_follower.h
@@ -11,9 +11,9 @@
 
 #include "fleet_gossip.h"
 #include "http_call.h"
-#include "object_watch.h"
 #include "protocol.h"
 #include "store_follow.h"
+#include "store_watch_client.h"
 
 namespace worksshift {
 
@@ -57,7 +57,7 @@
     const protocol& dialect;
     fleet_gossip& gossip;
     store_follow follow{object_kind::configuration};
-    object_watch calls;
+    store_watch_client calls;
     router_config_ptr current;
     std::string packed; ///< the document, compressed for other VMs
     std::uint64_t newest_version_heard = 0;
--- a/src/evacuation_follower.cpp
+++ b/src/evacuation_follower.cpp
@@ -14,10 +14,10 @@
 {
     store_watch& news = this->follow.watch;
     news.on_list.connect([this](const std::vector<stored_object>& all) {
-        this->state.take_list(all, this->follow.watch.changed_revision());
+        this->state.apply_list(all, this->follow.watch.changed_revision());
     });
     news.on_changes.connect([this](const std::vector<stored_object>& changed) {
-        this->state.take_changes(changed, this->follow.watch.changed_revision());
+        this->state.apply_changes(changed, this->follow.watch.changed_revision());
     });
     this->state.on_change.connect([this] { this->apply(); });
 }
--- a/src/evacuation_follower.h
+++ b/src/evacuation_follower.h
@@ -9,9 +9,9 @@
 #include "evacuations.h"
 #include "fleet_gossip.h"
 #include "http_call.h"
-#include "object_watch.h"
 #include "server_table.h"
 #include "store_follow.h"
+#include "store_watch_client.h"
 
 namespace worksshift {
 
@@ -46,7 +46,7 @@
     server_table& servers;
     evacuation_state state;
     store_follow follow{object_kind::evacuations};
-    object_watch calls;
+    store_watch_client calls;
 };
 
 } // namespace worksshift
--- a/src/evacuations.cpp
+++ b/src/evacuations.cpp
@@ -6,7 +6,7 @@
 
 namespace worksshift {
 
-void evacuation_state::take_list(std::span<const stored_object> all, std::uint64_t revision)
+void evacuation_state::apply_list(std::span<const stored_object> all, std::uint64_t revision)
 {
     std::set<std::uint32_t> places;
     for (const stored_object& item : all) {
@@ -15,7 +15,7 @@
     this->replace(std::move(places), revision);
 }
 
-void evacuation_state::take_changes(std::span<const stored_object> changed, std::uint64_t revision)
+void evacuation_state::apply_changes(std::span<const stored_object> changed, std::uint64_t revision)
 {
     std::set<std::uint32_t> places = this->current;
     for (const stored_object& item : changed) {
--- a/src/evacuations.h
+++ b/src/evacuations.h
@@ -25,9 +25,9 @@
     explicit evacuation_state(const protocol& dialect) : dialect(dialect) {}
 
     /** Replaces the state by the complete list as of a revision of the store. */
-    void take_list(std::span<const stored_object> all, std::uint64_t revision);
+    void apply_list(std::span<const stored_object> all, std::uint64_t revision);
     /** Applies the changes up to a revision of the store. */
-    void take_changes(std::span<const stored_object> changed, std::uint64_t revision);
+    void apply_changes(std::span<const stored_object> changed, std::uint64_t revision);
     /** Applies the state in another VM's digest. */
     void take_digest(const fleet_digest& digest);
     /** Fills in the state for other VMs. If a digest cannot hold all entries, only data centres in
--- a/src/fleet_table.cpp
+++ b/src/fleet_table.cpp
@@ -39,9 +39,9 @@
 
 } // namespace
 
-void store_news::describe(fleet_digest& digest, instant now) const
+void store_status::describe(fleet_digest& digest, instant now) const
 {
-    digest.store_back = to_age<std::uint16_t>(this->back_at, store_back_unit, now);
+    digest.store_back = to_age<std::uint16_t>(this->recovered_at, store_back_unit, now);
     digest.store_confirmed = to_age<std::uint8_t>(this->confirmed_at, store_confirmed_unit, now);
 }
 
--- a/src/fleet_table.h
+++ b/src/fleet_table.h
@@ -99,7 +99,7 @@
     [[nodiscard]] fleet_members members(instant now) const;
     /** Whether digests used to arrive from other VMs, and none has arrived recently. */
     [[nodiscard]] bool is_cut_off(instant now) const;
-    [[nodiscard]] const store_news& store() const { return this->reported_store; }
+    [[nodiscard]] const store_status& store() const { return this->reported_store; }
     /** Highest revision of the registry in any digest received. */
     [[nodiscard]] std::uint64_t servers_revision() const { return this->max_servers_revision; }
     /** The VMs that do work which only a few VMs need to do for the whole fleet: the first by
@@ -127,7 +127,7 @@
     std::map<std::uint32_t, fleet_vm> table; ///< by address
     std::uint32_t last_reported = 0;         ///< address in the newest liveness report
     std::size_t liveness_report_calls = 0;
-    store_news reported_store;
+    store_status reported_store;
     std::uint64_t max_servers_revision = 0;
 };
 
--- a/src/catch_up.h
+++ b/src/peer_fetch_schedule.h
@@ -7,10 +7,10 @@
 
 namespace worksshift {
 
-class catch_up {
+class peer_fetch_schedule {
 public:
     /** Pause between two requests, so that a VM which cannot answer is not asked all the time. */
-    static constexpr duration between = milliseconds(100);
+    static constexpr duration min_interval = milliseconds(100);
     static constexpr duration call_timeout = milliseconds(800);
 
     /** \p behind: another VM has a newer state. \p grace: time within which that state should
@@ -29,7 +29,7 @@
     [[nodiscard]] bool due(instant now) const
     {
         return this->since != instant{} && !this->asking &&
-               now - this->since >= this->grace_period && now - this->answered >= between;
+               now - this->since >= this->grace_period && now - this->answered >= min_interval;
     }
 
     /** Whether another VM has had a newer state for longer than \p span. */
--- a/src/registry_feed.cpp
+++ b/src/registry_feed.cpp
@@ -19,7 +19,7 @@
 }
 
 template <class Archive>
-void serialize(Archive& archive, kept_server& item)
+void serialize(Archive& archive, retained_server& item)
 {
     archive(item.name, item.missing_ms);
 }
@@ -27,7 +27,8 @@
 template <class Archive>
 void serialize(Archive& archive, registry_update& update)
 {
-    archive(update.revision, update.whole, update.objects, update.kept, update.known_from);
+    archive(update.revision, update.whole, update.objects, update.kept,
+            update.oldest_known_revision);
 }
 
 std::string encode(const registry_update& update)
@@ -53,7 +54,7 @@
     }
 }
 
-void registry_feed::take_list(std::span<const stored_object> all, std::uint64_t revision)
+void registry_feed::apply_list(std::span<const stored_object> all, std::uint64_t revision)
 {
     this->entries.clear();
     for (const stored_object& item : all)
@@ -63,7 +64,7 @@
     this->newest = revision;
 }
 
-void registry_feed::take_change(const stored_object& item, std::uint64_t revision)
+void registry_feed::apply_change(const stored_object& item, std::uint64_t revision)
 {
     if (item.removed) {
         this->entries.erase(item.name);
@@ -71,7 +72,7 @@
         this->entries[item.name] = item;
     }
     this->changes.push_back({revision, item});
-    if (this->changes.size() > std::max(changes_kept_at_least, this->entries.size())) {
+    if (this->changes.size() > std::max(min_retained_changes, this->entries.size())) {
         this->floor = this->changes.front().revision;
         this->changes.pop_front();
     }
@@ -94,14 +95,15 @@
     if (update.revision <= this->newest && this->newest != 0) return std::nullopt;
     if (this->newest == 0) this->first = update.revision;
     if (update.whole) {
-        this->take_list(update.objects, update.revision);
+        this->apply_list(update.objects, update.revision);
         return update;
     }
-    registry_update newer_part{update.revision, false, {}, update.kept, update.known_from};
+    registry_update newer_part{
+        update.revision, false, {}, update.kept, update.oldest_known_revision};
     std::ranges::copy_if(update.objects, std::back_inserter(newer_part.objects),
                          [this](const stored_object& item) { return this->is_newer(item); });
     for (const stored_object& item : newer_part.objects)
-        this->take_change(item, update.revision);
+        this->apply_change(item, update.revision);
     this->newest = update.revision;
     return newer_part;
 }
@@ -110,7 +112,7 @@
 {
     registry_update update;
     update.revision = this->newest;
-    update.known_from = this->first;
+    update.oldest_known_revision = this->first;
     update.whole = revision < this->floor;
     if (update.whole) {
         for (const auto& [name, item] : this->entries)
--- a/src/registry_feed.h
+++ b/src/registry_feed.h
@@ -22,7 +22,7 @@
 
 /** A server whose entry is missing and which the sending VM still uses, as the entry may have
  * expired. */
-struct kept_server {
+struct retained_server {
     std::string name;
     std::uint32_t missing_ms = 0; ///< time since a VM first noticed that the entry was missing
 };
@@ -34,9 +34,9 @@
     std::vector<stored_object> objects;
     /** Sorted by name. Servers that are neither here nor among the present objects have left,
      * provided that the sending VM knew them: it knows those that were listed at revision
-     * `known_from` or later. */
-    std::vector<kept_server> kept{};
-    std::uint64_t known_from = 0;
+     * `oldest_known_revision` or later. */
+    std::vector<retained_server> kept{};
+    std::uint64_t oldest_known_revision = 0;
 };
 
 std::string encode(const registry_update& update);
@@ -48,7 +48,7 @@
     /** Minimum number of changes that are held. As many as there are entries are held if that is
      * more, since a release changes the entries of a quarter of the servers three times within
      * seconds. */
-    static constexpr std::size_t changes_kept_at_least = 256;
+    static constexpr std::size_t min_retained_changes = 256;
 
     /** Applies an update and returns the part of it that was new; std::nullopt if the update is no
      * newer than what is known. Updates come from the store and from other VMs, some of them
@@ -64,8 +64,8 @@
     };
 
     [[nodiscard]] bool is_newer(const stored_object& item) const;
-    void take_list(std::span<const stored_object> all, std::uint64_t revision);
-    void take_change(const stored_object& item, std::uint64_t revision);
+    void apply_list(std::span<const stored_object> all, std::uint64_t revision);
+    void apply_change(const stored_object& item, std::uint64_t revision);
 
     std::map<std::string, stored_object> entries;
     std::deque<change> changes;
--- a/src/registry_follower.cpp
+++ b/src/registry_follower.cpp
@@ -26,33 +26,33 @@
       calls(base, caller, store, dialect, follow.watch)
 {
     store_watch& watch = this->follow.watch;
-    watch.on_first_part.connect([this](const std::vector<stored_object>& part) {
-        this->registry.take_part(part, told_by_store{}, std::chrono::steady_clock::now());
+    watch.on_partial_list.connect([this](const std::vector<stored_object>& part) {
+        this->registry.apply_partial_list(part, store_origin{}, std::chrono::steady_clock::now());
     });
     watch.on_list.connect([this](const std::vector<stored_object>& all) {
-        this->apply({this->follow.watch.changed_revision(), true, all}, told_by_store{});
+        this->apply({this->follow.watch.changed_revision(), true, all}, store_origin{});
     });
     watch.on_changes.connect([this](const std::vector<stored_object>& changed) {
         this->apply({this->follow.watch.changed_revision(), false, changed},
-                    told_by_store{.as_it_happens = true});
+                    store_origin{.from_watch = true});
     });
     this->registry.on_leaving.connect([this](const server_id& id) { this->on_leaving.emit(id); });
     this->registry.on_restarted.connect(
         [this](const server_id& id) { this->on_restarted.emit(id); });
 }
 
-void registry_follower::apply(const registry_update& update, const news_origin& origin)
+void registry_follower::apply(const registry_update& update, const update_origin& origin)
 {
     const std::optional<registry_update> newer_part = this->feed.take(update);
     if (!newer_part) return;
     this->gossip.hasten();
     const instant time = std::chrono::steady_clock::now();
     if (newer_part->whole) {
-        this->registry.take_list(newer_part->objects, origin, time);
+        this->registry.apply_list(newer_part->objects, origin, time);
         return;
     }
     for (const stored_object& item : newer_part->objects)
-        this->registry.take_change(item, origin, time);
+        this->registry.apply_change(item, origin, time);
 }
 
 void registry_follower::tick(instant now, std::optional<read_mode> watched)
@@ -63,13 +63,13 @@
     if (this->follow.fetching.due(now)) this->ask_peer(now);
     this->outage.update(this->follow.watch.failing_call(), this->follow.watch.answered_at(),
                         this->gossip.fleet().store(), this->gossip.fleet().is_cut_off(now));
-    this->registry.sweep(now, this->store().back_at);
+    this->registry.sweep(now, this->store().recovered_at);
 }
 
-store_news registry_follower::store() const
+store_status registry_follower::store() const
 {
-    store_news status = this->gossip.fleet().store();
-    status.merge({this->outage.back_at(), this->follow.watch.confirmed_at()});
+    store_status status = this->gossip.fleet().store();
+    status.merge({this->outage.recovered_at(), this->follow.watch.confirmed_at()});
     return status;
 }
 
@@ -84,7 +84,7 @@
     const link_address from = this->gossip.address_of(*newest);
     const std::string path =
         std::string(registry_path) + "?" + since_parameter + "=" + std::to_string(own);
-    this->caller.call(from, EVHTTP_REQ_GET, path, {}, {}, {catch_up::call_timeout},
+    this->caller.call(from, EVHTTP_REQ_GET, path, {}, {}, {peer_fetch_schedule::call_timeout},
                       [this, from, now](const http_response& response) {
                           this->follow.fetching.end(std::chrono::steady_clock::now());
                           this->take(response, from.address, now);
@@ -136,7 +136,7 @@
     const instant time = std::chrono::steady_clock::now();
     const bool changed =
         std::exchange(this->answers_at, this->feed.revision()) != this->feed.revision();
-    if (changed || time - this->answers_made > kept_told_for) {
+    if (changed || time - this->answers_made > answer_cache_lifetime) {
         this->answers.clear();
         this->answers_made = time;
     }
--- a/src/registry_follower.h
+++ b/src/registry_follower.h
@@ -9,11 +9,11 @@
 
 #include "fleet_gossip.h"
 #include "http_call.h"
-#include "object_watch.h"
 #include "registry_feed.h"
 #include "server_registry.h"
 #include "store_follow.h"
 #include "store_outage.h"
+#include "store_watch_client.h"
 
 namespace worksshift {
 
@@ -21,7 +21,7 @@
 public:
     /** Responses to other VMs are cached for at most this time, because they give the ages of
      * missing servers that are still in use. */
-    static constexpr duration kept_told_for = milliseconds(50);
+    static constexpr duration answer_cache_lifetime = milliseconds(50);
 
     registry_follower(event_base* base, http_caller& caller, const link_address& store,
                       const protocol& dialect, server_table& table, fleet_gossip& gossip);
@@ -46,7 +46,7 @@
         return this->calls.calls(mode);
     }
     /** What this VM and others know about the store's availability. */
-    [[nodiscard]] store_news store() const;
+    [[nodiscard]] store_status store() const;
 
     /** Number of entries received so far that no server can have written. */
     [[nodiscard]] std::uint64_t unreadable() const
@@ -62,7 +62,7 @@
 private:
     void ask_peer(instant now);
     void take(const http_response& response, const std::string& peer, instant asked_at);
-    void apply(const registry_update& update, const news_origin& origin);
+    void apply(const registry_update& update, const update_origin& origin);
 
     http_caller& caller;
     fleet_gossip& gossip;
@@ -70,7 +70,7 @@
     server_registry registry;
     store_follow follow{object_kind::servers};
     store_outage outage;
-    object_watch calls;
+    store_watch_client calls;
     registry_feed feed;
     /** Cached responses to other VMs, by the revision from which they ask; most of them ask from
      * the same one. */
--- a/src/router.h
+++ b/src/router.h
@@ -20,7 +20,7 @@
 #include "server_links.h"
 #include "server_table.h"
 #include "suspension.h"
-#include "watch_duty.h"
+#include "watcher_selection.h"
 
 namespace worksshift {
 
@@ -74,7 +74,7 @@
     request_path path;
     fleet_gossip gossip;
     http_caller caller;
-    watch_duty watch_role;
+    watcher_selection watch_role;
     config_follower configuration;
     registry_follower registry;
     evacuation_follower evacuations;
--- a/src/server_registry.cpp
+++ b/src/server_registry.cpp
@@ -11,14 +11,14 @@
 
 namespace worksshift {
 
-news_origin origin_of(const registry_update& update, std::uint64_t revision, instant asked_at)
+update_origin origin_of(const registry_update& update, std::uint64_t revision, instant asked_at)
 {
-    if (update.known_from > revision) return told_by_store{};
-    return told_by_vm{update.kept, asked_at};
+    if (update.oldest_known_revision > revision) return store_origin{};
+    return peer_origin{update.kept, asked_at};
 }
 
-void server_registry::take_list(std::span<const stored_object> all, const news_origin& origin,
-                                instant now)
+void server_registry::apply_list(std::span<const stored_object> all, const update_origin& origin,
+                                 instant now)
 {
     this->listed = true;
     std::unordered_set<std::string_view> names;
@@ -27,13 +27,13 @@
     for (const auto& [id, row] : this->table.rows()) {
         if (!names.contains(id.text)) this->mark_missing(id, origin, now);
     }
-    this->take_part(all, origin, now);
+    this->apply_partial_list(all, origin, now);
 }
 
-void server_registry::take_part(std::span<const stored_object> part, const news_origin& origin,
-                                instant now)
+void server_registry::apply_partial_list(std::span<const stored_object> part,
+                                         const update_origin& origin, instant now)
 {
-    const bool log_each = part.size() <= this->table.rows().size() + logged_one_by_one;
+    const bool log_each = part.size() <= this->table.rows().size() + max_logged_individually;
     const logging log_detail = log_each ? logging::each : logging::none;
     const auto changed = std::ranges::count_if(
         part, [&](const stored_object& item) { return this->put(item, log_detail, origin, now); });
@@ -44,7 +44,8 @@
                {"each_logged", log_each ? 1 : 0}});
 }
 
-void server_registry::take_change(const stored_object& item, const news_origin& origin, instant now)
+void server_registry::apply_change(const stored_object& item, const update_origin& origin,
+                                   instant now)
 {
     if (!item.removed) {
         this->put(item, logging::each, origin, now);
@@ -54,17 +55,17 @@
 }
 
 /** Marks a server as missing from the registry. If it had announced that it leaves, it has left. */
-void server_registry::mark_missing(const server_id& id, const news_origin& origin, instant now)
+void server_registry::mark_missing(const server_id& id, const update_origin& origin, instant now)
 {
     const server_entry* row = this->table.find(id);
     if (row == nullptr || row->gone) return;
     missing_entry entry{now};
     entry.has_left = row->record.draining || row->leaving;
     std::visit(
-        visitor{[&](const told_by_store& store) { entry.removal_observed = store.as_it_happens; },
-                [&](const told_by_vm& vm) {
+        visitor{[&](const store_origin& store) { entry.removal_observed = store.from_watch; },
+                [&](const peer_origin& vm) {
                     const auto found =
-                        std::ranges::lower_bound(vm.kept, id.text, {}, &kept_server::name);
+                        std::ranges::lower_bound(vm.kept, id.text, {}, &retained_server::name);
                     entry.removal_observed = true;
                     if (found == vm.kept.end() || found->name != id.text) {
                         entry.has_left = true;
@@ -76,9 +77,9 @@
     this->missing.try_emplace(id, entry);
 }
 
-std::vector<kept_server> server_registry::kept(instant now) const
+std::vector<retained_server> server_registry::kept(instant now) const
 {
-    std::vector<kept_server> servers;
+    std::vector<retained_server> servers;
     for (const auto& [id, entry] : this->missing) {
         const auto age = std::max<std::int64_t>((now - entry.since) / milliseconds(1), 0);
         if (!entry.has_left) servers.push_back({id.text, static_cast<std::uint32_t>(age)});
@@ -97,8 +98,8 @@
     }
 }
 
-bool server_registry::put(const stored_object& item, logging log_detail, const news_origin& origin,
-                          instant now)
+bool server_registry::put(const stored_object& item, logging log_detail,
+                          const update_origin& origin, instant now)
 {
     try {
         const server_record record = this->dialect.decode_server(item);
@@ -135,19 +136,19 @@
 /** Counts an entry that does not decode to a server. If the name belonged to a known server, that
  * server is missing, as if its entry had been removed. */
 void server_registry::record_unreadable(const stored_object& item, std::string_view reason,
-                                        const news_origin& origin, instant now)
+                                        const update_origin& origin, instant now)
 {
     this->mark_missing(server_id{item.name}, origin, now);
     ++this->unreadable_total;
     if (this->unlogged_unreadable.count++ > 0) return;
-    this->unlogged_unreadable.first = item.name.substr(0, reason_at_most);
-    this->unlogged_unreadable.reason = reason.substr(0, reason_at_most);
+    this->unlogged_unreadable.first = item.name.substr(0, max_reason_length);
+    this->unlogged_unreadable.reason = reason.substr(0, max_reason_length);
 }
 
 void server_registry::log_unreadable(instant now)
 {
     if (this->unlogged_unreadable.count == 0) return;
-    if (now - this->unreadable_logged < unreadable_line_every) return;
+    if (now - this->unreadable_logged < unreadable_log_interval) return;
     this->unreadable_logged = now;
     log_event(log_level::warn, "servers_unreadable",
               {{"entries", this->unlogged_unreadable.count},
@@ -186,7 +187,8 @@
     std::set<service_id> services;
     for (const auto& [service, counted] : counts_by_service) {
         const double all = static_cast<double>(counted.all);
-        if (static_cast<double>(counted.missing) > lapsed_share * all) services.insert(service);
+        if (static_cast<double>(counted.missing) > expired_share_threshold * all)
+            services.insert(service);
     }
     return services;
 }
@@ -197,8 +199,8 @@
                                     instant store_back)
 {
     if (entry.has_left) return entry.since;
-    const instant removal_grace_end = entry.since + leaving_kept_for;
-    const instant store_grace_end = store_back + lapsed_kept_for;
+    const instant removal_grace_end = entry.since + removed_retention;
+    const instant store_grace_end = store_back + expired_retention;
     if (entry.since < store_grace_end)
         return mass_expiry ? std::max(store_grace_end, removal_grace_end)
                            : std::min(store_grace_end, removal_grace_end);
@@ -211,7 +213,7 @@
     this->log_unreadable(now);
     if (this->missing.empty()) return;
     const std::set<service_id> mass_expired = this->services_with_mass_expiry();
-    const bool log_each = this->missing.size() <= logged_one_by_one;
+    const bool log_each = this->missing.size() <= max_logged_individually;
     std::size_t unlogged = 0;
     std::vector<std::pair<server_id, duration>> to_remove;
     for (auto& [id, entry] : this->missing) {
--- a/src/server_registry.h
+++ b/src/server_registry.h
@@ -26,55 +26,56 @@
 namespace worksshift {
 
 /** The update came from the store. */
-struct told_by_store {
+struct store_origin {
     /** True for the response of a watch; a list does not say when an entry was removed. */
-    bool as_it_happens = false;
+    bool from_watch = false;
 };
 /** The update came from another VM. */
-struct told_by_vm {
-    std::span<const kept_server> kept; ///< missing servers it still uses, by name
+struct peer_origin {
+    std::span<const retained_server> kept; ///< missing servers it still uses, by name
     instant asked_at{};
 };
-using news_origin = std::variant<told_by_store, told_by_vm>;
+using update_origin = std::variant<store_origin, peer_origin>;
 
 /** Origin of an update that another VM sent. If that VM's first list is newer than \p revision, it
  * may never have known the servers that are known here, so its update says no more about missing
  * servers than a list of the store. */
-news_origin origin_of(const registry_update& update, std::uint64_t revision, instant asked_at);
+update_origin origin_of(const registry_update& update, std::uint64_t revision, instant asked_at);
 
 class server_registry {
 public:
     /** After the store's return, for entries that expired together. */
-    static constexpr duration lapsed_kept_for = milliseconds(2300);
+    static constexpr duration expired_retention = milliseconds(2300);
     /** For a single entry that disappears soon after the store's return, or for entries of most of
      * a service that disappear at once. Together with the pause between two calls to the store it
      * is below the time for which a leaving server may be used. */
-    static constexpr duration leaving_kept_for = milliseconds(1300);
+    static constexpr duration removed_retention = milliseconds(1300);
     /** A list with more changes than this is logged in one line instead of one line per server:
      * 3,000 lines at a start would exhaust the log's rate limit and displace the lines that
      * matter. */
-    static constexpr std::size_t logged_one_by_one = 100;
+    static constexpr std::size_t max_logged_individually = 100;
     /** Interval between two log lines about unreadable entries, since another writer may leave
      * thousands of them. */
-    static constexpr duration unreadable_line_every = seconds(1);
+    static constexpr duration unreadable_log_interval = seconds(1);
     /** Maximum length, in bytes, of the logged name and reason of an unreadable entry, as the
      * reason may quote the entry's text. */
-    static constexpr std::size_t reason_at_most = 120;
+    static constexpr std::size_t max_reason_length = 120;
     /** If more than this share of a service's servers is missing, their entries are taken to have
      * expired. */
-    static constexpr double lapsed_share = 0.5;
+    static constexpr double expired_share_threshold = 0.5;
 
     server_registry(server_table& table, const protocol& dialect) : table(table), dialect(dialect)
     {
     }
 
     /** Applies a complete list of the entries. */
-    void take_list(std::span<const stored_object> all, const news_origin& origin, instant now);
+    void apply_list(std::span<const stored_object> all, const update_origin& origin, instant now);
     /** Applies part of a list: servers that are not in it are not missing. */
-    void take_part(std::span<const stored_object> part, const news_origin& origin, instant now);
-    void take_change(const stored_object& item, const news_origin& origin, instant now);
+    void apply_partial_list(std::span<const stored_object> part, const update_origin& origin,
+                            instant now);
+    void apply_change(const stored_object& item, const update_origin& origin, instant now);
     /** Servers that are missing from the registry and still in use, sorted by name. */
-    [[nodiscard]] std::vector<kept_server> kept(instant now) const;
+    [[nodiscard]] std::vector<retained_server> kept(instant now) const;
     /** Removes the servers whose retention has ended, and logs unreadable entries. \p store_back is
      * when the store last returned from an outage. */
     void sweep(instant now, instant store_back);
@@ -107,12 +108,13 @@
     };
 
     /** Returns whether the table changed. */
-    bool put(const stored_object& item, logging log_detail, const news_origin& origin, instant now);
-    void mark_missing(const server_id& id, const news_origin& origin, instant now);
+    bool put(const stored_object& item, logging log_detail, const update_origin& origin,
+             instant now);
+    void mark_missing(const server_id& id, const update_origin& origin, instant now);
     [[nodiscard]] static instant used_until(const missing_entry& entry, bool mass_expiry,
                                             instant store_back);
     void record_unreadable(const stored_object& item, std::string_view reason,
-                           const news_origin& origin, instant now);
+                           const update_origin& origin, instant now);
     void log_unreadable(instant now);
     [[nodiscard]] bool is_former(const stored_object& removal) const;
     void remove(const server_id& id, duration kept);
--- a/src/store_follow.h
+++ b/src/store_follow.h
@@ -6,7 +6,7 @@
  */
 #pragma once
 
-#include "catch_up.h"
+#include "peer_fetch_schedule.h"
 #include "store_watch.h"
 
 namespace worksshift {
@@ -16,15 +16,15 @@
     /** Time within which the store should deliver a change to a VM with a linearizable watch; only
      * then does it ask another VM. The same holds for a VM that has just started and waits for its
      * first list. */
-    static constexpr duration store_tells_within = milliseconds(500);
+    static constexpr duration store_update_grace = milliseconds(500);
     /** If no other VM has delivered a newer configuration within this time, this VM asks the store
      * itself. */
-    static constexpr duration peers_tell_within = milliseconds(700);
+    static constexpr duration peer_update_grace = milliseconds(700);
 
     /** A VM that starts to watch delays the watch of evacuations by this time, to learn first from
      * the watch of the registry whether the store answers it. When the store is unavailable to
      * all, every VM starts to watch, and each would make another call in vain. */
-    static constexpr duration evacuations_asked_after = milliseconds(500);
+    static constexpr duration evacuations_watch_delay = milliseconds(500);
 
     explicit store_follow(object_kind kind, unsigned seed = std::random_device{}())
         : watch(kind, seed), kind(kind)
@@ -37,23 +37,23 @@
     {
         const bool watch_answered = watched == read_mode::linearizable && this->watch.follows();
         this->fetching.update(
-            behind, watch_answered || !known ? store_tells_within : duration::zero(), now);
+            behind, watch_answered || !known ? store_update_grace : duration::zero(), now);
         const bool peers_failed = this->kind == object_kind::configuration &&
-                                  this->fetching.behind_for(peers_tell_within, now);
+                                  this->fetching.behind_for(peer_update_grace, now);
         if (peers_failed) watched = read_mode::linearizable;
         if (!watched) {
             this->wanted_since = instant{};
         } else if (this->wanted_since == instant{}) {
             this->wanted_since = now;
         }
-        const bool too_early = now - this->wanted_since < evacuations_asked_after;
+        const bool too_early = now - this->wanted_since < evacuations_watch_delay;
         if (this->kind == object_kind::evacuations && too_early) watched.reset();
         if (!known && !watched) watched = read_mode::stale;
         this->watch.set_mode(watched, now);
     }
 
     store_watch watch;
-    catch_up fetching;
+    peer_fetch_schedule fetching;
 
 private:
     object_kind kind;
--- a/src/store_outage.cpp
+++ b/src/store_outage.cpp
@@ -7,10 +7,10 @@
 namespace worksshift {
 
 void store_outage::update(const std::optional<failed_call>& failing, instant answered_here,
-                          const store_news& elsewhere, bool cut_off)
+                          const store_status& elsewhere, bool cut_off)
 {
     // A call made before the store's return failed in the outage that is already over.
-    const instant last_return = std::max(this->back, elsewhere.back_at);
+    const instant last_return = std::max(this->back, elsewhere.recovered_at);
     const bool new_failure = failing && failing != this->failing && failing->asked_at > last_return;
     if (new_failure) {
         this->failure_noticed_at = failing->failed_at;
@@ -20,7 +20,7 @@
     if (this->failure_noticed_at) {
         this->was_cut_off = this->was_cut_off || cut_off;
         const bool answered_others =
-            elsewhere.confirmed_at > *this->failure_noticed_at + told_late_by;
+            elsewhere.confirmed_at > *this->failure_noticed_at + max_report_delay;
         if (answered_others) {
             this->end(elsewhere.confirmed_at);
         } else if (answered_here > *this->failure_noticed_at) {
@@ -33,7 +33,7 @@
 void store_outage::end(instant answered_again)
 {
     const duration unanswered_for = answered_again - this->answered;
-    const bool store_was_down = unanswered_for >= shortest_outage && !this->was_cut_off;
+    const bool store_was_down = unanswered_for >= min_outage && !this->was_cut_off;
     if (store_was_down) this->back = answered_again;
     log_event(log_level::info, "store_outage_over",
               {{"outcome", store_was_down ? "store_back" : "own_way"},
--- a/src/store_outage.h
+++ b/src/store_outage.h
@@ -18,21 +18,22 @@
 
 /** Entries do not expire in an outage shorter than this: servers write about once a second, and an
  * entry expires when three writes are missing. */
-constexpr duration shortest_outage = seconds(2);
+constexpr duration min_outage = seconds(2);
 
 struct fleet_digest;
 
 /** What the VMs report to each other about the store's availability; the epoch: unknown. */
-struct store_news {
-    instant back_at{};      ///< when it returned from an outage
+struct store_status {
+    instant recovered_at{}; ///< when it returned from an outage
     instant confirmed_at{}; ///< when it last answered a linearizable call of any VM
 
-    /** Takes over the newer values. The ends of two outages are at least `shortest_outage` apart,
+    /** Takes over the newer values. The ends of two outages are at least `min_outage` apart,
      * so a time that is newer by less is the same end: each VM that passes it on makes it newer by
      * the delay of its datagram. */
-    void merge(const store_news& other)
+    void merge(const store_status& other)
     {
-        if (other.back_at >= this->back_at + shortest_outage) this->back_at = other.back_at;
+        if (other.recovered_at >= this->recovered_at + min_outage)
+            this->recovered_at = other.recovered_at;
         this->confirmed_at = std::max(this->confirmed_at, other.confirmed_at);
     }
     void describe(fleet_digest& digest, instant now) const;
@@ -50,17 +51,17 @@
 public:
     /** The reported time of another VM's response is too late by at most this, as ages are rounded
      * and take time to arrive. */
-    static constexpr duration told_late_by = milliseconds(500);
+    static constexpr duration max_report_delay = milliseconds(500);
 
     /** \p failing: the first failed call since the last response; std::nullopt if the calls are
      * answered or none was made. \p answered_here: when the store last answered this VM; the
      * epoch: never. \p elsewhere: what the other VMs report. \p cut_off: no digest of another VM
      * is received, so the fault may be this VM's. */
     void update(const std::optional<failed_call>& failing, instant answered_here,
-                const store_news& elsewhere, bool cut_off);
+                const store_status& elsewhere, bool cut_off);
 
     /** When the store last returned from an outage; the epoch: never. */
-    [[nodiscard]] instant back_at() const { return this->back; }
+    [[nodiscard]] instant recovered_at() const { return this->back; }
 
 private:
     void end(instant answered_again);
--- a/src/store_watch.cpp
+++ b/src/store_watch.cpp
@@ -25,9 +25,9 @@
 
 store_watch::store_watch(object_kind kind, unsigned seed) : watched_kind(kind), random(seed) {}
 
-const watch_pace& store_watch::pace() const
+const watch_timing& store_watch::pace() const
 {
-    return this->mode == read_mode::linearizable ? prompt_pace : standby_pace;
+    return this->mode == read_mode::linearizable ? linearizable_timing : stale_timing;
 }
 
 void store_watch::set_mode(std::optional<read_mode> wanted, instant now)
@@ -58,7 +58,7 @@
 std::optional<instant> store_watch::next_at() const
 {
     if (this->awaiting || (this->listed && !this->mode)) return std::nullopt;
-    return this->listed ? std::max(this->due_at, this->listed_at + this->pace().after_list)
+    return this->listed ? std::max(this->due_at, this->listed_at + this->pace().first_watch_delay)
                         : this->due_at;
 }
 
@@ -82,7 +82,7 @@
     const bool linearizable = this->list_linearizably || this->mode == read_mode::linearizable;
     this->call.mode = linearizable ? read_mode::linearizable : read_mode::stale;
     this->call.what = list_read{after};
-    this->call.limit = {list_timeout, list_silence};
+    this->call.limit = {list_timeout, list_idle_timeout};
 }
 
 void store_watch::watch()
@@ -103,23 +103,23 @@
     return number == this->calls && std::exchange(this->awaiting, false);
 }
 
-void store_watch::take_page(std::uint64_t number, object_page page, instant now)
+void store_watch::handle_page(std::uint64_t number, object_page page, instant now)
 {
     if (!this->answers(number)) return;
     if (this->call.mode == read_mode::linearizable) this->confirmed = now;
     this->note_answer(now);
     if (std::holds_alternative<list_read>(this->call.what)) {
-        this->take_list(std::move(page), now);
+        this->apply_list(std::move(page), now);
     } else {
-        this->take_changes(page, now);
+        this->apply_changes(page, now);
     }
 }
 
-void store_watch::take_list(object_page page, instant now)
+void store_watch::apply_list(object_page page, instant now)
 {
     const bool first = this->listed_objects.empty();
     this->list_revision = first ? page.revision : std::min(this->list_revision, page.revision);
-    if (page.truncated && this->changed == 0) this->on_first_part.emit(page.objects);
+    if (page.truncated && this->changed == 0) this->on_partial_list.emit(page.objects);
     const bool more = page.truncated && !page.objects.empty();
     std::ranges::move(page.objects, std::back_inserter(this->listed_objects));
     this->wait_until(now);
@@ -140,20 +140,20 @@
     this->on_list.emit(all);
 }
 
-void store_watch::take_changes(const object_page& page, instant now)
+void store_watch::apply_changes(const object_page& page, instant now)
 {
     const bool early = now - this->asked_at < std::get<watch_read>(this->call.what).wait / 2;
-    this->wait_until(early ? now + this->pace().gather : now);
+    this->wait_until(early ? now + this->pace().batch_delay : now);
     // A response that is no newer than the known revision holds nothing new.
     if (page.revision <= this->revision) return;
     this->revision = page.revision;
     if (page.objects.empty()) return;
     this->changed = page.revision;
-    this->wait_until(now + this->pace().gather);
+    this->wait_until(now + this->pace().batch_delay);
     this->on_changes.emit(newest_of(page.objects));
 }
 
-void store_watch::take_history_gone(std::uint64_t number, instant now)
+void store_watch::handle_history_gone(std::uint64_t number, instant now)
 {
     if (!this->answers(number)) return;
     log_event(log_level::info, "store_history_gone",
@@ -177,7 +177,7 @@
     this->failing.reset();
 }
 
-void store_watch::take_failure(std::uint64_t number, std::string_view reason, instant now)
+void store_watch::handle_failure(std::uint64_t number, std::string_view reason, instant now)
 {
     if (!this->answers(number)) return;
     if (!this->failing) this->failing = failed_call{this->asked_at, now};
@@ -189,7 +189,7 @@
     }
     // Pages received before the failure may be older than those after the pause.
     this->listed_objects.clear();
-    const watch_pace& timing = this->pace();
+    const watch_timing& timing = this->pace();
     this->retry_pause = std::clamp(this->retry_pause * 2, timing.initial_pause, timing.max_pause);
     // Jitter: 50% to 100% of the pause.
     const double jitter = 0.5 + 0.5 * std::uniform_real_distribution<>()(this->random);
--- a/src/store_watch.h
+++ b/src/store_watch.h
@@ -44,12 +44,12 @@
 };
 
 /** Timing of the watches in one read mode. */
-struct watch_pace {
+struct watch_timing {
     milliseconds wait;      ///< longest wait of a watch for a change
-    duration gather;        ///< pause between a response with changes and the next watch
+    duration batch_delay;   ///< pause between a response with changes and the next watch
     duration initial_pause; ///< pause after the first failure; doubles with each further one
     duration max_pause;
-    duration after_list; ///< pause between a list and the first watch
+    duration first_watch_delay; ///< pause between a list and the first watch
 };
 
 class store_watch {
@@ -59,16 +59,16 @@
      * fifth of that. A watch ends after at most 4 s, so that a lost response is noticed before a
      * new configuration is due. The first watch waits 1 s after the list: by then the VMs of a
      * fleet that starts know which few of them are to watch in this mode. */
-    static constexpr watch_pace prompt_pace{milliseconds(4000), milliseconds(400),
-                                            milliseconds(150), milliseconds(1200),
-                                            milliseconds(1000)};
+    static constexpr watch_timing linearizable_timing{milliseconds(4000), milliseconds(400),
+                                                      milliseconds(150), milliseconds(1200),
+                                                      milliseconds(1000)};
     /** For stale watches, which are a fallback for when no VM gets responses to linearizable ones.
      * While the store is unavailable many VMs call it, so each of them calls rarely. The first
      * watch waits 3 s after the list: in a fleet of 295 VMs it takes that long until all but a few
      * know that they need not watch. */
-    static constexpr watch_pace standby_pace{milliseconds(12000), milliseconds(1500),
-                                             milliseconds(600), milliseconds(5000),
-                                             milliseconds(3000)};
+    static constexpr watch_timing stale_timing{milliseconds(12000), milliseconds(1500),
+                                               milliseconds(600), milliseconds(5000),
+                                               milliseconds(3000)};
     /** Allowance for the response to a watch, beyond the wait that was asked for. */
     static constexpr duration wait_grace = milliseconds(500);
     /** After a failure, watches use this wait until one is answered: with a long wait, a call to a
@@ -78,7 +78,7 @@
     /** A list is given up if no byte arrives for this long; one that is being received may take
      * longer. When 300 VMs start at once, each asks for a megabyte of entries, which takes the
      * store seconds. */
-    static constexpr duration list_silence = milliseconds(1500);
+    static constexpr duration list_idle_timeout = milliseconds(1500);
     static constexpr duration list_timeout = seconds(10);
     explicit store_watch(object_kind kind, unsigned seed = std::random_device{}());
 
@@ -95,14 +95,14 @@
     /** When the next call is due, or was; std::nullopt while a response is awaited or if there is
      * nothing to read. */
     [[nodiscard]] std::optional<instant> next_at() const;
-    void take_page(std::uint64_t number, object_page page, instant now);
+    void handle_page(std::uint64_t number, object_page page, instant now);
     /** The store no longer holds the history since the watched revision. */
-    void take_history_gone(std::uint64_t number, instant now);
+    void handle_history_gone(std::uint64_t number, instant now);
     /** The call failed, or its response is unusable. */
-    void take_failure(std::uint64_t number, std::string_view reason, instant now);
+    void handle_failure(std::uint64_t number, std::string_view reason, instant now);
 
     /** Objects of one page of the first list, if more pages follow. */
-    sigc::signal<void(const std::vector<stored_object>&)> on_first_part;
+    sigc::signal<void(const std::vector<stored_object>&)> on_partial_list;
     /** A complete list of the objects. */
     sigc::signal<void(const std::vector<stored_object>&)> on_list;
     /** Objects that changed, each once and in its newest state. */
@@ -128,12 +128,12 @@
     [[nodiscard]] std::uint64_t changed_revision() const { return this->changed; }
 
 private:
-    [[nodiscard]] const watch_pace& pace() const;
+    [[nodiscard]] const watch_timing& pace() const;
     void list(const std::string& after);
     void watch();
     void wait_until(instant at) { this->due_at = at; }
-    void take_list(object_page page, instant now);
-    void take_changes(const object_page& page, instant now);
+    void apply_list(object_page page, instant now);
+    void apply_changes(const object_page& page, instant now);
     void note_answer(instant now);
     bool answers(std::uint64_t number);
 
--- a/src/object_watch.cpp
+++ b/src/store_watch_client.cpp
@@ -1,4 +1,4 @@
-#include "object_watch.h"
+#include "store_watch_client.h"
 
 #include "errors.h"
 #include "log.h"
@@ -18,19 +18,20 @@
 
 } // namespace
 
-object_watch::object_watch(event_base* base, http_caller& caller, const link_address& store,
-                           const protocol& dialect, store_watch& watch)
+store_watch_client::store_watch_client(event_base* base, http_caller& caller,
+                                       const link_address& store, const protocol& dialect,
+                                       store_watch& watch)
     : caller(caller), store(store), dialect(dialect), watch(watch),
       next(base, [this] { this->proceed(); })
 {
 }
 
-std::uint64_t object_watch::calls(read_mode mode) const
+std::uint64_t store_watch_client::calls(read_mode mode) const
 {
     return mode == read_mode::stale ? this->stale_calls : this->linearizable_calls;
 }
 
-void object_watch::proceed()
+void store_watch_client::proceed()
 {
     const instant time = now();
     if (!this->watch.awaits()) this->caller.cancel(this->newest_call);
@@ -41,7 +42,7 @@
     }
 }
 
-void object_watch::make(const store_read& call)
+void store_watch_client::make(const store_read& call)
 {
     ++(call.mode == read_mode::stale ? this->stale_calls : this->linearizable_calls);
     const std::string path = std::visit(
@@ -60,24 +61,24 @@
                           });
 }
 
-void object_watch::take(std::uint64_t number, const http_response& response)
+void store_watch_client::take(std::uint64_t number, const http_response& response)
 {
     if (response.status == gone) {
-        this->watch.take_history_gone(number, now());
+        this->watch.handle_history_gone(number, now());
     } else if (response.status != ok) {
-        this->watch.take_failure(number, "status " + std::to_string(response.status), now());
+        this->watch.handle_failure(number, "status " + std::to_string(response.status), now());
     } else {
         try {
-            this->watch.take_page(number, this->decode(response.body), now());
+            this->watch.handle_page(number, this->decode(response.body), now());
         } catch (const error& fault) {
-            this->watch.take_failure(number, fault.what(), now());
+            this->watch.handle_failure(number, fault.what(), now());
         }
     }
     this->proceed();
 }
 
 /** \throws peer_error if the body is not a page. */
-object_page object_watch::decode(const std::string& body)
+object_page store_watch_client::decode(const std::string& body)
 {
     object_page page = this->dialect.decode_page(body);
     this->unreadable_total += page.unreadable;
--- a/src/object_watch.h
+++ b/src/store_watch_client.h
@@ -9,10 +9,10 @@
 
 namespace worksshift {
 
-class object_watch {
+class store_watch_client {
 public:
-    object_watch(event_base* base, http_caller& caller, const link_address& store,
-                 const protocol& dialect, store_watch& watch);
+    store_watch_client(event_base* base, http_caller& caller, const link_address& store,
+                       const protocol& dialect, store_watch& watch);
 
     /** Makes the call that is due, or sets a timer for the next one. To be called after the state
      * of the `store_watch` was changed. */
--- a/src/watch_duty.cpp
+++ b/src/watcher_selection.cpp
@@ -1,4 +1,4 @@
-#include "watch_duty.h"
+#include "watcher_selection.h"
 
 #include <algorithm>
 
@@ -12,16 +12,18 @@
 
 } // namespace
 
-std::optional<read_mode> watch_duty::mode() const
+std::optional<read_mode> watcher_selection::mode() const
 {
     if (this->delegate || (this->standby && this->unconfirmed)) return read_mode::linearizable;
     return this->standby ? std::optional(read_mode::stale) : std::nullopt;
 }
 
-void watch_duty::update(const fleet_table& fleet, instant confirmed_at, bool answered, instant now)
+void watcher_selection::update(const fleet_table& fleet, instant confirmed_at, bool answered,
+                               instant now)
 {
     if (this->started == instant{}) this->started = now;
-    this->unconfirmed = answered && now - std::max(confirmed_at, this->started) > confirmed_within;
+    this->unconfirmed =
+        answered && now - std::max(confirmed_at, this->started) > max_confirmation_age;
     if (now - this->delegates_checked_at >= delegate_check_interval) {
         this->delegates_checked_at = now;
         const std::vector<std::uint32_t> delegates = fleet.delegates(now);
@@ -30,15 +32,16 @@
     this->update_standby(fleet, now);
 }
 
-void watch_duty::update_standby(const fleet_table& fleet, instant now)
+void watcher_selection::update_standby(const fleet_table& fleet, instant now)
 {
     const auto recently_heard = [now](const fleet_vm& item) {
-        const duration span = milliseconds(item.last.period_ms) * watcher_periods;
-        return now - item.heard_at < std::max<duration>(watcher_heard_within, span);
+        const duration span = milliseconds(item.last.period_ms) * max_missed_periods;
+        return now - item.heard_at < std::max<duration>(min_watcher_timeout, span);
     };
     std::vector<const fleet_vm*> preceding = fleet.near(now);
     const bool one_group = preceding.size() + 1 >= fleet.alive(now);
-    const std::size_t wanted = one_group ? watchers_of_fleet : watchers_of_data_centre;
+    const std::size_t wanted =
+        one_group ? standby_watchers_per_fleet : standby_watchers_per_data_centre;
     std::erase_if(preceding, [&](const fleet_vm* item) {
         return item->last.leaving || !recently_heard(*item) ||
                item->last.incarnation >= fleet.self().incarnation;
@@ -48,13 +51,13 @@
     if (watching >= wanted) {
         this->missing_since = instant{};
         if (this->watched_since == instant{}) this->watched_since = now;
-        if (now - this->watched_since > watched_enough_for) this->standby = false;
+        if (now - this->watched_since > step_down_delay) this->standby = false;
         return;
     }
     this->watched_since = instant{};
     if (this->missing_since == instant{}) this->missing_since = now;
     const auto not_watching = static_cast<int>(preceding.size() - watching);
-    const duration wait = std::min<duration>(turn * not_watching, longest_turn);
+    const duration wait = std::min<duration>(takeover_delay * not_watching, max_takeover_delay);
     if (now - this->missing_since >= wait) this->standby = true;
 }
 
--- a/src/watch_duty.h
+++ b/src/watcher_selection.h
@@ -6,7 +6,7 @@
  * digests pass what they learn on to all others at once. In addition, the VMs with the lowest
  * incarnations among those of each data centre that the store answers are standby watchers: they
  * use stale reads, which may be seconds old and cost a tenth. If no linearizable call of any VM has
- * been answered for `confirmed_within` although the standby watchers' calls are answered, these
+ * been answered for `max_confirmation_age` although the standby watchers' calls are answered, these
  * switch to linearizable reads. A VM is a standby watcher unless enough VMs of the same data centre
  * are, so a VM that receives no digests, or only those of VMs that the store refuses, still has a
  * source.
@@ -20,29 +20,29 @@
 
 namespace worksshift {
 
-class watch_duty {
+class watcher_selection {
 public:
     /** Watches of delegates end after at most four seconds, and digests need about one more to
      * reach all VMs. */
-    static constexpr duration confirmed_within = seconds(6);
+    static constexpr duration max_confirmation_age = seconds(6);
     /** Number of standby watchers in a fleet that forms one group, so that the loss of two of them
      * changes nothing; and in each data centre of a larger fleet, where the VMs of another data
      * centre can be asked as well. */
-    static constexpr std::size_t watchers_of_fleet = 3;
-    static constexpr std::size_t watchers_of_data_centre = 2;
+    static constexpr std::size_t standby_watchers_per_fleet = 3;
+    static constexpr std::size_t standby_watchers_per_data_centre = 2;
     /** A watcher whose digests were not received for this many of its gossip periods, and for at
      * least the time below, does not count. */
-    static constexpr int watcher_periods = 4;
-    static constexpr duration watcher_heard_within = milliseconds(700);
+    static constexpr int max_missed_periods = 4;
+    static constexpr duration min_watcher_timeout = milliseconds(700);
     /** When watchers are missing, a VM waits this long per VM that precedes it and does not watch
      * yet, so that a few take over and not all: in a fleet of 80 VMs whose watchers stopped one
      * after the other, 66 began at once. While the store is unavailable to all, more and more VMs
      * thus call it. */
-    static constexpr duration turn = milliseconds(100);
-    static constexpr duration longest_turn = seconds(4);
+    static constexpr duration takeover_delay = milliseconds(100);
+    static constexpr duration max_takeover_delay = seconds(4);
     /** Enough other VMs must have watched for this long before this VM stops, since they may have
      * started as recently as it did. */
-    static constexpr duration watched_enough_for = milliseconds(700);
+    static constexpr duration step_down_delay = milliseconds(700);
 
     /** \p confirmed_at: when the store last answered a linearizable call of any VM. \p answered:
      * whether the store answers this VM. */
--- a/test/correctness/router_fleet_serves.cpp
+++ b/test/correctness/router_fleet_serves.cpp
@@ -6,7 +6,7 @@
 
 #include "router_status.h"
 #include "support/router_fleet.h"
-#include "watch_duty.h"
+#include "watcher_selection.h"
 
 namespace {
 
@@ -200,8 +200,9 @@
         const auto few = [&](const std::string& kind) {
             const std::size_t stale = fleet->store->stale_waiting_for(kind);
             const std::size_t all = fleet->store->waiting_for(kind);
-            return all - stale == delegates_of_fleet && stale <= watch_duty::watchers_of_fleet &&
-                   all >= watch_duty::watchers_of_fleet;
+            return all - stale == delegates_of_fleet &&
+                   stale <= watcher_selection::standby_watchers_per_fleet &&
+                   all >= watcher_selection::standby_watchers_per_fleet;
         };
         CPPUNIT_ASSERT(
             fleet->run_until([&] { return few("servers") && few("config"); }, seconds(10)));
--- a/test/correctness/store_outages_are_told_apart.cpp
+++ b/test/correctness/store_outages_are_told_apart.cpp
@@ -31,7 +31,7 @@
     /** A call that failed at once. */
     static failed_call lost(instant when) { return {when, when}; }
 
-    static store_news confirmed(instant when) { return {none, when}; }
+    static store_status confirmed(instant when) { return {none, when}; }
 
 public:
     /** Guards against a VM's restart being taken for the store's return. */
@@ -40,7 +40,7 @@
         store_outage outage;
         outage.update(std::nullopt, none, {}, false);
         outage.update(std::nullopt, at(milliseconds(20)), {}, false);
-        CPPUNIT_ASSERT(outage.back_at() == none);
+        CPPUNIT_ASSERT(outage.recovered_at() == none);
     }
 
     static void away_for_all()
@@ -49,10 +49,10 @@
         outage.update(std::nullopt, start, confirmed(at(milliseconds(-500))), false);
         outage.update(lost(at(milliseconds(1000))), start, confirmed(at(milliseconds(-500))),
                       false);
-        CPPUNIT_ASSERT(outage.back_at() == none);
+        CPPUNIT_ASSERT(outage.recovered_at() == none);
         outage.update(std::nullopt, at(milliseconds(4000)), confirmed(at(milliseconds(-500))),
                       false);
-        CPPUNIT_ASSERT(outage.back_at() == at(milliseconds(4000)));
+        CPPUNIT_ASSERT(outage.recovered_at() == at(milliseconds(4000)));
     }
 
     /** Guards against each VM using its own first response as the time of the store's return:
@@ -63,10 +63,10 @@
         outage.update(lost(at(milliseconds(1000))), start, confirmed(start), false);
         outage.update(lost(at(milliseconds(1000))), start, confirmed(at(milliseconds(4000))),
                       false);
-        CPPUNIT_ASSERT(outage.back_at() == at(milliseconds(4000)));
+        CPPUNIT_ASSERT(outage.recovered_at() == at(milliseconds(4000)));
         outage.update(std::nullopt, at(milliseconds(8000)), confirmed(at(milliseconds(4000))),
                       false);
-        CPPUNIT_ASSERT(outage.back_at() == at(milliseconds(4000)));
+        CPPUNIT_ASSERT(outage.recovered_at() == at(milliseconds(4000)));
     }
 
     /** Guards against a fault of one VM's path to the store, or the store's refusal of that VM,
@@ -79,7 +79,7 @@
         for (int second = 1; second < 8; ++second)
             outage.update(first, start, confirmed(at(seconds(second))), false);
         outage.update(std::nullopt, at(seconds(8)), confirmed(at(seconds(7))), false);
-        CPPUNIT_ASSERT(outage.back_at() == none);
+        CPPUNIT_ASSERT(outage.recovered_at() == none);
     }
 
     /** Guards against the same for a VM that was cut off from the others, and so could not learn
@@ -90,7 +90,7 @@
         outage.update(std::nullopt, start, confirmed(start), false);
         outage.update(lost(at(milliseconds(1000))), start, confirmed(start), true);
         outage.update(std::nullopt, at(seconds(8)), confirmed(start), false);
-        CPPUNIT_ASSERT(outage.back_at() == none);
+        CPPUNIT_ASSERT(outage.recovered_at() == none);
     }
 
     static void too_short_for_entries_to_lapse()
@@ -99,7 +99,7 @@
         outage.update(std::nullopt, start, confirmed(start), false);
         outage.update(lost(at(milliseconds(1000))), start, confirmed(start), false);
         outage.update(std::nullopt, at(milliseconds(1500)), confirmed(start), false);
-        CPPUNIT_ASSERT(outage.back_at() == none);
+        CPPUNIT_ASSERT(outage.recovered_at() == none);
     }
 
     /** Guards against missing an outage because a response from before the failure is reported
@@ -112,7 +112,7 @@
                       false);
         outage.update(std::nullopt, at(milliseconds(5000)), confirmed(at(milliseconds(1300))),
                       false);
-        CPPUNIT_ASSERT(outage.back_at() == at(milliseconds(5000)));
+        CPPUNIT_ASSERT(outage.recovered_at() == at(milliseconds(5000)));
     }
 
     /** Guards against a second outage being recorded when a watch that was pending in the first one
@@ -120,11 +120,11 @@
     static void a_call_of_the_last_outage_that_fails_late()
     {
         store_outage outage;
-        const store_news back{at(milliseconds(4000)), at(milliseconds(4000))};
+        const store_status back{at(milliseconds(4000)), at(milliseconds(4000))};
         outage.update(std::nullopt, start, back, false);
         outage.update(failed_call{start, at(milliseconds(7000))}, start, back, false);
         outage.update(std::nullopt, at(milliseconds(7200)), back, false);
-        CPPUNIT_ASSERT(outage.back_at() == none);
+        CPPUNIT_ASSERT(outage.recovered_at() == none);
     }
 
     static void each_outage_ends_anew()
@@ -134,7 +134,7 @@
             const instant back = at(seconds(10 * round + 5));
             outage.update(lost(at(seconds(10 * round + 1))), at(seconds(10 * round)), {}, false);
             outage.update(std::nullopt, back, {}, false);
-            CPPUNIT_ASSERT(outage.back_at() == back);
+            CPPUNIT_ASSERT(outage.recovered_at() == back);
         }
     }
 };
--- a/test/error/registry_entries_by_others.cpp
+++ b/test/error/registry_entries_by_others.cpp
@@ -18,7 +18,7 @@
 using namespace support;
 using namespace worksshift;
 
-constexpr told_by_store as_it_happens{true};
+constexpr store_origin from_watch{true};
 
 const std::string valid_document =
     R"({"service":"desk","address":"127.0.0.1:1","zone":"dc","version":"v1",)"
@@ -127,7 +127,7 @@
             server_table table(data_centre_id{"dc"});
             server_registry registry(table, this->dialect);
             const std::vector<stored_object> all{entry("a", valid_document), entry("b", document)};
-            registry.take_list(all, told_by_store{}, instant(seconds(1000)));
+            registry.apply_list(all, store_origin{}, instant(seconds(1000)));
             const std::string start = document.substr(0, 200);
             CPPUNIT_ASSERT_MESSAGE(start, table.find(server_id{"a"}) != nullptr);
             CPPUNIT_ASSERT_MESSAGE(start, table.find(server_id{"b"}) == nullptr);
@@ -158,11 +158,11 @@
         std::vector<stored_object> all;
         for (const std::string name : {"a", "b", "c", "d"})
             all.push_back(entry(name, valid_document));
-        registry.take_list(all, told_by_store{}, now);
-        registry.take_change(entry("a", "{}"), as_it_happens, now + seconds(10));
+        registry.apply_list(all, store_origin{}, now);
+        registry.apply_change(entry("a", "{}"), from_watch, now + seconds(10));
         registry.sweep(now + seconds(12), now);
         CPPUNIT_ASSERT(table.find(server_id{"a"})->gone);
-        registry.take_change(entry("a", valid_document), as_it_happens, now + seconds(13));
+        registry.apply_change(entry("a", valid_document), from_watch, now + seconds(13));
         CPPUNIT_ASSERT(table.find(server_id{"a"})->takes_work());
     }
 
--- a/test/error/servers_that_leave_or_lapse.cpp
+++ b/test/error/servers_that_leave_or_lapse.cpp
@@ -14,7 +14,7 @@
 
 using namespace worksshift;
 
-constexpr told_by_store as_it_happens{true};
+constexpr store_origin from_watch{true};
 
 class servers_that_leave_or_lapse : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(servers_that_leave_or_lapse);
@@ -76,13 +76,13 @@
         this->table = std::make_unique<server_table>(data_centre_id{"dc"});
         this->registry = std::make_unique<server_registry>(*this->table, this->dialect);
         const std::vector<stored_object> all{entry("a"), entry("b"), entry("c"), entry("d")};
-        this->registry->take_list(all, told_by_store{}, this->start);
+        this->registry->apply_list(all, store_origin{}, this->start);
     }
 
     /** Guards against keeping a single removed server when the store was available. */
     void leaves_in_calm()
     {
-        this->registry->take_change(removal("a"), as_it_happens, this->start + seconds(60));
+        this->registry->apply_change(removal("a"), from_watch, this->start + seconds(60));
         this->registry->sweep(this->start + seconds(60), this->start);
         CPPUNIT_ASSERT_EQUAL(std::size_t{3}, this->usable());
     }
@@ -91,7 +91,7 @@
     void leaves_after_the_store_was_away()
     {
         const instant back = this->start + seconds(60);
-        this->registry->take_change(removal("a"), as_it_happens, back);
+        this->registry->apply_change(removal("a"), from_watch, back);
         this->registry->sweep(back + milliseconds(100), back);
         CPPUNIT_ASSERT_EQUAL(std::size_t{4}, this->usable());
         this->registry->sweep(back + leaving_bound - milliseconds(200), back);
@@ -102,11 +102,11 @@
     void lapsed_together_are_kept()
     {
         const instant back = this->start + seconds(60);
-        this->registry->take_list({}, told_by_store{}, back);
+        this->registry->apply_list({}, store_origin{}, back);
         this->registry->sweep(back + milliseconds(2100), back);
         CPPUNIT_ASSERT_EQUAL(std::size_t{4}, this->usable());
         for (const std::string name : {"a", "b", "c", "d"})
-            this->registry->take_change(entry(name), as_it_happens, back + milliseconds(2000));
+            this->registry->apply_change(entry(name), from_watch, back + milliseconds(2000));
         this->registry->sweep(back + seconds(10), back);
         CPPUNIT_ASSERT_EQUAL(std::size_t{4}, this->usable());
     }
@@ -115,8 +115,8 @@
     void lapsed_and_not_back_are_gone()
     {
         const instant back = this->start + seconds(60);
-        this->registry->take_list({}, told_by_store{}, back);
-        this->registry->take_change(entry("b"), as_it_happens, back + milliseconds(1000));
+        this->registry->apply_list({}, store_origin{}, back);
+        this->registry->apply_change(entry("b"), from_watch, back + milliseconds(1000));
         this->registry->sweep(back + milliseconds(2500), back);
         CPPUNIT_ASSERT_EQUAL(std::size_t{1}, this->usable());
     }
@@ -127,10 +127,10 @@
     {
         const instant now = this->start + seconds(60);
         for (const std::string name : {"a", "b", "c", "d"})
-            this->registry->take_change(removal(name), as_it_happens, now);
+            this->registry->apply_change(removal(name), from_watch, now);
         this->registry->sweep(now + milliseconds(100), this->start);
         CPPUNIT_ASSERT_EQUAL(std::size_t{4}, this->usable());
-        this->registry->take_change(entry("a"), as_it_happens, now + milliseconds(1000));
+        this->registry->apply_change(entry("a"), from_watch, now + milliseconds(1000));
         this->registry->sweep(now + leaving_bound - milliseconds(200), this->start);
         CPPUNIT_ASSERT_EQUAL(std::size_t{1}, this->usable());
     }
@@ -140,8 +140,7 @@
     {
         std::vector<server_id> told;
         this->registry->on_leaving.connect([&](const server_id& id) { told.push_back(id); });
-        this->registry->take_change(entry("a", "draining"), as_it_happens,
-                                    this->start + seconds(1));
+        this->registry->apply_change(entry("a", "draining"), from_watch, this->start + seconds(1));
         CPPUNIT_ASSERT_EQUAL(std::size_t{3}, this->usable());
         CPPUNIT_ASSERT_EQUAL(std::size_t{1}, told.size());
     }
@@ -151,10 +150,10 @@
     void those_that_said_so_have_not_lapsed()
     {
         const instant now = this->start + seconds(60);
-        this->registry->take_change(entry("a", "draining"), as_it_happens, now);
-        this->registry->take_change(entry("b", "draining"), as_it_happens, now);
+        this->registry->apply_change(entry("a", "draining"), from_watch, now);
+        this->registry->apply_change(entry("b", "draining"), from_watch, now);
         for (const std::string name : {"a", "b", "c"})
-            this->registry->take_change(removal(name), as_it_happens, now + seconds(3));
+            this->registry->apply_change(removal(name), from_watch, now + seconds(3));
         this->registry->sweep(now + seconds(3), this->start);
         CPPUNIT_ASSERT_EQUAL(std::size_t{1}, this->usable());
     }
@@ -163,11 +162,11 @@
     void kept_for_as_long_as_by_the_teller()
     {
         const instant asked = this->start + seconds(60);
-        const std::vector<kept_server> kept{{"a", 1000}, {"b", 1000}, {"c", 1000}};
+        const std::vector<retained_server> kept{{"a", 1000}, {"b", 1000}, {"c", 1000}};
         for (const std::string name : {"a", "b", "c"})
-            this->registry->take_change(removal(name), told_by_vm{kept, asked}, asked);
+            this->registry->apply_change(removal(name), peer_origin{kept, asked}, asked);
         const instant retention_end =
-            asked - milliseconds(1000) + server_registry::leaving_kept_for;
+            asked - milliseconds(1000) + server_registry::removed_retention;
         this->registry->sweep(retention_end - milliseconds(1), this->start);
         CPPUNIT_ASSERT_EQUAL(std::size_t{4}, this->usable());
         this->registry->sweep(retention_end, this->start);
@@ -180,8 +179,8 @@
         const instant now = this->start + seconds(60);
         const std::vector<stored_object> all{entry("a")};
         registry_update update{20, true, all};
-        update.known_from = 10;
-        this->registry->take_list(all, origin_of(update, 10, now), now);
+        update.oldest_known_revision = 10;
+        this->registry->apply_list(all, origin_of(update, 10, now), now);
         this->registry->sweep(now, now - milliseconds(100));
         CPPUNIT_ASSERT_EQUAL(std::size_t{1}, this->usable());
     }
@@ -192,8 +191,8 @@
     {
         const instant now = this->start + seconds(60);
         registry_update update{20, true, {}};
-        update.known_from = 20;
-        this->registry->take_list({}, origin_of(update, 10, now), now);
+        update.oldest_known_revision = 20;
+        this->registry->apply_list({}, origin_of(update, 10, now), now);
         this->registry->sweep(now, now - milliseconds(100));
         CPPUNIT_ASSERT_EQUAL(std::size_t{4}, this->usable());
     }
@@ -227,7 +226,7 @@
         const registry_update update =
             decode_registry_update(encode(source.since(copy.revision())), "peer");
         CPPUNIT_ASSERT(!update.whole);
-        CPPUNIT_ASSERT_EQUAL(std::uint64_t{10}, update.known_from);
+        CPPUNIT_ASSERT_EQUAL(std::uint64_t{10}, update.oldest_known_revision);
         CPPUNIT_ASSERT_EQUAL(std::size_t{2}, update.objects.size());
         copy.take(update);
         CPPUNIT_ASSERT_EQUAL(std::uint64_t{12}, copy.revision());
@@ -252,7 +251,7 @@
     {
         registry_feed source;
         source.take({10, true, {}});
-        for (std::uint64_t i = 0; i < registry_feed::changes_kept_at_least + 5; ++i)
+        for (std::uint64_t i = 0; i < registry_feed::min_retained_changes + 5; ++i)
             source.take({11 + i, false, {entry("s" + std::to_string(i % 7), "ready", 11 + i)}});
         const registry_update update = source.since(11);
         CPPUNIT_ASSERT(update.whole);
--- a/test/error/servers_that_start_again.cpp
+++ b/test/error/servers_that_start_again.cpp
@@ -15,7 +15,7 @@
 using namespace support;
 using namespace worksshift;
 
-constexpr told_by_store live_change{true};
+constexpr store_origin live_change{true};
 using then = scripted_answer::then;
 
 /** Registry entry of a server that started at \p born, in Unix milliseconds. */
@@ -60,8 +60,8 @@
 
     void start_again()
     {
-        this->registry->take_change(entry("a", second_born), live_change,
-                                    this->start + seconds(60));
+        this->registry->apply_change(entry("a", second_born), live_change,
+                                     this->start + seconds(60));
     }
 
 public:
@@ -70,7 +70,7 @@
         this->table = std::make_unique<server_table>(data_centre_id{"dc"});
         this->registry = std::make_unique<server_registry>(*this->table, this->dialect);
         const std::vector<stored_object> all{entry("a", first_born), entry("b", first_born)};
-        this->registry->take_list(all, told_by_store{}, this->start);
+        this->registry->apply_list(all, store_origin{}, this->start);
     }
 
     /** The new incarnation starts without load, failures or delays. */
@@ -122,8 +122,8 @@
     void entry_of_the_former_life_changes_nothing()
     {
         this->start_again();
-        this->registry->take_change(entry("a", first_born, "draining"), live_change,
-                                    this->start + seconds(61));
+        this->registry->apply_change(entry("a", first_born, "draining"), live_change,
+                                     this->start + seconds(61));
         CPPUNIT_ASSERT(this->row().takes_work());
     }
 
@@ -133,7 +133,7 @@
         this->start_again();
         stored_object removal = entry("a", first_born);
         removal.removed = true;
-        this->registry->take_change(removal, live_change, this->start + seconds(61));
+        this->registry->apply_change(removal, live_change, this->start + seconds(61));
         this->registry->sweep(this->start + seconds(70), this->start);
         CPPUNIT_ASSERT(this->table->find(this->id) != nullptr && this->row().takes_work());
     }
--- a/test/error/store_that_fails.cpp
+++ b/test/error/store_that_fails.cpp
@@ -5,8 +5,8 @@
 #include <cppunit/extensions/HelperMacros.h>
 
 #include "fakes/fake_store.h"
-#include "object_watch.h"
 #include "platform.h"
+#include "store_watch_client.h"
 #include "support/fleet.h"
 
 namespace {
@@ -31,7 +31,7 @@
     std::unique_ptr<http_caller> caller;
     protocol dialect = platform_protocol();
     std::unique_ptr<store_watch> state;
-    std::unique_ptr<object_watch> watch;
+    std::unique_ptr<store_watch_client> watch;
     std::vector<stored_object> listed;
     std::vector<stored_object> changed;
     std::vector<stored_object> early;
@@ -60,7 +60,7 @@
             this->listed = all;
             ++this->lists;
         });
-        this->state->on_first_part.connect([this](const std::vector<stored_object>& part) {
+        this->state->on_partial_list.connect([this](const std::vector<stored_object>& part) {
             this->early.insert(this->early.end(), part.begin(), part.end());
         });
         this->state->on_changes.connect([this](const std::vector<stored_object>& objects) {
@@ -77,8 +77,8 @@
         this->store = std::make_unique<fakes::fake_store>(this->base.get(), this->address);
         this->caller = std::make_unique<http_caller>(this->base.get());
         this->state = std::make_unique<store_watch>(object_kind::servers);
-        this->watch = std::make_unique<object_watch>(this->base.get(), *this->caller, this->address,
-                                                     this->dialect, *this->state);
+        this->watch = std::make_unique<store_watch_client>(
+            this->base.get(), *this->caller, this->address, this->dialect, *this->state);
         this->listed.clear();
         this->changed.clear();
         this->early.clear();
@@ -162,8 +162,9 @@
         const std::size_t before = this->store->watches;
         CPPUNIT_ASSERT(this->run_until([&] { return this->store->watches > before; }));
         this->store->fault = store_fault::none;
-        const duration longest = store_watch::probe_timeout + store_watch::prompt_pace.max_pause;
-        CPPUNIT_ASSERT(longest < store_watch::prompt_pace.wait);
+        const duration longest =
+            store_watch::probe_timeout + store_watch::linearizable_timing.max_pause;
+        CPPUNIT_ASSERT(longest < store_watch::linearizable_timing.wait);
         // The return is noticed although no change completes a pending watch.
         CPPUNIT_ASSERT(
             this->run_until([this] { return this->state->reachable(); }, longest + seconds(1)));
--- a/test/fuzz/digests_reach_every_vm.cpp
+++ b/test/fuzz/digests_reach_every_vm.cpp
@@ -110,9 +110,10 @@
             const auto centres = *rc::gen::inRange<std::size_t>(1, 5);
             digest_fleet fleet(vms, centres, *rc::gen::arbitrary<std::uint64_t>());
             fleet.run(seconds(10));
-            const std::size_t allowed = vms <= small_fleet || centres == 1
-                                            ? watch_duty::watchers_of_fleet
-                                            : watch_duty::watchers_of_data_centre * centres;
+            const std::size_t allowed =
+                vms <= small_fleet || centres == 1
+                    ? watcher_selection::standby_watchers_per_fleet
+                    : watcher_selection::standby_watchers_per_data_centre * centres;
             RC_ASSERT(count_standby_watchers(fleet) <= allowed);
             RC_ASSERT(count_standby_watchers(fleet) >= 1U);
             RC_ASSERT(linearizable(fleet) == std::min(vms, delegates_of_fleet));
--- a/test/fuzz/evacuations_reach_every_vm.cpp
+++ b/test/fuzz/evacuations_reach_every_vm.cpp
@@ -148,11 +148,11 @@
         stored_object item;
         item.name = "a";
         const std::vector<stored_object> all{item};
-        starting.take_list(all, 9);
+        starting.apply_list(all, 9);
         fleet_digest digest;
         starting.describe(digest, {});
         evacuation_state other(dialect);
-        other.take_list(all, 5);
+        other.apply_list(all, 5);
         other.take_digest(digest);
         CPPUNIT_ASSERT(other.includes({"a"}));
         // If the entries do not fit into a digest, it sends no state until it knows the servers.
@@ -161,7 +161,7 @@
             item.name = "nowhere-" + std::to_string(i);
             many.push_back(item);
         }
-        starting.take_list(many, 12);
+        starting.apply_list(many, 12);
         starting.describe(digest, {});
         CPPUNIT_ASSERT_EQUAL(std::uint64_t{0}, digest.evacuations_revision);
         other.take_digest(digest);
@@ -216,7 +216,7 @@
         real.name = "a";
         real.document = "7";
         all.push_back(real);
-        state.take_list(all, 9);
+        state.apply_list(all, 9);
         CPPUNIT_ASSERT(state.includes({"a"}));
         fleet_digest digest;
         const auto place = static_cast<std::uint32_t>(hash_of("a"));
@@ -228,7 +228,7 @@
         CPPUNIT_ASSERT(other.includes({"a"}));
         CPPUNIT_ASSERT_EQUAL(std::uint64_t{9}, other.revision());
         // An older revision is ignored.
-        other.take_changes({}, 8);
+        other.apply_changes({}, 8);
         CPPUNIT_ASSERT_EQUAL(std::uint64_t{9}, other.revision());
     }
 };
--- a/test/fuzz/versions_reach_every_vm.cpp
+++ b/test/fuzz/versions_reach_every_vm.cpp
@@ -119,7 +119,7 @@
                 RC_ASSERT(fleet.run_until_known(promised_within) < promised_within);
                 draw_changes(fleet, version);
                 RC_ASSERT(fleet.run_until_known(promised_within) < promised_within);
-                RC_ASSERT(!fleet.any_went_back());
+                RC_ASSERT(!fleet.any_regressed());
             }
         });
         CPPUNIT_ASSERT(held);
@@ -138,7 +138,7 @@
             if (item.duty.mode() == read_mode::linearizable) fleet.store.refused.insert(vm);
         }
         CPPUNIT_ASSERT_EQUAL(delegates_of_fleet, fleet.store.refused.size());
-        fleet.run(watch_duty::confirmed_within + seconds(2));
+        fleet.run(watcher_selection::max_confirmation_age + seconds(2));
         fleet.set_config(2);
         CPPUNIT_ASSERT(fleet.run_until_known(promised_within) < promised_within);
     }
@@ -166,14 +166,14 @@
             add_servers(fleet, 20);
             fleet.set_config(1);
             fleet.run(seconds(10));
-            const double start = fleet.calls_priced();
+            const double start = fleet.call_cost();
             for (std::uint64_t change = 0; change < 40; ++change) {
                 fleet.store.put(object_kind::servers, name_of_server(change % 20), "y",
                                 fleet.fleet.now);
                 fleet.run(milliseconds(500));
             }
             CPPUNIT_ASSERT(fleet.run_until_known(promised_within) < promised_within);
-            return std::pair(start, fleet.calls_priced() - start);
+            return std::pair(start, fleet.call_cost() - start);
         };
         const auto [start, changes] = calls_of_day(120);
         const auto [larger_start, larger_changes] = calls_of_day(240);
@@ -189,11 +189,11 @@
         add_servers(fleet, 20);
         fleet.set_config(1);
         fleet.run(seconds(10));
-        const double before = fleet.calls_priced();
+        const double before = fleet.call_cost();
         for (const auto& [vm, item] : fleet.vms)
             fleet.store.refused.insert(vm);
         fleet.run(seconds(8));
-        const double away = fleet.calls_priced() - before;
+        const double away = fleet.call_cost() - before;
         fleet.store.refused.clear();
         fleet.set_config(2);
         CPPUNIT_ASSERT(fleet.run_until_known(promised_within) < promised_within);
--- a/test/support/digest_fleet.cpp
+++ b/test/support/digest_fleet.cpp
@@ -89,9 +89,9 @@
     }
 }
 
-store_news digest_fleet::known_store_state(const digest_vm& item)
+store_status digest_fleet::known_store_state(const digest_vm& item)
 {
-    store_news known = item.rounds.fleet().store();
+    store_status known = item.rounds.fleet().store();
     known.merge(item.store);
     return known;
 }
--- a/test/support/digest_fleet.h
+++ b/test/support/digest_fleet.h
@@ -13,7 +13,7 @@
 #include <vector>
 
 #include "fleet_rounds.h"
-#include "watch_duty.h"
+#include "watcher_selection.h"
 
 namespace support {
 
@@ -26,14 +26,14 @@
     }
 
     worksshift::fleet_rounds rounds;
-    worksshift::watch_duty duty;
+    worksshift::watcher_selection duty;
     worksshift::load_table loads;
     std::vector<std::uint32_t> busy;
     std::uint64_t config_version = 1;
     bool store_answers = true;
     bool leaving = false;
-    std::size_t duties = 0;       ///< how often it became a standby watcher
-    worksshift::store_news store; ///< state of the store from its own calls
+    std::size_t duties = 0;         ///< how often it became a standby watcher
+    worksshift::store_status store; ///< state of the store from its own calls
     std::uint64_t bytes_sent = 0;
     std::uint64_t bytes_received = 0;
     std::uint64_t bytes_across = 0; ///< sent to other data centres
@@ -87,7 +87,7 @@
     };
 
     void step();
-    static worksshift::store_news known_store_state(const digest_vm& item);
+    static worksshift::store_status known_store_state(const digest_vm& item);
     void deliver(const datagram& item);
     void send_round(std::size_t vm);
 
--- a/test/support/store_fleet.cpp
+++ b/test/support/store_fleet.cpp
@@ -63,7 +63,7 @@
     return all;
 }
 
-model_store::answer model_store::look_at(const waiting_call& call, instant now) const
+model_store::answer model_store::answer_to(const waiting_call& call, instant now) const
 {
     if (this->silent || now - call.asked_at < store_delay) return {};
     if (this->refused.contains(call.vm)) return {verdict::refused, {}};
@@ -94,7 +94,7 @@
     this->fleet.on_tick = [this](std::size_t vm) { this->tick(vm); };
     this->fleet.describe = [this](std::size_t vm, own_state& state) {
         fleet_digest& digest = state.digest;
-        const following_vm& item = this->vms.at(vm);
+        const follower_vm& item = this->vms.at(vm);
         digest.config_version = item.version;
         digest.servers_revision = item.feed.revision();
         digest.watches_store = item.config.watch.follows() && item.servers.watch.follows();
@@ -103,7 +103,7 @@
     this->fleet.on_digest = [this](std::size_t vm, const fleet_vm& from) {
         std::uint64_t& newest = this->vms.at(vm).newest_heard;
         newest = std::max(newest, from.last.config_version);
-        following_vm& item = this->vms.at(vm);
+        follower_vm& item = this->vms.at(vm);
         if (from.last.evacuations_revision <= item.evacuated.revision()) return;
         item.evacuated.take_digest(from.last);
         item.evacuations.watch.advance(from.last.evacuations_revision);
@@ -114,7 +114,7 @@
 
 void store_fleet::connect(std::size_t vm)
 {
-    following_vm& item = this->vms[vm];
+    follower_vm& item = this->vms[vm];
     item.started = this->fleet.now;
     const auto take_configs = [&item](const std::vector<stored_object>& objects) {
         for (const stored_object& object : objects)
@@ -123,19 +123,19 @@
     item.config.watch.on_list.connect(take_configs);
     item.config.watch.on_changes.connect(take_configs);
     item.evacuations.watch.on_list.connect([&item](const std::vector<stored_object>& all) {
-        item.evacuated.take_list(all, item.evacuations.watch.changed_revision());
+        item.evacuated.apply_list(all, item.evacuations.watch.changed_revision());
     });
     item.evacuations.watch.on_changes.connect([&item](const std::vector<stored_object>& some) {
-        item.evacuated.take_changes(some, item.evacuations.watch.changed_revision());
+        item.evacuated.apply_changes(some, item.evacuations.watch.changed_revision());
     });
     item.servers.watch.on_list.connect([this, &item](const std::vector<stored_object>& all) {
         item.listed = true;
         this->apply(item, {item.servers.watch.changed_revision(), true, all, {}, 0},
-                    told_by_store{});
+                    store_origin{});
     });
     item.servers.watch.on_changes.connect([this, &item](const std::vector<stored_object>& some) {
         this->apply(item, {item.servers.watch.changed_revision(), false, some},
-                    told_by_store{.as_it_happens = true});
+                    store_origin{.from_watch = true});
     });
 }
 
@@ -166,7 +166,7 @@
 std::size_t store_fleet::vms_using(const std::string& server, duration running_for) const
 {
     return static_cast<std::size_t>(std::ranges::count_if(this->fleet.vms, [&](const auto& entry) {
-        const following_vm& item = this->vms.at(entry.first);
+        const follower_vm& item = this->vms.at(entry.first);
         const auto& rows = item.table.rows();
         const auto row = rows.find(server_id{server});
         return this->fleet.now - item.started >= running_for && row != rows.end() &&
@@ -204,7 +204,7 @@
 
 store_follow& store_fleet::follow_of(std::size_t vm, object_kind kind)
 {
-    following_vm& item = this->vms.at(vm);
+    follower_vm& item = this->vms.at(vm);
     switch (kind) {
     case object_kind::configuration:
         return item.config;
@@ -216,25 +216,25 @@
     return item.servers;
 }
 
-void store_fleet::take_version(following_vm& item, std::uint64_t version)
+void store_fleet::take_version(follower_vm& item, std::uint64_t version)
 {
     // Like the product's followers, never applies an older version.
     item.version = std::max(item.version, version);
 }
 
-void store_fleet::apply(following_vm& item, const registry_update& update,
-                        const news_origin& origin)
+void store_fleet::apply(follower_vm& item, const registry_update& update,
+                        const update_origin& origin)
 {
     const std::uint64_t before = item.feed.revision();
     const std::optional<registry_update> news = item.feed.take(update);
-    if (item.feed.revision() < before) item.went_back = true;
+    if (item.feed.revision() < before) item.regressed = true;
     if (!news) return;
     this->take_servers(item, *news, origin);
     if (news->whole) item.registry.clear();
     for (const stored_object& object : news->objects) {
         const auto known = item.registry.find(object.name);
         if (known != item.registry.end() && object.revision < known->second.revision) {
-            item.went_back = true;
+            item.regressed = true;
         }
         if (object.removed) {
             item.registry.erase(object.name);
@@ -244,15 +244,15 @@
     }
 }
 
-void store_fleet::take_servers(following_vm& item, const registry_update& news,
-                               const news_origin& origin) const
+void store_fleet::take_servers(follower_vm& item, const registry_update& news,
+                               const update_origin& origin) const
 {
     if (news.whole) {
-        item.servers_in_use.take_list(news.objects, origin, this->fleet.now);
+        item.servers_in_use.apply_list(news.objects, origin, this->fleet.now);
         return;
     }
     for (const stored_object& object : news.objects)
-        item.servers_in_use.take_change(object, origin, this->fleet.now);
+        item.servers_in_use.apply_change(object, origin, this->fleet.now);
 }
 
 void store_fleet::tick(std::size_t vm)
@@ -262,14 +262,14 @@
         this->answer_calls();
         this->take_peer_answers();
     }
-    following_vm& item = this->vms.at(vm);
+    follower_vm& item = this->vms.at(vm);
     digest_vm& digests = this->fleet.vms.at(vm);
     const instant now = this->fleet.now;
     const std::uint64_t revision = item.feed.revision();
     const std::uint64_t version = item.version;
     item.outage.update(item.servers.watch.failing_call(), item.servers.watch.answered_at(),
                        digests.rounds.fleet().store(), digests.rounds.fleet().is_cut_off(now));
-    digests.store = {item.outage.back_at(), item.servers.watch.confirmed_at()};
+    digests.store = {item.outage.recovered_at(), item.servers.watch.confirmed_at()};
     digests.store_answers = item.servers.watch.reachable();
     const std::optional<read_mode> mode = digests.duty.mode();
     item.config.update(digests.store_answers ? mode : std::nullopt, item.version > 0,
@@ -284,9 +284,9 @@
         this->ask_store(vm, follow);
         if (follow.fetching.due(now)) this->ask_peer(vm, kind);
     }
-    store_news known = digests.rounds.fleet().store();
+    store_status known = digests.rounds.fleet().store();
     known.merge(digests.store);
-    item.servers_in_use.sweep(now, known.back_at);
+    item.servers_in_use.sweep(now, known.recovered_at);
     item.table.sweep(now);
     if (item.feed.revision() != revision || item.version != version) digests.rounds.hasten();
 }
@@ -296,10 +296,10 @@
     const instant now = this->fleet.now;
     const std::optional<store_read> read = follow.watch.next(now);
     if (!read) return;
-    following_vm& item = this->vms.at(vm);
+    follower_vm& item = this->vms.at(vm);
     ++item.calls;
     constexpr double stale_price = 0.1;
-    item.calls_priced += read->mode == read_mode::stale ? stale_price : 1;
+    item.call_cost += read->mode == read_mode::stale ? stale_price : 1;
     const object_kind kind = follow.watch.kind();
     this->waiting.push_back({vm, kind, *read, now});
     const duration limit = read->limit.silence > duration::zero()
@@ -313,7 +313,7 @@
     const instant now = this->fleet.now;
     std::vector<std::pair<model_store::waiting_call, model_store::answer>> done;
     std::erase_if(this->waiting, [&](const model_store::waiting_call& call) {
-        model_store::answer answer = this->store.look_at(call, now);
+        model_store::answer answer = this->store.answer_to(call, now);
         if (answer.result == model_store::verdict::none) return false;
         done.emplace_back(call, std::move(answer));
         return true;
@@ -321,23 +321,23 @@
     for (auto& [call, answer] : done) {
         store_watch& watch = this->follow_of(call.vm, call.kind).watch;
         if (answer.result == model_store::verdict::page) {
-            watch.take_page(call.read.number, std::move(answer.page), now);
+            watch.handle_page(call.read.number, std::move(answer.page), now);
         } else if (answer.result == model_store::verdict::gone) {
-            watch.take_history_gone(call.read.number, now);
+            watch.handle_history_gone(call.read.number, now);
         } else {
-            watch.take_failure(call.read.number, "refused", now);
+            watch.handle_failure(call.read.number, "refused", now);
         }
     }
     std::erase_if(this->pending, [&](const own_call& call) {
         if (now < call.fails_at) return false;
-        this->follow_of(call.vm, call.kind).watch.take_failure(call.number, "late", now);
+        this->follow_of(call.vm, call.kind).watch.handle_failure(call.number, "late", now);
         return true;
     });
 }
 
 void store_fleet::ask_peer(std::size_t vm, object_kind kind)
 {
-    following_vm& item = this->vms.at(vm);
+    follower_vm& item = this->vms.at(vm);
     const fleet_table& known = this->fleet.vms.at(vm).rounds.fleet();
     const instant now = this->fleet.now;
     const bool config = kind == object_kind::configuration;
@@ -350,7 +350,8 @@
     this->follow_of(vm, kind).fetching.begin();
     const auto asked = this->vms.find(digest_fleet::vm_at(peer->address));
     const bool lives = this->fleet.vms.contains(digest_fleet::vm_at(peer->address));
-    peer_answer answer{vm, kind, now, now + (lives ? peer_delay : catch_up::call_timeout), {}, 0};
+    peer_answer answer{
+        vm, kind, now, now + (lives ? peer_delay : peer_fetch_schedule::call_timeout), {}, 0};
     if (lives && config) answer.version = asked->second.version;
     if (lives && !config) {
         answer.update = asked->second.feed.since(item.feed.revision());
@@ -364,11 +365,11 @@
     const instant now = this->fleet.now;
     std::erase_if(this->answers, [&](const peer_answer& answer) {
         if (answer.at > now) return false;
-        following_vm& item = this->vms.at(answer.vm);
+        follower_vm& item = this->vms.at(answer.vm);
         this->follow_of(answer.vm, answer.kind).fetching.end(now);
         take_version(item, answer.version);
         if (answer.update) {
-            const news_origin origin =
+            const update_origin origin =
                 origin_of(*answer.update, item.feed.revision(), answer.asked_at);
             this->apply(item, *answer.update, origin);
             item.servers.watch.advance(answer.update->revision);
@@ -383,7 +384,7 @@
     const auto config = this->store.objects(object_kind::configuration, this->store.newest());
     const std::uint64_t version = config.empty() ? 0 : std::stoull(config.begin()->second.document);
     return std::ranges::all_of(this->fleet.vms, [&](const auto& entry) {
-        const following_vm& item = this->vms.at(entry.first);
+        const follower_vm& item = this->vms.at(entry.first);
         return item.version == version &&
                std::ranges::equal(item.registry, truth, [](const auto& left, const auto& right) {
                    return left.first == right.first &&
@@ -397,16 +398,16 @@
     return this->fleet.run_until([this] { return this->all_know(); }, limit);
 }
 
-bool store_fleet::any_went_back() const
+bool store_fleet::any_regressed() const
 {
-    return std::ranges::any_of(this->vms, [](const auto& entry) { return entry.second.went_back; });
+    return std::ranges::any_of(this->vms, [](const auto& entry) { return entry.second.regressed; });
 }
 
-double store_fleet::calls_priced() const
+double store_fleet::call_cost() const
 {
     double sum = 0;
     for (const auto& [vm, item] : this->vms)
-        sum += item.calls_priced;
+        sum += item.call_cost;
     return sum;
 }
 
--- a/test/support/store_fleet.h
+++ b/test/support/store_fleet.h
@@ -39,7 +39,7 @@
     void remove(worksshift::object_kind kind, const std::string& name, worksshift::instant now);
     /** Drops the history: watches from earlier revisions are told that it is gone. */
     void forget_history() { this->history_from = this->revision; }
-    [[nodiscard]] answer look_at(const waiting_call& call, worksshift::instant now) const;
+    [[nodiscard]] answer answer_to(const waiting_call& call, worksshift::instant now) const;
     /** Objects of a kind as of revision \p until, by name. */
     [[nodiscard]] std::map<std::string, worksshift::stored_object>
     objects(worksshift::object_kind kind, std::uint64_t until) const;
@@ -64,7 +64,7 @@
 };
 
 /** State of one VM that follows the store. */
-struct following_vm {
+struct follower_vm {
     worksshift::store_follow config{worksshift::object_kind::configuration, 1};
     worksshift::store_follow servers{worksshift::object_kind::servers, 2};
     worksshift::store_follow evacuations{worksshift::object_kind::evacuations, 3};
@@ -79,8 +79,8 @@
     bool listed = false;
     std::uint64_t version = 0; ///< version of the configuration in force
     std::uint64_t newest_heard = 0;
-    bool went_back = false;  ///< a version was replaced by an older one
-    double calls_priced = 0; ///< number of calls, with a stale one counted as a tenth
+    bool regressed = false; ///< a version was replaced by an older one
+    double call_cost = 0;   ///< number of calls, with a stale one counted as a tenth
     std::size_t calls = 0;
 };
 
@@ -111,13 +111,13 @@
     /** Restarts a VM, which then knows nothing. */
     void restart(std::size_t vm);
     [[nodiscard]] bool all_know() const;
-    [[nodiscard]] bool any_went_back() const;
-    /** Sum of `calls_priced` over the fleet. */
-    [[nodiscard]] double calls_priced() const;
+    [[nodiscard]] bool any_regressed() const;
+    /** Sum of `call_cost` over the fleet. */
+    [[nodiscard]] double call_cost() const;
 
     digest_fleet fleet;
     model_store store;
-    std::map<std::size_t, following_vm> vms;
+    std::map<std::size_t, follower_vm> vms;
     /** Low halves of the hashes of the names of the servers' data centres. */
     std::set<std::uint32_t> server_places;
 
@@ -143,11 +143,11 @@
     void ask_store(std::size_t vm, worksshift::store_follow& follow);
     void ask_peer(std::size_t vm, worksshift::object_kind kind);
     void take_peer_answers();
-    void apply(following_vm& item, const worksshift::registry_update& update,
-               const worksshift::news_origin& origin);
-    void take_servers(following_vm& item, const worksshift::registry_update& news,
-                      const worksshift::news_origin& origin) const;
-    static void take_version(following_vm& item, std::uint64_t version);
+    void apply(follower_vm& item, const worksshift::registry_update& update,
+               const worksshift::update_origin& origin);
+    void take_servers(follower_vm& item, const worksshift::registry_update& news,
+                      const worksshift::update_origin& origin) const;
+    static void take_version(follower_vm& item, std::uint64_t version);
     worksshift::store_follow& follow_of(std::size_t vm, worksshift::object_kind kind);
 
     std::vector<model_store::waiting_call> waiting;
