--- a/lab/experiment.cpp
+++ b/lab/experiment.cpp
@@ -456,11 +456,11 @@
     constexpr std::size_t data_centres = 4;
     const std::size_t groups = this->vms.size() > max_vms_in_one_data_centre ? data_centres : 1;
     for (std::size_t from = 0; from < this->vms.size(); ++from) {
-        const std::vector<stated_load> reported =
+        const std::vector<reported_load> reported =
             this->vms[from]->table.drain_reported_loads(this->now);
         for (std::size_t to = from % groups; to < this->vms.size(); to += groups) {
             if (to == from) continue;
-            for (const stated_load& item : reported)
+            for (const reported_load& item : reported)
                 this->vms[to]->table.apply_reported_load(item, this->now);
         }
     }
--- a/lab/plain_service.cpp
+++ b/lab/plain_service.cpp
@@ -295,12 +295,12 @@
 /** Sends the outcomes of the VM's attempts to the other VMs of its data centre. */
 void simulation::send_outcomes(std::size_t vm)
 {
-    const std::vector<told_outcomes> outcomes = this->routers[vm]->table.drain_outcomes();
+    const std::vector<outcome_counts> outcomes = this->routers[vm]->table.drain_outcomes();
     this->after(this->given.told_after_s, [this, vm, outcomes] {
         for (std::size_t other = 0; other < this->routers.size(); ++other) {
             const bool same_data_centre = this->routers[other]->centre == this->routers[vm]->centre;
             if (other == vm || !same_data_centre) continue;
-            for (const told_outcomes& item : outcomes)
+            for (const outcome_counts& item : outcomes)
                 this->routers[other]->table.apply_outcomes(item, to_instant(this->now));
         }
     });
--- a/src/caller_front.cpp
+++ b/src/caller_front.cpp
@@ -281,7 +281,7 @@
     event_ptr<evbuffer> chunk(evbuffer_new());
     evbuffer_add(chunk.get(), bytes.data(), bytes.size());
     evhttp_send_reply_chunk(item->request, chunk.get());
-    write_now(evhttp_connection_get_bufferevent(item->connection));
+    flush_output(evhttp_connection_get_bufferevent(item->connection));
 }
 
 /** Removes this request's callbacks from the connection, which stays open for the caller's next
--- a/src/caller_links.cpp
+++ b/src/caller_links.cpp
@@ -101,7 +101,7 @@
     item->owner = this;
     item->since = now();
     set_no_delay(socket);
-    limit_unacknowledged(socket, caller_unacknowledged_timeout);
+    set_unacknowledged_timeout(socket, caller_unacknowledged_timeout);
     item->socket.reset(bufferevent_socket_new(this->base, socket, BEV_OPT_CLOSE_ON_FREE));
     item->reader.on_head = [this, item](http_head& head) { this->handle_head(*item, head); };
     item->reader.on_body = [this, item](std::string_view bytes) {
@@ -136,7 +136,7 @@
     if (expect != nullptr && same_name(*expect, "100-continue")) {
         constexpr std::string_view go_on = "HTTP/1.1 100 Continue\r\n\r\n";
         evbuffer_add(bufferevent_get_output(item.socket.get()), go_on.data(), go_on.size());
-        write_now(item.socket.get());
+        flush_output(item.socket.get());
     }
 }
 
@@ -195,7 +195,7 @@
     append_header(head, "Content-Length", std::to_string(text.size()));
     head.append("\r\n").append(text);
     evbuffer_add(bufferevent_get_output(item.socket.get()), head.data(), head.size());
-    write_now(item.socket.get());
+    flush_output(item.socket.get());
     item.at = link::stage::lingering;
     item.since = now();
     const evutil_socket_t socket = bufferevent_getfd(item.socket.get());
@@ -277,7 +277,7 @@
     link* item = this->find(request);
     if (item == nullptr) return;
     if (!piece.empty()) write_chunk(bufferevent_get_output(item->socket.get()), piece);
-    write_now(item->socket.get());
+    flush_output(item->socket.get());
 }
 
 void caller_links::finish(std::uint64_t request)
@@ -288,7 +288,7 @@
     if (item->chunked) write_last_chunk(out);
     this->in_progress.erase(request);
     item->finished = true;
-    write_now(item->socket.get());
+    flush_output(item->socket.get());
     if (evbuffer_get_length(out) == 0) this->end_answer(*item);
 }
 
--- a/src/config_follower.cpp
+++ b/src/config_follower.cpp
@@ -71,7 +71,7 @@
         }
         this->current = received;
         this->packed = pack(document);
-        this->gossip.hasten();
+        this->gossip.send_early();
         this->on_config.emit();
     } catch (const error& fault) {
         log_event(log_level::error, "config_unreadable",
--- a/src/crash_suspects.cpp
+++ b/src/crash_suspects.cpp
@@ -260,7 +260,7 @@
     std::ranges::stable_sort(from, std::greater{}, [this](const pending_report& item) {
         return std::pair(this->crashes_of(key_of(item.report)), item.remaining_sends);
     });
-    const std::size_t count = std::min(from.size(), crash_reports_at_most);
+    const std::size_t count = std::min(from.size(), max_crash_reports);
     std::vector<crash_report> reports(count);
     for (std::size_t at = 0; at < count; ++at) {
         --from[at].remaining_sends;
@@ -279,7 +279,7 @@
                                   to_age(now - item.changed)});
     }
     std::ranges::sort(digest.blocked, {}, &blocked_content::age);
-    digest.blocked.resize(std::min(digest.blocked.size(), blocked_contents_at_most));
+    digest.blocked.resize(std::min(digest.blocked.size(), max_blocked_contents));
 }
 
 std::vector<crash_report> crash_suspects::reports_to_distant()
--- a/src/evacuation_follower.cpp
+++ b/src/evacuation_follower.cpp
@@ -37,7 +37,7 @@
 
 void evacuation_follower::apply()
 {
-    this->gossip.hasten();
+    this->gossip.send_early();
     this->servers.set_evacuated(this->state.places(), std::chrono::steady_clock::now());
     std::string names;
     for (const data_centre_id& centre : this->evacuated())
@@ -61,7 +61,7 @@
 void evacuation_follower::describe(fleet_digest& digest, bool all_servers_known) const
 {
     std::set<std::uint32_t> known;
-    if (all_servers_known && this->state.places().size() > evacuated_at_most) {
+    if (all_servers_known && this->state.places().size() > max_evacuated_data_centres) {
         for (const auto& [hash, name] : this->data_centres_by_hash())
             known.insert(hash);
     }
--- a/src/evacuations.cpp
+++ b/src/evacuations.cpp
@@ -44,12 +44,12 @@
 {
     digest.evacuated.clear();
     digest.evacuations_revision = 0;
-    if (this->current.size() <= evacuated_at_most) {
+    if (this->current.size() <= max_evacuated_data_centres) {
         digest.evacuated.assign(this->current.begin(), this->current.end());
     } else {
         if (known.empty()) return;
         std::ranges::set_intersection(this->current, known, std::back_inserter(digest.evacuated));
-        if (digest.evacuated.size() > evacuated_at_most) return;
+        if (digest.evacuated.size() > max_evacuated_data_centres) return;
     }
     digest.evacuations_revision = this->newest;
 }
--- a/src/event_loop.cpp
+++ b/src/event_loop.cpp
@@ -66,7 +66,7 @@
     return base;
 }
 
-void write_now(bufferevent* socket)
+void flush_output(bufferevent* socket)
 {
     evbuffer* output = bufferevent_get_output(socket);
     const evutil_socket_t descriptor = bufferevent_getfd(socket);
@@ -90,13 +90,13 @@
     setsockopt(socket, IPPROTO_TCP, TCP_NODELAY, &on, sizeof on);
 }
 
-void limit_unacknowledged(evutil_socket_t socket, milliseconds span)
+void set_unacknowledged_timeout(evutil_socket_t socket, milliseconds span)
 {
     const auto value = static_cast<unsigned>(span.count());
     setsockopt(socket, IPPROTO_TCP, TCP_USER_TIMEOUT, &value, sizeof value);
 }
 
-void probe_while_idle(evutil_socket_t socket)
+void enable_keepalive(evutil_socket_t socket)
 {
     // The minimum that the system accepts.
     constexpr int period_s = 1;
--- a/src/event_loop.h
+++ b/src/event_loop.h
@@ -64,18 +64,18 @@
 
 /** Writes the output buffer of a connected socket immediately instead of polling for writability
  * first. A token then costs one system call instead of four. */
-void write_now(bufferevent* socket);
+void flush_output(bufferevent* socket);
 
 /** Disables Nagle's algorithm: a token must not wait until the previous one is acknowledged. */
 void set_no_delay(evutil_socket_t socket);
 
 /** Closes the connection when sent bytes stay unacknowledged for \p span because the peer is
  * unreachable. By default, the system would keep the connection for about 15 minutes. */
-void limit_unacknowledged(evutil_socket_t socket, milliseconds span);
+void set_unacknowledged_timeout(evutil_socket_t socket, milliseconds span);
 
 /** Closes an idle connection when the peer is unreachable: the system sends a keepalive probe after
  * 1 s without traffic, and gives up 2 s after the last byte received. */
-void probe_while_idle(evutil_socket_t socket);
+void enable_keepalive(evutil_socket_t socket);
 
 /** Copies the whole content of a buffer. */
 std::string read_all(evbuffer* buffer);
--- a/src/fleet_digest.cpp
+++ b/src/fleet_digest.cpp
@@ -43,13 +43,13 @@
 }
 
 template <class Archive>
-void serialize(Archive& archive, stated_load& item)
+void serialize(Archive& archive, reported_load& item)
 {
     archive(item.server, item.requests, item.age);
 }
 
 template <class Archive>
-void serialize(Archive& archive, told_outcomes& item)
+void serialize(Archive& archive, outcome_counts& item)
 {
     archive(item.server, item.answered, item.failed, item.mean);
 }
@@ -67,7 +67,7 @@
 }
 
 template <class Archive>
-void serialize(Archive& archive, vm_rumour& item)
+void serialize(Archive& archive, vm_liveness_report& item)
 {
     archive(item.address, item.data_centre, item.age);
 }
@@ -90,11 +90,12 @@
 void save(Archive& archive, const fleet_digest& item)
 {
     archive(item.format, item.incarnation, item.sequence, item.data_centre, item.period_ms,
-            item.config_version, item.servers_revision, item.store_back, item.store_confirmed,
-            item.watches_store, item.leaving, item.joining, item.own_loads, item.centre_loads,
-            item.distant_loads, item.requests_per_s, item.evacuations_revision);
+            item.config_version, item.servers_revision, item.store_restored_age,
+            item.store_confirmed_age, item.watches_store, item.leaving, item.joining,
+            item.own_loads, item.centre_loads, item.distant_loads, item.requests_per_s,
+            item.evacuations_revision);
     save_items(archive, item.evacuated);
-    save_items(archive, item.stated_loads);
+    save_items(archive, item.reported_loads);
     save_items(archive, item.outcomes);
     save_items(archive, item.crash_reports);
     save_items(archive, item.blocked);
@@ -108,11 +109,11 @@
     archive(item.format);
     if (item.format != known_format) throw peer_error("digest", "", "unsupported digest format");
     archive(item.incarnation, item.sequence, item.data_centre, item.period_ms, item.config_version,
-            item.servers_revision, item.store_back, item.store_confirmed, item.watches_store,
-            item.leaving, item.joining, item.own_loads, item.centre_loads, item.distant_loads,
-            item.requests_per_s, item.evacuations_revision);
+            item.servers_revision, item.store_restored_age, item.store_confirmed_age,
+            item.watches_store, item.leaving, item.joining, item.own_loads, item.centre_loads,
+            item.distant_loads, item.requests_per_s, item.evacuations_revision);
     load_items(archive, item.evacuated);
-    load_items(archive, item.stated_loads);
+    load_items(archive, item.reported_loads);
     load_items(archive, item.outcomes);
     load_items(archive, item.crash_reports);
     load_items(archive, item.blocked);
--- a/src/fleet_digest.h
+++ b/src/fleet_digest.h
@@ -27,7 +27,7 @@
 };
 
 /** Maximum number of load entries in one datagram, so that it fits into one packet. */
-constexpr std::size_t load_entries_at_most = 96;
+constexpr std::size_t max_load_entries = 96;
 
 /** One part of a load table: all servers with `server % parts == part`, and busy servers of any
  * other part. A server of this part that has no entry is idle. */
@@ -43,27 +43,27 @@
 };
 
 /** Load that a server reported in a response to the sender. */
-struct stated_load {
+struct reported_load {
     std::uint32_t server = 0; ///< low half of the hash of its id
     std::uint16_t requests = 0;
-    std::uint8_t age = 0; ///< in units of `stated_age_unit`
+    std::uint8_t age = 0; ///< in units of `reported_age_unit`
 };
-constexpr duration stated_age_unit = milliseconds(10);
+constexpr duration reported_age_unit = milliseconds(10);
 /** Maximum number of reported loads in one digest; the newest are kept. */
-constexpr std::size_t stated_loads_at_most = 24;
+constexpr std::size_t max_reported_loads = 24;
 
 /** Results of the sender's attempts at one server. Model engines are included only after failures.
  */
-struct told_outcomes {
+struct outcome_counts {
     std::uint32_t server = 0; ///< low half of the hash of its id
     std::uint8_t answered = 0;
     std::uint8_t failed = 0; ///< without a usable response
-    std::uint8_t mean = 0;   ///< response time of answered attempts, in units of `told_time_unit`
+    std::uint8_t mean = 0; ///< response time of answered attempts, in units of `outcome_time_unit`
 };
-constexpr duration told_time_unit = milliseconds(4);
+constexpr duration outcome_time_unit = milliseconds(4);
 /** Maximum number of servers with outcomes in one digest. In a large fleet, a VM has one or two of
  * them between two of its digests. */
-constexpr std::size_t told_outcomes_at_most = 12;
+constexpr std::size_t max_outcome_counts = 12;
 
 /** A server crashed while a request was in flight there. */
 struct crash_report {
@@ -73,7 +73,7 @@
     auto operator<=>(const crash_report&) const = default;
 };
 /** Maximum number of crash reports in one digest. */
-constexpr std::size_t crash_reports_at_most = 8;
+constexpr std::size_t max_crash_reports = 8;
 
 /** Request content that is blocked from all servers, or that was unblocked. */
 struct blocked_content {
@@ -84,21 +84,21 @@
 };
 constexpr duration blocked_age_unit = milliseconds(100);
 /** Maximum number of blocked contents in one digest; the newest are kept. */
-constexpr std::size_t blocked_contents_at_most = 16;
+constexpr std::size_t max_blocked_contents = 16;
 
 /** Maximum number of servers in one digest that announced that they leave. */
-constexpr std::size_t leaving_servers_at_most = 16;
+constexpr std::size_t max_leaving_servers = 16;
 
 /** Maximum number of evacuated data centres in one digest. */
-constexpr std::size_t evacuated_at_most = 32;
+constexpr std::size_t max_evacuated_data_centres = 32;
 
-constexpr duration store_back_unit = milliseconds(10);
-constexpr duration store_confirmed_unit = milliseconds(100);
+constexpr duration store_restored_age_unit = milliseconds(10);
+constexpr duration store_confirmed_age_unit = milliseconds(100);
 
 /** Liveness report: when a VM was last seen, by the sender or by VMs that reported it to the
  * sender.
  */
-struct vm_rumour {
+struct vm_liveness_report {
     std::uint32_t address = 0;     ///< IPv4, host order
     std::uint32_t data_centre = 0; ///< low half of the hash of its name
     std::uint8_t age = 0;          ///< time since it was last seen, in units of 100 ms
@@ -117,26 +117,26 @@
     std::uint64_t evacuations_revision = 0;
     std::vector<std::uint32_t> evacuated; ///< low halves of the hashes of their names
     /** Time since the store last recovered from an outage, as far as the sender knows, in units of
-     * `store_back_unit`. The maximum stands for longer ago or never. */
-    std::uint16_t store_back = 65535;
+     * `store_restored_age_unit`. The maximum stands for longer ago or never. */
+    std::uint16_t store_restored_age = 65535;
     /** Time since the store last completed a linearizable call of any VM, in units of
-     * `store_confirmed_unit`. The maximum stands for longer ago or never. */
-    std::uint8_t store_confirmed = 255;
+     * `store_confirmed_age_unit`. The maximum stands for longer ago or never. */
+    std::uint8_t store_confirmed_age = 255;
     bool watches_store = false; ///< it watches the store for changes, and the store responds
     bool leaving = false;
     bool joining = false;    ///< it knows few VMs yet: recipients should reply to it
     load_part own_loads;     ///< requests from the sender
     load_part centre_loads;  ///< requests from all VMs of the sender's data centre
     load_part distant_loads; ///< requests from other data centres, as reported to the sender
-    std::vector<stated_load> stated_loads; ///< reported since the sender's last digest
-    std::vector<told_outcomes> outcomes;   ///< since the sender's last digest
-    std::uint16_t requests_per_s = 0;      ///< that the sender receives for model engines, in 0.1/s
+    std::vector<reported_load> reported_loads; ///< reported since the sender's last digest
+    std::vector<outcome_counts> outcomes;      ///< since the sender's last digest
+    std::uint16_t requests_per_s = 0; ///< that the sender receives for model engines, in 0.1/s
     std::vector<crash_report> crash_reports; ///< recent; each is repeated in a few digests
     std::vector<blocked_content> blocked;
     /** Servers that announced that they leave but that the registry lists as ready: low halves of
      * the hashes of their incarnations. */
     std::vector<std::uint32_t> leaving_servers;
-    std::vector<vm_rumour> vms;
+    std::vector<vm_liveness_report> vms;
 };
 
 std::string encode(const fleet_digest& digest);
--- a/src/fleet_gossip.cpp
+++ b/src/fleet_gossip.cpp
@@ -75,7 +75,7 @@
     this->rounds.add_seeds(all_to_host_order(seeds), now());
 }
 
-void fleet_gossip::tick(instant time, const std::function<own_state()>& describe)
+void fleet_gossip::tick(instant time, const std::function<local_state()>& describe)
 {
     if (!this->rounds.due(time)) return;
     for (const outgoing_digest& item : this->rounds.next(describe(), time)) {
--- a/src/fleet_gossip.h
+++ b/src/fleet_gossip.h
@@ -33,11 +33,11 @@
     fleet_gossip& operator=(fleet_gossip&&) = delete;
 
     /** Sends a round of digests if one is due. */
-    void tick(instant now, const std::function<own_state()>& describe);
+    void tick(instant now, const std::function<local_state()>& describe);
     /** Adds VMs to contact. */
     void add_seeds(std::span<const link_address> seeds);
     /** Sends the next round early, as after a change that others should learn soon. */
-    void hasten() { this->rounds.hasten(); }
+    void send_early() { this->rounds.send_early(); }
 
     [[nodiscard]] const fleet_table& fleet() const { return this->rounds.fleet(); }
     [[nodiscard]] load_table loads_of_others(instant now) const
--- a/src/fleet_rounds.cpp
+++ b/src/fleet_rounds.cpp
@@ -20,14 +20,14 @@
     this->table.add_seeds(new_seeds, now);
 }
 
-void fleet_rounds::hasten()
+void fleet_rounds::send_early()
 {
-    this->next_round = std::min(this->next_round, this->last_round + hastened_period);
+    this->next_round = std::min(this->next_round, this->last_round + min_early_digest_period);
 }
 
-std::vector<outgoing_digest> fleet_rounds::next(own_state state, instant now)
+std::vector<outgoing_digest> fleet_rounds::next(local_state state, instant now)
 {
-    this->table.forget_dead(now);
+    this->table.remove_dead_vms(now);
     this->delegates = this->table.delegates(now);
     this->loads.set_own(std::move(state.loads), state.servers, std::move(state.busy));
     this->loads.begin_round(now);
@@ -57,20 +57,20 @@
                                        });
     const std::chrono::duration<double> wanted(static_cast<double>(bytes) / digest_bytes_per_s);
     this->round_period = std::clamp(std::chrono::duration_cast<duration>(wanted),
-                                    duration(shortest_period), duration(longest_period));
+                                    duration(min_digest_period), duration(max_digest_period));
     this->loads.set_period(this->round_period);
 }
 
 outgoing_digest fleet_rounds::make_near_digest(fleet_digest digest, instant now)
 {
     digest.sequence = ++this->sequence;
-    digest.vms = this->table.rumours(rumours_told, this->delegates, now);
+    digest.vms = this->table.liveness_reports(liveness_reports_per_digest, this->delegates, now);
     this->loads.describe(digest);
     outgoing_digest made{encode(digest), {}};
-    const bool retry_silent = this->rounds % rounds_between_trials == 0;
+    const bool retry_silent = this->rounds % silent_vm_retry_rounds == 0;
     for (const auto& [address, item] : this->table.vms()) {
         if (!this->table.is_near(item)) continue;
-        const bool is_new = now - item.known_since < new_vm_period;
+        const bool is_new = now - item.known_since < new_vm_contact_period;
         if (retry_silent || is_new || fleet_table::is_heard(item, now)) made.to.push_back(address);
     }
     return made;
@@ -81,7 +81,8 @@
 {
     digest.sequence = ++this->sequence;
     for (distant_message& message : this->loads.to_distant()) {
-        digest.vms = this->table.rumours(rumours_told, this->delegates, now);
+        digest.vms =
+            this->table.liveness_reports(liveness_reports_per_digest, this->delegates, now);
         digest.centre_loads = std::move(message.centre_loads);
         all.push_back({encode(digest), {message.address}});
     }
@@ -95,11 +96,11 @@
     for (auto& [address, item] : this->table.vms()) {
         const bool contact_seed =
             digest.joining && std::ranges::find(this->seeds, address) != this->seeds.end();
-        if (std::exchange(item.to_answer, false) || contact_seed) made.to.push_back(address);
+        if (std::exchange(item.answer_pending, false) || contact_seed) made.to.push_back(address);
     }
     if (made.to.empty()) return made;
     digest.sequence = ++this->sequence;
-    digest.vms = this->table.rumours(rumours_to_joining, this->delegates, now);
+    digest.vms = this->table.liveness_reports(liveness_reports_to_joining, this->delegates, now);
     made.bytes = encode(digest);
     return made;
 }
--- a/src/fleet_rounds.h
+++ b/src/fleet_rounds.h
@@ -20,18 +20,18 @@
 constexpr double digest_bytes_per_s = 9000;
 /** Bounds of the interval between rounds. Small fleets use the shortest; fleets whose digests
  * exceed the byte budget use up to the longest. */
-constexpr duration shortest_period = milliseconds(150);
-constexpr duration longest_period = seconds(2);
+constexpr duration min_digest_period = milliseconds(150);
+constexpr duration max_digest_period = seconds(2);
 /** Minimum interval between a round that is sent early and the previous round. */
-constexpr duration hastened_period = milliseconds(50);
+constexpr duration min_early_digest_period = milliseconds(50);
 /** Silent VMs of the same data centre are sent a digest in one of this many rounds. */
-constexpr unsigned rounds_between_trials = 8;
+constexpr unsigned silent_vm_retry_rounds = 8;
 /** Liveness reports in a digest: to any VM, and to a VM that is joining. */
-constexpr std::size_t rumours_told = 3;
-constexpr std::size_t rumours_to_joining = 16;
+constexpr std::size_t liveness_reports_per_digest = 3;
+constexpr std::size_t liveness_reports_to_joining = 16;
 
 /** State that a VM reports in a round. */
-struct own_state {
+struct local_state {
     fleet_digest digest; ///< without loads and liveness reports
     load_table loads;
     std::vector<crash_report> distant_crash_reports; ///< for VMs of other data centres
@@ -57,11 +57,11 @@
 
     [[nodiscard]] bool due(instant now) const { return now >= this->next_round; }
     /** The datagrams of the round that is due. */
-    std::vector<outgoing_digest> next(own_state state, instant now);
+    std::vector<outgoing_digest> next(local_state state, instant now);
     /** Adds VMs to contact, such as those that reloaded settings name. */
     void add_seeds(std::span<const std::uint32_t> seeds, instant now);
     /** Sends the next round early, as after a change that others should learn soon. */
-    void hasten();
+    void send_early();
 
     [[nodiscard]] fleet_table& fleet() { return this->table; }
     [[nodiscard]] const fleet_table& fleet() const { return this->table; }
@@ -80,7 +80,7 @@
     load_exchange loads;
     std::vector<std::uint32_t> delegates; ///< of the current round
     std::uint32_t sequence = 0;
-    duration round_period = shortest_period;
+    duration round_period = min_digest_period;
     instant last_round{};
     instant next_round{};
     unsigned rounds = 0;
--- a/src/fleet_table.cpp
+++ b/src/fleet_table.cpp
@@ -41,8 +41,10 @@
 
 void store_status::describe(fleet_digest& digest, instant now) const
 {
-    digest.store_back = to_age<std::uint16_t>(this->recovered_at, store_back_unit, now);
-    digest.store_confirmed = to_age<std::uint8_t>(this->confirmed_at, store_confirmed_unit, now);
+    digest.store_restored_age =
+        to_age<std::uint16_t>(this->recovered_at, store_restored_age_unit, now);
+    digest.store_confirmed_age =
+        to_age<std::uint8_t>(this->confirmed_at, store_confirmed_age_unit, now);
 }
 
 fleet_table::fleet_table(const identity& self, std::span<const std::uint32_t> new_seeds,
@@ -92,11 +94,12 @@
     item.heard_at = now;
     if (this->receives_nothing(now)) this->receiving_since = now;
     this->last_digest_at = now;
-    this->reported_store.merge({from_age(digest.store_back, store_back_unit, now),
-                                from_age(digest.store_confirmed, store_confirmed_unit, now)});
+    this->reported_store.merge(
+        {from_age(digest.store_restored_age, store_restored_age_unit, now),
+         from_age(digest.store_confirmed_age, store_confirmed_age_unit, now)});
     this->max_servers_revision = std::max(this->max_servers_revision, digest.servers_revision);
-    item.to_answer = digest.joining;
-    for (const vm_rumour& report : digest.vms)
+    item.answer_pending = digest.joining;
+    for (const vm_liveness_report& report : digest.vms)
         this->record_vm(report.address, report.data_centre, now - report.age * age_unit, now);
     item.own_loads.take(std::exchange(digest.own_loads, {}));
     item.centre_loads.take(std::exchange(digest.centre_loads, {}));
@@ -105,31 +108,31 @@
     return &item;
 }
 
-void fleet_table::forget_dead(instant now)
+void fleet_table::remove_dead_vms(instant now)
 {
     std::erase_if(this->table, [&](const auto& entry) {
         const instant last = std::max(entry.second.alive_at, entry.second.known_since);
-        return now - last > forget_after &&
+        return now - last > dead_vm_retention &&
                std::ranges::find(this->seeds, entry.first) == this->seeds.end();
     });
 }
 
 bool fleet_table::is_near(const fleet_vm& item) const
 {
-    return item.data_centre == this->own.data_centre || this->table.size() < small_fleet;
+    return item.data_centre == this->own.data_centre || this->table.size() < max_small_fleet_vms;
 }
 
 bool fleet_table::is_heard(const fleet_vm& item, instant now)
 {
     const duration limit = std::max<duration>(
-        milliseconds(item.last.period_ms) * periods_until_silent, silent_after_at_least);
+        milliseconds(item.last.period_ms) * max_silent_periods, min_vm_silence_timeout);
     return item.heard_at != instant{} && now - item.heard_at <= limit;
 }
 
 bool fleet_table::is_alive(const fleet_vm& item, instant now) const
 {
     if (this->is_near(item)) return this->is_heard(item, now);
-    return item.alive_at != instant{} && now - item.alive_at <= distant_alive_for;
+    return item.alive_at != instant{} && now - item.alive_at <= remote_vm_timeout;
 }
 
 std::vector<const fleet_vm*> fleet_table::near(instant now) const
@@ -159,17 +162,18 @@
 
 bool fleet_table::is_joining(instant now) const
 {
-    return now - this->started_at < joining_for || this->receives_nothing(now);
+    return now - this->started_at < joining_period || this->receives_nothing(now);
 }
 
 bool fleet_table::receives_nothing(instant now) const
 {
-    return this->receiving_since == instant{} || now - this->last_digest_at >= joining_for;
+    return this->receiving_since == instant{} || now - this->last_digest_at >= joining_period;
 }
 
-bool fleet_table::is_cut_off(instant now) const
+bool fleet_table::is_isolated(instant now) const
 {
-    return this->receiving_since != instant{} && now - this->last_digest_at > silent_after_at_least;
+    return this->receiving_since != instant{} &&
+           now - this->last_digest_at > min_vm_silence_timeout;
 }
 
 fleet_members fleet_table::members(instant now) const
@@ -177,8 +181,9 @@
     fleet_members found;
     found.self = this->own.address;
     found.data_centre = this->own.data_centre;
-    found.complete = !this->receives_nothing(now) && now - this->receiving_since >= joining_for &&
-                     now - this->near_discovered_at >= members_settle_for;
+    found.complete = !this->receives_nothing(now) &&
+                     now - this->receiving_since >= joining_period &&
+                     now - this->near_discovered_at >= membership_settle_period;
     found.near.push_back(this->own.address);
     found.data_centres.push_back(this->own.data_centre);
     for (const auto& [address, item] : this->table) {
@@ -199,23 +204,25 @@
         if (item.last.leaving || !this->is_alive(item, now)) continue;
         first.emplace_back(rendezvous_weight(delegate_rank_key, address), address);
         std::ranges::sort(first, std::greater{});
-        first.resize(std::min(first.size(), delegates_of_fleet));
+        first.resize(std::min(first.size(), delegates_per_fleet));
     }
     std::vector<std::uint32_t> chosen(first.size());
     std::ranges::transform(first, chosen.begin(), [](const auto& entry) { return entry.second; });
     return chosen;
 }
 
-std::optional<vm_rumour> fleet_table::make_liveness_report(const fleet_vm& item, instant now) const
+std::optional<vm_liveness_report> fleet_table::make_liveness_report(const fleet_vm& item,
+                                                                    instant now) const
 {
     if (!this->is_alive(item, now) || item.data_centre == 0) return std::nullopt;
-    return vm_rumour{item.address, item.data_centre, to_age(now - item.alive_at)};
+    return vm_liveness_report{item.address, item.data_centre, to_age(now - item.alive_at)};
 }
 
-std::vector<vm_rumour> fleet_table::rumours(std::size_t count,
-                                            std::span<const std::uint32_t> delegates, instant now)
+std::vector<vm_liveness_report>
+fleet_table::liveness_reports(std::size_t count, std::span<const std::uint32_t> delegates,
+                              instant now)
 {
-    std::vector<vm_rumour> reports;
+    std::vector<vm_liveness_report> reports;
     if (!delegates.empty()) {
         const auto chosen =
             this->table.find(delegates[this->liveness_report_calls++ % delegates.size()]);
--- a/src/fleet_table.h
+++ b/src/fleet_table.h
@@ -23,40 +23,40 @@
 namespace worksshift {
 
 /** A fleet of up to this many VMs is treated as one data centre. */
-constexpr std::size_t small_fleet = 12;
+constexpr std::size_t max_small_fleet_vms = 12;
 /** A VM is considered silent, and its state is ignored, when no digest of it has arrived for this
  * many of its periods and for at least the time below. */
-constexpr int periods_until_silent = 8;
-constexpr duration silent_after_at_least = milliseconds(1200);
+constexpr int max_silent_periods = 8;
+constexpr duration min_vm_silence_timeout = milliseconds(1200);
 /** A VM of another data centre that was not seen for this long is considered dead. A liveness
  * report takes about one period per hop. */
-constexpr duration distant_alive_for = seconds(5);
+constexpr duration remote_vm_timeout = seconds(5);
 /** Number of delegates of a fleet: more than one, so that the loss of one leaves no gap. */
-constexpr std::size_t delegates_of_fleet = 2;
+constexpr std::size_t delegates_per_fleet = 2;
 /** A VM is kept in the table, and sent digests, for this long after it was last seen. */
-constexpr duration forget_after = seconds(60);
+constexpr duration dead_vm_retention = seconds(60);
 /** A newly discovered VM is sent a digest in each round for this long, even while it is silent. */
-constexpr duration new_vm_period = seconds(2);
+constexpr duration new_vm_contact_period = seconds(2);
 /** A VM asks for replies to its digests for this long after its start, and while no digests
  * arrive. */
-constexpr duration joining_for = seconds(4);
+constexpr duration joining_period = seconds(4);
 /** The VMs of the same data centre are considered all known when no new one was discovered for this
  * long. When 480 VMs start at once, some know half of the 80 of their data centre after 10 s, and
  * discover two more per second. */
-constexpr duration members_settle_for = seconds(3);
+constexpr duration membership_settle_period = seconds(3);
 
 /** One other VM. */
 struct fleet_vm {
     std::uint32_t address = 0;     ///< IPv4, host order
     std::uint32_t data_centre = 0; ///< low half of the hash of its name; 0: not known yet
     fleet_digest last;             ///< newest digest, without its loads
-    load_copy own_loads;
-    load_copy centre_loads;
-    load_copy distant_loads;
+    load_replica own_loads;
+    load_replica centre_loads;
+    load_replica distant_loads;
     instant heard_at{}; ///< when its last digest arrived; the epoch: never
     instant alive_at{}; ///< when it was last seen, also as reported by others; the epoch: never
     instant known_since{};
-    bool to_answer = false; ///< it is joining, and sent a digest without a reply yet
+    bool answer_pending = false; ///< it is joining, and sent a digest without a reply yet
 };
 
 class fleet_table {
@@ -73,8 +73,8 @@
     /** Applies a digest received from address \p from. Returns its sender; nullptr if a newer
      * digest arrived before, or if \p from is the address of this VM. */
     const fleet_vm* take(std::uint32_t from, fleet_digest digest, instant now);
-    /** Removes VMs that were not seen for `forget_after`, except seeds. */
-    void forget_dead(instant now);
+    /** Removes VMs that were not seen for `dead_vm_retention`, except seeds. */
+    void remove_dead_vms(instant now);
 
     [[nodiscard]] const identity& self() const { return this->own; }
     [[nodiscard]] std::map<std::uint32_t, fleet_vm>& vms() { return this->table; }
@@ -92,13 +92,13 @@
     [[nodiscard]] std::vector<const fleet_vm*> heard(instant now) const;
     /** Number of VMs that are alive, including this one. */
     [[nodiscard]] std::size_t alive(instant now) const;
-    /** Whether this VM asks for replies to its digests; see `joining_for`. */
+    /** Whether this VM asks for replies to its digests; see `joining_period`. */
     [[nodiscard]] bool is_joining(instant now) const;
     /** The VMs of this data centre in the table, including recently lost ones, and the data centres
      * of all VMs in the table. */
     [[nodiscard]] fleet_members members(instant now) const;
     /** Whether digests used to arrive from other VMs, and none has arrived recently. */
-    [[nodiscard]] bool is_cut_off(instant now) const;
+    [[nodiscard]] bool is_isolated(instant now) const;
     [[nodiscard]] const store_status& store() const { return this->reported_store; }
     /** Highest revision of the registry in any digest received. */
     [[nodiscard]] std::uint64_t servers_revision() const { return this->max_servers_revision; }
@@ -109,12 +109,12 @@
 
     /** Liveness reports on up to \p count VMs, in rotation from call to call. One of them is for a
      * delegate if possible, since all VMs must learn in time that a delegate is alive. */
-    std::vector<vm_rumour> rumours(std::size_t count, std::span<const std::uint32_t> delegates,
-                                   instant now);
+    std::vector<vm_liveness_report>
+    liveness_reports(std::size_t count, std::span<const std::uint32_t> delegates, instant now);
 
 private:
-    [[nodiscard]] std::optional<vm_rumour> make_liveness_report(const fleet_vm& item,
-                                                                instant now) const;
+    [[nodiscard]] std::optional<vm_liveness_report> make_liveness_report(const fleet_vm& item,
+                                                                         instant now) const;
     [[nodiscard]] bool receives_nothing(instant now) const;
     void record_vm(std::uint32_t address, std::uint32_t data_centre, instant alive, instant now);
 
--- a/src/http_call.cpp
+++ b/src/http_call.cpp
@@ -72,7 +72,7 @@
         return item->number;
     }
     // A call may wait for a long time; only keep-alive probes reveal a lost connection meanwhile.
-    probe_while_idle(bufferevent_getfd(evhttp_connection_get_bufferevent(item->connection.get())));
+    enable_keepalive(bufferevent_getfd(evhttp_connection_get_bufferevent(item->connection.get())));
     return item->number;
 }
 
--- a/src/link_hub.cpp
+++ b/src/link_hub.cpp
@@ -131,7 +131,7 @@
         return;
     }
     evbuffer_add(output, frame.data(), frame.size());
-    if (item.hello_received) write_now(item.socket.get());
+    if (item.hello_received) flush_output(item.socket.get());
 }
 
 void link_hub::on_read(bufferevent* /*socket*/, void* context)
--- a/src/load_exchange.cpp
+++ b/src/load_exchange.cpp
@@ -41,8 +41,8 @@
     normalize(this->own);
     this->busy = std::move(busy_now);
     std::ranges::sort(this->busy);
-    const std::size_t wanted = (servers + servers_per_slice - 1) / servers_per_slice;
-    this->slices = std::bit_ceil(std::clamp<std::size_t>(wanted, 1, slices_at_most));
+    const std::size_t wanted = (servers + target_servers_per_slice - 1) / target_servers_per_slice;
+    this->slices = std::bit_ceil(std::clamp<std::size_t>(wanted, 1, max_slices));
 }
 
 std::size_t load_exchange::slice_of(std::uint32_t server) const
@@ -65,7 +65,7 @@
     std::map<std::size_t, std::vector<std::uint32_t>> distant_by_slice;
     for (std::size_t slice = 0; slice < this->slices; ++slice) {
         for (auto& [centre, members] : by_centre) {
-            const std::size_t count = std::min(homes_per_slice, members.size());
+            const std::size_t count = std::min(aggregators_per_slice, members.size());
             std::ranges::partial_sort(
                 members, members.begin() + static_cast<std::ptrdiff_t>(count), std::greater{},
                 [slice](std::uint32_t address) { return rendezvous_weight(slice, address); });
@@ -98,7 +98,7 @@
  * aggregators of a slice report the same load at different times, so the larger value counts. */
 load_table load_exchange::distant_sums(instant now) const
 {
-    const duration limit = std::max<duration>(distant_sums_for, this->period * 3);
+    const duration limit = std::max<duration>(remote_sums_timeout, this->period * 3);
     std::map<std::uint32_t, load_table> by_centre;
     for (const auto& [address, item] : this->fleet.vms()) {
         if (this->fleet.is_near(item) || now - item.heard_at > limit) continue;
--- a/src/load_exchange.h
+++ b/src/load_exchange.h
@@ -18,13 +18,13 @@
 
 /** Approximate number of servers in one slice. The number of slices is a power of two, so that VMs
  * whose registries differ by a few servers use the same slices. */
-constexpr std::size_t servers_per_slice = 16;
-constexpr std::size_t slices_at_most = 16;
+constexpr std::size_t target_servers_per_slice = 16;
+constexpr std::size_t max_slices = 16;
 /** Aggregators of each slice in each data centre. */
-constexpr std::size_t homes_per_slice = 2;
+constexpr std::size_t aggregators_per_slice = 2;
 /** Sums from another data centre are ignored when they are older than both this and three periods.
  */
-constexpr duration distant_sums_for = seconds(2);
+constexpr duration remote_sums_timeout = seconds(2);
 
 /** Load sums to be sent to one VM of another data centre. */
 struct distant_message {
--- a/src/load_tables.cpp
+++ b/src/load_tables.cpp
@@ -30,11 +30,11 @@
 {
     load_part message;
     const std::size_t needed = (table.size() + entries_per_part - 1) / entries_per_part;
-    const std::size_t parts = std::clamp<std::size_t>(needed, 1, parts_at_most);
+    const std::size_t parts = std::clamp<std::size_t>(needed, 1, max_parts);
     message.parts = static_cast<std::uint8_t>(parts);
     message.part = static_cast<std::uint8_t>(this->round++ % parts);
     for (const load_entry& entry : table) {
-        if (message.entries.size() == load_entries_at_most) {
+        if (message.entries.size() == max_load_entries) {
             // The part does not fit, so servers without an entry must not count as idle.
             message.parts = 0;
             break;
@@ -46,7 +46,7 @@
     return message;
 }
 
-void load_copy::take(const load_part& part)
+void load_replica::take(const load_part& part)
 {
     std::erase_if(this->table, [&](const load_entry& entry) {
         const auto listed = std::ranges::find(part.entries, entry.server, &load_entry::server);
--- a/src/load_tables.h
+++ b/src/load_tables.h
@@ -30,7 +30,7 @@
      * fleet of 8 VMs and 22 servers are smaller; with 80 VMs and 93 servers a table has about 25.
      */
     static constexpr std::size_t entries_per_part = 24;
-    static constexpr std::size_t parts_at_most = 16;
+    static constexpr std::size_t max_parts = 16;
 
     /** Next part in rotation, and the entries of the \p busy servers. Both arguments must be
      * sorted.
@@ -42,7 +42,7 @@
 };
 
 /** Copy of another VM's table, assembled from the parts received. */
-class load_copy {
+class load_replica {
 public:
     void take(const load_part& part);
     [[nodiscard]] std::span<const load_entry> entries() const { return this->table; }
--- a/src/log.cpp
+++ b/src/log.cpp
@@ -53,7 +53,7 @@
 /** Buffers lines, up to its limits, until they can be written without blocking. */
 class bounded_appender : public log4cplus::Appender {
 public:
-    explicit bounded_appender(const log_bounds& bounds) : bounds(bounds) {}
+    explicit bounded_appender(const log_limits& bounds) : bounds(bounds) {}
     ~bounded_appender() override { this->destructorImpl(); }
     bounded_appender(const bounded_appender&) = delete;
     bounded_appender& operator=(const bounded_appender&) = delete;
@@ -96,7 +96,7 @@
 
     void buffer_line(const std::string& line)
     {
-        if (this->buffered.size() + line.size() > this->bounds.waiting_bytes) {
+        if (this->buffered.size() + line.size() > this->bounds.max_buffered_bytes) {
             ++this->dropped_lines;
         } else {
             this->buffered += line;
@@ -123,13 +123,13 @@
         const auto now = std::chrono::steady_clock::now();
         if (this->dropped_lines == 0 || now - this->dropped_reported_at < std::chrono::seconds(1))
             return;
-        if (this->buffered.size() * 2 > this->bounds.waiting_bytes) return;
+        if (this->buffered.size() * 2 > this->bounds.max_buffered_bytes) return;
         this->dropped_reported_at = now;
         const std::size_t count = std::exchange(this->dropped_lines, 0);
         log_event(log_level::warn, "log_lines_left_out", {{"count", count}});
     }
 
-    log_bounds bounds;
+    log_limits bounds;
     std::string buffered;
     std::size_t dropped_lines = 0;
     std::size_t lines = 0;                        ///< logged in the current second
@@ -164,7 +164,7 @@
                  log4cplus::SharedAppenderPtr(new log4cplus::ConsoleAppender(true, true)));
 }
 
-void start_bounded_log(log_level level, std::string_view vm, const log_bounds& bounds)
+void start_bounded_log(log_level level, std::string_view vm, const log_limits& bounds)
 {
     bounded_output = new bounded_appender(bounds);
     add_appender(level, vm, log4cplus::SharedAppenderPtr(bounded_output));
--- a/src/log.h
+++ b/src/log.h
@@ -31,17 +31,17 @@
 void set_log_level(log_level level);
 
 /** Limits of a log that must never block its process. */
-struct log_bounds {
+struct log_limits {
     /** Lines per second at level info and below. A quarter of a core serves about 200 requests per
      * second, and a request logs one line plus one for each failed attempt. */
     std::size_t lines_per_s = 500;
     /** Bytes buffered until the output can be written: a few seconds of the lines above. */
-    std::size_t waiting_bytes = std::size_t{1024} * 1024;
+    std::size_t max_buffered_bytes = std::size_t{1024} * 1024;
 };
 
 /** Starts logging to standard output. Lines are buffered in memory until `flush_log` can write them
  * without blocking. Lines over the limits are dropped, and a log line reports their number. */
-void start_bounded_log(log_level level, std::string_view vm, const log_bounds& bounds);
+void start_bounded_log(log_level level, std::string_view vm, const log_limits& bounds);
 /** Writes buffered lines as far as the output accepts them without blocking. */
 void flush_log();
 
--- a/src/metrics.cpp
+++ b/src/metrics.cpp
@@ -38,7 +38,7 @@
 client_account_id metrics::histogram_account(const client_account_id& account)
 {
     if (this->known_accounts.contains(account)) return account;
-    if (this->known_accounts.size() >= accounts_with_histograms) return {"other"};
+    if (this->known_accounts.size() >= max_accounts_with_histograms) return {"other"};
     this->known_accounts[account] = true;
     return account;
 }
--- a/src/metrics.h
+++ b/src/metrics.h
@@ -16,7 +16,7 @@
 namespace worksshift {
 
 /** Maximum number of client accounts with their own histograms; the rest share `other`. */
-constexpr std::size_t accounts_with_histograms = 32;
+constexpr std::size_t max_accounts_with_histograms = 32;
 
 /** The measured intervals: from the request to the first byte of the response, between two pieces
  * of a streamed response, and from the request to the end of the response. */
--- a/src/given_options.cpp
+++ b/src/parsed_options.cpp
@@ -1,4 +1,4 @@
-#include "given_options.h"
+#include "parsed_options.h"
 
 #include <algorithm>
 #include <fstream>
@@ -39,10 +39,10 @@
 
 } // namespace
 
-given_options read_options(const options::options_description& all, int count,
-                           const char* const* arguments)
+parsed_options read_options(const options::options_description& all, int count,
+                            const char* const* arguments)
 {
-    given_options given;
+    parsed_options given;
     try {
         constexpr int style = options::command_line_style::default_style &
                               ~options::command_line_style::allow_guessing;
--- a/src/given_options.h
+++ b/src/parsed_options.h
@@ -10,7 +10,7 @@
 
 namespace worksshift {
 
-struct given_options {
+struct parsed_options {
     boost::program_options::variables_map values;
     std::string file;        ///< path given by the option `config`; empty: none
     std::string help_text;   ///< describes all options
@@ -21,7 +21,7 @@
 /** Reads all sources. The environment variable of an option is `WORKSSHIFT_` followed by its name
  * in upper case with _ instead of -; other variables are ignored. \throws user_error describing the
  * invalid setting. */
-given_options read_options(const boost::program_options::options_description& all, int count,
-                           const char* const* arguments);
+parsed_options read_options(const boost::program_options::options_description& all, int count,
+                            const char* const* arguments);
 
 } // namespace worksshift
--- a/src/registry_follower.cpp
+++ b/src/registry_follower.cpp
@@ -45,7 +45,7 @@
 {
     const std::optional<registry_update> newer_part = this->feed.take(update);
     if (!newer_part) return;
-    this->gossip.hasten();
+    this->gossip.send_early();
     const instant time = std::chrono::steady_clock::now();
     if (newer_part->whole) {
         this->registry.apply_list(newer_part->objects, origin, time);
@@ -62,7 +62,7 @@
     this->calls.proceed();
     if (this->follow.fetching.due(now)) this->ask_peer(now);
     this->outage.update(this->follow.watch.failing_call(), this->follow.watch.answered_at(),
-                        this->gossip.fleet().store(), this->gossip.fleet().is_cut_off(now));
+                        this->gossip.fleet().store(), this->gossip.fleet().is_isolated(now));
     this->registry.sweep(now, this->store().recovered_at);
 }
 
--- a/src/router.cpp
+++ b/src/router.cpp
@@ -162,9 +162,9 @@
     this->registry.on_restarted.connect([this](const server_id& id) { this->links.forget(id); });
     this->gossip.on_digest.connect([this](const fleet_vm& from) {
         this->loads_changed = true;
-        for (const stated_load& item : from.last.stated_loads)
+        for (const reported_load& item : from.last.reported_loads)
             this->servers.apply_reported_load(item, from.heard_at);
-        for (const told_outcomes& item : from.last.outcomes)
+        for (const outcome_counts& item : from.last.outcomes)
             this->servers.apply_outcomes(item, from.heard_at);
         for (const std::uint32_t incarnation : from.last.leaving_servers) {
             if (!this->servers.mark_leaving(server_incarnation{incarnation})) continue;
@@ -211,7 +211,7 @@
     this->watch_role.update(this->gossip.fleet(), this->registry.store().confirmed_at, answered,
                             time);
     // Announced at once, so that no more VMs than needed start to watch.
-    if (!watched && this->watch_role.watching()) this->gossip.hasten();
+    if (!watched && this->watch_role.watching()) this->gossip.send_early();
     // While the store does not answer, the registry's watch alone is enough to detect its return.
     const std::optional<read_mode> mode = answered ? this->watch_role.mode() : std::nullopt;
     this->configuration.tick(time, mode);
@@ -259,7 +259,7 @@
     if (time - this->suspects_announced_at < suspects_announce_period) return;
     if (!suspects.take_urgent()) return;
     this->suspects_announced_at = time;
-    this->gossip.hasten();
+    this->gossip.send_early();
 }
 
 /** Ratio of the fleet's request rate to this VM's own, estimated from the VMs that are heard
@@ -277,20 +277,20 @@
     return near / own * static_cast<double>(alive) / static_cast<double>(heard);
 }
 
-own_state router::build_own_state(instant time)
+local_state router::build_own_state(instant time)
 {
-    own_state state;
+    local_state state;
     state.digest.config_version = this->configuration.version();
     state.digest.watches_store = this->configuration.follows() && this->registry.follows();
     state.digest.leaving = this->stopping;
     state.digest.requests_per_s = static_cast<std::uint16_t>(std::min(
         this->path.admissions().engine_requests_per_s(time) * demand_units_per_rps, max_demand));
-    state.digest.stated_loads = this->servers.drain_reported_loads(time);
+    state.digest.reported_loads = this->servers.drain_reported_loads(time);
     state.digest.outcomes = this->servers.drain_outcomes();
     this->registry.describe(state.digest, time);
     this->evacuations.describe(state.digest, this->registry.known());
     this->path.suspects().describe(state.digest, time);
-    state.digest.leaving_servers = this->servers.leaving_but_listed(leaving_servers_at_most);
+    state.digest.leaving_servers = this->servers.leaving_but_listed(max_leaving_servers);
     state.distant_crash_reports = this->path.suspects().reports_to_distant();
     state.servers = this->servers.rows().size();
     for (const auto& [id, row] : this->servers.rows()) {
--- a/src/router.h
+++ b/src/router.h
@@ -51,7 +51,7 @@
     void update_server_assignments(instant now);
     void announce_suspects(instant now);
     double fleet_demand_ratio(std::size_t alive, instant now);
-    own_state build_own_state(instant now);
+    local_state build_own_state(instant now);
     void serve_peers();
     void serve_readiness();
     void serve_metrics();
@@ -86,7 +86,7 @@
     signal_watch on_int;
     signal_watch on_hup;
 
-    suspension_watch suspensions;
+    suspension_detector suspensions;
     bool loads_changed = false; ///< a digest arrived since the peer loads were last summed
     instant loads_summed_at{};
     instant servers_assigned_at{};
--- a/src/router_settings.cpp
+++ b/src/router_settings.cpp
@@ -4,7 +4,7 @@
 #include <charconv>
 #include <sstream>
 
-#include "given_options.h"
+#include "parsed_options.h"
 
 namespace worksshift {
 
@@ -218,7 +218,7 @@
 
 router_settings parse_router_settings(int count, const char* const* arguments)
 {
-    const given_options given = read_options(describe(), count, arguments);
+    const parsed_options given = read_options(describe(), count, arguments);
     router_settings result;
     if (!given.help) result = read(given.values);
     result.file = given.file;
--- a/src/router_settings.h
+++ b/src/router_settings.h
@@ -29,7 +29,7 @@
     cold_tolerance cold;             ///< requests allowed to a cold server beyond its stated rate
     std::vector<link_address> seeds; ///< VMs to contact first; their ports are not used
     log_level level = log_level::info;
-    std::size_t log_lines_per_s = log_bounds{}.lines_per_s;
+    std::size_t log_lines_per_s = log_limits{}.lines_per_s;
     duration stop_grace = seconds(8); ///< from SIGTERM until the process is killed
     fleet_retry_settings retries;
     placement_policy placement;
--- a/src/server_links.cpp
+++ b/src/server_links.cpp
@@ -120,10 +120,10 @@
     item->socket.reset(bufferevent_socket_new(this->base, socket, BEV_OPT_CLOSE_ON_FREE));
     if (socket >= 0) {
         set_no_delay(socket);
-        limit_unacknowledged(socket, unacknowledged_timeout);
+        set_unacknowledged_timeout(socket, unacknowledged_timeout);
         // After the whole request was acknowledged, only unanswered keep-alive probes reveal
         // that a server has become unreachable.
-        probe_while_idle(socket);
+        enable_keepalive(socket);
     }
     bufferevent_setcb(
         item->socket.get(),
@@ -149,7 +149,7 @@
     evbuffer* out = bufferevent_get_output(item.socket.get());
     evbuffer_add(out, order.head.data(), order.head.size());
     evbuffer_add(out, order.body.data(), order.body.size());
-    write_now(item.socket.get());
+    flush_output(item.socket.get());
 }
 
 void server_links::handle_event(const link_ptr& item, short what)
@@ -161,7 +161,7 @@
             evbuffer_add(bufferevent_get_output(item->socket.get()), item->unsent.data(),
                          item->unsent.size());
             item->unsent.clear();
-            write_now(item->socket.get());
+            flush_output(item->socket.get());
         }
         if (item->check) {
             item->since = now();
--- a/src/server_table.cpp
+++ b/src/server_table.cpp
@@ -353,30 +353,30 @@
     return found;
 }
 
-void server_table::apply_reported_load(const stated_load& item, instant heard_at)
+void server_table::apply_reported_load(const reported_load& item, instant heard_at)
 {
     const auto found = this->by_short_hash.find(item.server);
     if (found == this->by_short_hash.end()) return;
-    const instant load_reported_at = heard_at - item.age * stated_age_unit;
+    const instant load_reported_at = heard_at - item.age * reported_age_unit;
     // An older report may come from the previous incarnation of the server.
     if (load_reported_at < found->second->listed_at) return;
     found->second->state(item.requests, load_reported_at);
 }
 
-std::vector<stated_load> server_table::drain_reported_loads(instant now)
+std::vector<reported_load> server_table::drain_reported_loads(instant now)
 {
-    std::vector<stated_load> reports;
+    std::vector<reported_load> reports;
     for (auto& [id, row] : this->table) {
         if (!std::exchange(row.reported_here, false)) continue;
         const auto age =
-            std::min<std::int64_t>((now - row.load_reported_at) / stated_age_unit, 255);
+            std::min<std::int64_t>((now - row.load_reported_at) / reported_age_unit, 255);
         reports.push_back(
             {static_cast<std::uint32_t>(row.hash),
              static_cast<std::uint16_t>(std::min<std::uint32_t>(row.reported_requests, 65535)),
              static_cast<std::uint8_t>(age)});
     }
-    std::ranges::sort(reports, {}, &stated_load::age);
-    reports.resize(std::min(reports.size(), stated_loads_at_most));
+    std::ranges::sort(reports, {}, &reported_load::age);
+    reports.resize(std::min(reports.size(), max_reported_loads));
     return reports;
 }
 
@@ -391,32 +391,32 @@
     }
 }
 
-void server_table::apply_outcomes(const told_outcomes& item, instant now)
+void server_table::apply_outcomes(const outcome_counts& item, instant now)
 {
     const auto found = this->by_short_hash.find(item.server);
     if (found == this->by_short_hash.end()) return;
-    found->second->outcomes.add(item.answered, item.failed, item.mean * told_time_unit, now);
+    found->second->outcomes.add(item.answered, item.failed, item.mean * outcome_time_unit, now);
 }
 
-std::vector<told_outcomes> server_table::drain_outcomes()
+std::vector<outcome_counts> server_table::drain_outcomes()
 {
     const auto byte = [](std::int64_t value) {
         constexpr std::int64_t byte_max = std::numeric_limits<std::uint8_t>::max();
         return static_cast<std::uint8_t>(std::min(value, byte_max));
     };
-    std::vector<told_outcomes> reports;
+    std::vector<outcome_counts> reports;
     for (auto& [id, row] : this->table) {
         const outcome_sum sum = std::exchange(row.unreported_outcomes, {});
         if (sum.answered + sum.failed == 0) continue;
         if (this->is_engine(row) && row.outcomes.failed() < min_reported_failures) continue;
         const duration mean = sum.time / std::max<std::uint32_t>(sum.answered, 1);
         reports.push_back({static_cast<std::uint32_t>(row.hash), byte(sum.answered),
-                           byte(sum.failed), byte(mean / told_time_unit)});
+                           byte(sum.failed), byte(mean / outcome_time_unit)});
     }
-    std::ranges::sort(reports, std::greater{}, [](const told_outcomes& item) {
+    std::ranges::sort(reports, std::greater{}, [](const outcome_counts& item) {
         return std::tuple(item.failed, item.answered);
     });
-    reports.resize(std::min(reports.size(), told_outcomes_at_most));
+    reports.resize(std::min(reports.size(), max_outcome_counts));
     return reports;
 }
 
--- a/src/server_table.h
+++ b/src/server_table.h
@@ -153,16 +153,16 @@
     /** Servers near their load bound, which are reported to other VMs first. */
     [[nodiscard]] std::vector<const server_entry*> busy() const;
     /** Applies the load of a server that another VM received from it. */
-    void apply_reported_load(const stated_load& item, instant heard_at);
+    void apply_reported_load(const reported_load& item, instant heard_at);
     /** Returns the loads that servers reported to this VM since the last call, the newest first. */
-    std::vector<stated_load> drain_reported_loads(instant now);
+    std::vector<reported_load> drain_reported_loads(instant now);
     /** An attempt at a server ended. \p failed: without a usable response. */
     static void on_answered(server_entry& row, duration span, bool failed, instant now);
     /** Applies the results that another VM reports of its attempts at a server. */
-    void apply_outcomes(const told_outcomes& item, instant now);
+    void apply_outcomes(const outcome_counts& item, instant now);
     /** Returns the results of this VM's attempts since the last call, servers with the most
      * failures first. Engines without recent failures are left out to save bandwidth. */
-    std::vector<told_outcomes> drain_outcomes();
+    std::vector<outcome_counts> drain_outcomes();
     /** Stops using reported loads older than `reported_load_lifetime`. Called once per tick. */
     void expire_reported_loads(instant now);
     /** Marks engines with recent delays far above those of the others. Called once per tick. */
--- a/src/settings.cpp
+++ b/src/settings.cpp
@@ -4,7 +4,7 @@
 #include <charconv>
 #include <sstream>
 
-#include "given_options.h"
+#include "parsed_options.h"
 
 namespace worksshift {
 
@@ -171,7 +171,7 @@
 
 settings parse_settings(int count, const char* const* arguments)
 {
-    const given_options given = read_options(describe(), count, arguments);
+    const parsed_options given = read_options(describe(), count, arguments);
     settings result;
     if (!given.help) result = read(given.values);
     result.help = given.help;
--- a/src/suspension.h
+++ b/src/suspension.h
@@ -20,10 +20,10 @@
 /** std::nullopt if the process was delayed between the two readings in every attempt. */
 std::optional<clock_pair> read_clocks();
 
-class suspension_watch {
+class suspension_detector {
 public:
     /** Shorter gaps cannot be distinguished from a delay between the two readings. */
-    static constexpr duration shortest = milliseconds(100);
+    static constexpr duration min_detected_gap = milliseconds(100);
 
     /** How long the VM was suspended since the last call; zero if it was not. */
     duration update(const clock_pair& read)
@@ -31,7 +31,7 @@
         const duration ahead = read.boot - read.steady;
         if (!this->ahead) this->ahead = ahead;
         const duration gap = ahead - *this->ahead;
-        if (gap < shortest) return duration::zero();
+        if (gap < min_detected_gap) return duration::zero();
         this->ahead = ahead;
         return gap;
     }
--- a/test/correctness/failing_engines_are_left.cpp
+++ b/test/correctness/failing_engines_are_left.cpp
@@ -135,10 +135,10 @@
         if (this->now >= this->next_told) {
             this->next_told = this->now + told_every;
             for (const auto& from : this->tables) {
-                const std::vector<told_outcomes> news = from->drain_outcomes();
+                const std::vector<outcome_counts> news = from->drain_outcomes();
                 for (const auto& to : this->tables) {
                     if (from == to) continue;
-                    for (const told_outcomes& item : news)
+                    for (const outcome_counts& item : news)
                         to->apply_outcomes(item, this->now);
                 }
             }
--- a/test/correctness/router_fleet_serves.cpp
+++ b/test/correctness/router_fleet_serves.cpp
@@ -200,7 +200,7 @@
         const auto few = [&](const std::string& kind) {
             const std::size_t stale = fleet->store->stale_waiting_for(kind);
             const std::size_t all = fleet->store->waiting_for(kind);
-            return all - stale == delegates_of_fleet &&
+            return all - stale == delegates_per_fleet &&
                    stale <= watcher_selection::standby_watchers_per_fleet &&
                    all >= watcher_selection::standby_watchers_per_fleet;
         };
--- a/test/error/bad_requests_are_refused.cpp
+++ b/test/error/bad_requests_are_refused.cpp
@@ -24,7 +24,7 @@
     CPPUNIT_TEST_SUITE_END();
 
 public:
-    static support::fleet_options small_fleet()
+    static support::fleet_options max_small_fleet_vms()
     {
         support::fleet_options options;
         options.routers = 1;
@@ -44,7 +44,7 @@
 
     void each_has_its_error()
     {
-        support::fleet fleet(small_fleet());
+        support::fleet fleet(max_small_fleet_vms());
         fleet.start();
         const std::uint16_t port = fleet.routers[0].front;
         const std::string path = "/v1/chat/completions";
@@ -132,7 +132,7 @@
      * looks complete. */
     void headers_towards_engines_are_ours()
     {
-        support::fleet fleet(small_fleet());
+        support::fleet fleet(max_small_fleet_vms());
         fleet.start();
         const reply answer = fleet.chat(
             0, "a", "from the middle", 5, true,
@@ -143,7 +143,7 @@
 
     void broken_and_idle_connections()
     {
-        support::fleet fleet(small_fleet());
+        support::fleet fleet(max_small_fleet_vms());
         fleet.start();
         const std::uint16_t port = fleet.routers[0].front;
         // A header without an end, one over the limit, a truncated body, invalid bytes, and
--- a/test/error/configurations_that_come_late.cpp
+++ b/test/error/configurations_that_come_late.cpp
@@ -68,7 +68,7 @@
         this->follower.tick(now,
                             this->watching ? std::optional(read_mode::linearizable) : std::nullopt);
         this->gossip.tick(now, [this] {
-            own_state state;
+            local_state state;
             state.digest.config_version = this->follower.version();
             return state;
         });
--- a/test/error/suspended_vms.cpp
+++ b/test/error/suspended_vms.cpp
@@ -41,7 +41,7 @@
     /** Guards against missed, repeated and false reports of a suspension. */
     static void are_noticed_once()
     {
-        suspension_watch watch;
+        suspension_detector watch;
         CPPUNIT_ASSERT(watch.update({seconds(5), seconds(105)}) == duration::zero());
         CPPUNIT_ASSERT(watch.update({seconds(6), seconds(106)}) == duration::zero());
         CPPUNIT_ASSERT(watch.update({seconds(7), seconds(110)}) == seconds(3));
@@ -55,7 +55,7 @@
     /** Guards against false reports from the real clocks of a system that is not suspended. */
     static void clocks_agree_here()
     {
-        suspension_watch watch;
+        suspension_detector watch;
         for (int i = 0; i < 1000; ++i) {
             const auto read = read_clocks();
             if (read) CPPUNIT_ASSERT(watch.update(*read) == duration::zero());
--- a/test/fuzz/crash_reports_reach_every_vm.cpp
+++ b/test/fuzz/crash_reports_reach_every_vm.cpp
@@ -30,7 +30,7 @@
 public:
     suspect_fleet(std::size_t vms, std::size_t data_centres) : fleet(vms, data_centres, 1)
     {
-        this->fleet.describe = [this](std::size_t vm, own_state& state) {
+        this->fleet.describe = [this](std::size_t vm, local_state& state) {
             crash_suspects& known = this->known[vm];
             known.forget(this->fleet.now);
             known.describe(state.digest, this->fleet.now);
@@ -43,7 +43,7 @@
             if (this->fleet.now - this->hastened_at[vm] < milliseconds(500)) return;
             this->hastened_at[vm] = this->fleet.now;
             this->known[vm].take_urgent();
-            rounds.hasten();
+            rounds.send_early();
         };
         this->fleet.run(seconds(8));
     }
@@ -284,8 +284,8 @@
         CPPUNIT_ASSERT(known.remembered() <= max_suspects);
         fleet_digest own;
         known.describe(own, now);
-        CPPUNIT_ASSERT(own.blocked.size() <= blocked_contents_at_most);
-        CPPUNIT_ASSERT(own.crash_reports.size() <= crash_reports_at_most);
+        CPPUNIT_ASSERT(own.blocked.size() <= max_blocked_contents);
+        CPPUNIT_ASSERT(own.crash_reports.size() <= max_crash_reports);
         CPPUNIT_ASSERT(!known.blocked(harmful, now));
     }
 };
--- a/test/fuzz/digests_reach_every_vm.cpp
+++ b/test/fuzz/digests_reach_every_vm.cpp
@@ -32,7 +32,8 @@
 bool all_have_true_loads(const digest_fleet& fleet)
 {
     return std::ranges::all_of(fleet.vms, [&](const auto& entry) {
-        return entry.second.rounds.loads_of_others(fleet.now) == fleet.truth_without(entry.first);
+        return entry.second.rounds.loads_of_others(fleet.now) ==
+               fleet.total_loads_without(entry.first);
     });
 }
 
@@ -111,12 +112,12 @@
             digest_fleet fleet(vms, centres, *rc::gen::arbitrary<std::uint64_t>());
             fleet.run(seconds(10));
             const std::size_t allowed =
-                vms <= small_fleet || centres == 1
+                vms <= max_small_fleet_vms || centres == 1
                     ? watcher_selection::standby_watchers_per_fleet
                     : watcher_selection::standby_watchers_per_data_centre * centres;
             RC_ASSERT(count_standby_watchers(fleet) <= allowed);
             RC_ASSERT(count_standby_watchers(fleet) >= 1U);
-            RC_ASSERT(linearizable(fleet) == std::min(vms, delegates_of_fleet));
+            RC_ASSERT(linearizable(fleet) == std::min(vms, delegates_per_fleet));
         });
         CPPUNIT_ASSERT(held);
     }
@@ -128,13 +129,13 @@
         digest_fleet fleet(80, 4, 3);
         fleet.run(seconds(10));
         for (auto& [vm, item] : fleet.vms)
-            item.duties = 0;
+            item.watch_starts = 0;
         std::size_t left = 0;
         for (std::size_t centre = 0; centre < 4; ++centre) {
             for (auto& [vm, item] : fleet.vms) {
                 if (fleet.data_centre_of(vm) != centre || !item.duty.stands_by()) continue;
                 item.leaving = true;
-                item.rounds.hasten();
+                item.rounds.send_early();
                 ++left;
                 fleet.run(seconds(2));
                 break;
@@ -143,7 +144,7 @@
         fleet.run(seconds(4));
         std::size_t began = 0;
         for (const auto& [vm, item] : fleet.vms)
-            began += item.duties;
+            began += item.watch_starts;
         CPPUNIT_ASSERT_EQUAL(std::size_t{4}, left);
         CPPUNIT_ASSERT(began >= left);
         CPPUNIT_ASSERT(began <= 3 * left);
--- a/test/fuzz/evacuations_reach_every_vm.cpp
+++ b/test/fuzz/evacuations_reach_every_vm.cpp
@@ -157,7 +157,7 @@
         CPPUNIT_ASSERT(other.includes({"a"}));
         // If the entries do not fit into a digest, it sends no state until it knows the servers.
         std::vector<stored_object> many = all;
-        for (std::size_t i = 0; i <= evacuated_at_most; ++i) {
+        for (std::size_t i = 0; i <= max_evacuated_data_centres; ++i) {
             item.name = "nowhere-" + std::to_string(i);
             many.push_back(item);
         }
--- a/test/fuzz/versions_reach_every_vm.cpp
+++ b/test/fuzz/versions_reach_every_vm.cpp
@@ -137,7 +137,7 @@
         for (const auto& [vm, item] : fleet.fleet.vms) {
             if (item.duty.mode() == read_mode::linearizable) fleet.store.refused.insert(vm);
         }
-        CPPUNIT_ASSERT_EQUAL(delegates_of_fleet, fleet.store.refused.size());
+        CPPUNIT_ASSERT_EQUAL(delegates_per_fleet, fleet.store.refused.size());
         fleet.run(watcher_selection::max_confirmation_age + seconds(2));
         fleet.set_config(2);
         CPPUNIT_ASSERT(fleet.run_until_known(promised_within) < promised_within);
--- a/test/performance/fleet.cpp
+++ b/test/performance/fleet.cpp
@@ -56,7 +56,7 @@
         for (std::size_t vm = 0; vm < this->size.vms; vm += std::max<std::size_t>(vm, 7)) {
             const load_table assumed =
                 this->fleet.vms.at(vm).rounds.loads_of_others(this->fleet.now);
-            const load_table actual = this->fleet.truth_without(vm);
+            const load_table actual = this->fleet.total_loads_without(vm);
             for (const std::uint32_t id : this->ids) {
                 error_sum +=
                     std::abs(static_cast<double>(load_at(assumed, id)) - load_at(actual, id));
@@ -114,7 +114,7 @@
 double spread_s(digest_fleet& fleet)
 {
     fleet.vms.begin()->second.config_version = 2;
-    fleet.vms.begin()->second.rounds.hasten();
+    fleet.vms.begin()->second.rounds.send_early();
     const auto all_know = [&] {
         for (auto& [vm, item] : fleet.vms) {
             if (item.config_version == 2) continue;
@@ -123,7 +123,7 @@
                 heard, [](const fleet_vm* other) { return other->last.config_version == 2; });
             if (!told) continue;
             item.config_version = 2;
-            item.rounds.hasten();
+            item.rounds.send_early();
         }
         return std::ranges::all_of(
             fleet.vms, [](const auto& entry) { return entry.second.config_version == 2; });
@@ -145,7 +145,7 @@
     std::uint64_t across = 0;
     for (const auto& [vm, item] : fleet.vms) {
         sent -= item.bytes_sent;
-        across -= item.bytes_across;
+        across -= item.bytes_to_other_centres;
     }
     const double before = cpu_seconds(getpid());
     load.run(span);
@@ -153,7 +153,7 @@
     std::uint64_t most = 0;
     for (const auto& [vm, item] : fleet.vms) {
         sent += item.bytes_sent;
-        across += item.bytes_across;
+        across += item.bytes_to_other_centres;
         most = std::max(most, item.bytes_sent);
     }
     const double vm_seconds =
--- a/test/support/digest_fleet.cpp
+++ b/test/support/digest_fleet.cpp
@@ -40,7 +40,7 @@
     return address - first_address;
 }
 
-load_table digest_fleet::truth_without(std::size_t without) const
+load_table digest_fleet::total_loads_without(std::size_t without) const
 {
     load_table sums;
     for (const auto& [vm, item] : this->vms) {
@@ -79,8 +79,8 @@
         item.duty.update(item.rounds.fleet(), this->known_store_state(item).confirmed_at,
                          item.store_answers, this->now);
         if (!before && item.duty.stands_by()) {
-            ++item.duties;
-            item.rounds.hasten();
+            ++item.watch_starts;
+            item.rounds.send_early();
         }
         const bool confirmed =
             item.store_answers && item.duty.mode() == read_mode::linearizable && !this->on_tick;
@@ -110,7 +110,7 @@
 void digest_fleet::send_round(std::size_t vm)
 {
     digest_vm& item = this->vms.at(vm);
-    own_state state;
+    local_state state;
     state.digest.config_version = item.config_version;
     state.digest.watches_store = item.duty.watching() && item.store_answers;
     state.digest.leaving = item.leaving;
@@ -124,7 +124,7 @@
             const std::size_t to = vm_at(address);
             item.bytes_sent += made.bytes.size();
             if (this->data_centre_of(to) != this->data_centre_of(vm)) {
-                item.bytes_across += made.bytes.size();
+                item.bytes_to_other_centres += made.bytes.size();
             }
             const bool lost = std::uniform_real_distribution<>()(this->random) < this->loss;
             if (lost || this->cut.contains(std::minmax(vm, to))) continue;
--- a/test/support/digest_fleet.h
+++ b/test/support/digest_fleet.h
@@ -32,11 +32,11 @@
     std::uint64_t config_version = 1;
     bool store_answers = true;
     bool leaving = false;
-    std::size_t duties = 0;         ///< how often it became a standby watcher
+    std::size_t watch_starts = 0;   ///< how often it became a standby watcher
     worksshift::store_status store; ///< state of the store from its own calls
     std::uint64_t bytes_sent = 0;
     std::uint64_t bytes_received = 0;
-    std::uint64_t bytes_across = 0; ///< sent to other data centres
+    std::uint64_t bytes_to_other_centres = 0; ///< sent to other data centres
 };
 
 class digest_fleet {
@@ -59,7 +59,7 @@
     /** The VM at an address. */
     [[nodiscard]] static std::size_t vm_at(std::uint32_t address);
     /** True loads: requests from all running VMs except one at each server. */
-    [[nodiscard]] worksshift::load_table truth_without(std::size_t vm) const;
+    [[nodiscard]] worksshift::load_table total_loads_without(std::size_t vm) const;
 
     worksshift::instant now{worksshift::seconds(1000)};
     std::map<std::size_t, digest_vm> vms;              ///< that are running
@@ -68,7 +68,7 @@
     std::set<std::pair<std::size_t, std::size_t>> cut; ///< disconnected pairs, the smaller first
     /** Hooks for tests: called in each tick of a VM, and to add to the state that a VM reports. */
     std::function<void(std::size_t)> on_tick;
-    std::function<void(std::size_t, worksshift::own_state&)> describe;
+    std::function<void(std::size_t, worksshift::local_state&)> describe;
     /** Called when a VM received a digest: the VM and the sender. */
     std::function<void(std::size_t, const worksshift::fleet_vm&)> on_digest;
 
--- a/test/support/store_fleet.cpp
+++ b/test/support/store_fleet.cpp
@@ -92,7 +92,7 @@
     : fleet(count, centres, seed)
 {
     this->fleet.on_tick = [this](std::size_t vm) { this->tick(vm); };
-    this->fleet.describe = [this](std::size_t vm, own_state& state) {
+    this->fleet.describe = [this](std::size_t vm, local_state& state) {
         fleet_digest& digest = state.digest;
         const follower_vm& item = this->vms.at(vm);
         digest.config_version = item.version;
@@ -268,7 +268,7 @@
     const std::uint64_t revision = item.feed.revision();
     const std::uint64_t version = item.version;
     item.outage.update(item.servers.watch.failing_call(), item.servers.watch.answered_at(),
-                       digests.rounds.fleet().store(), digests.rounds.fleet().is_cut_off(now));
+                       digests.rounds.fleet().store(), digests.rounds.fleet().is_isolated(now));
     digests.store = {item.outage.recovered_at(), item.servers.watch.confirmed_at()};
     digests.store_answers = item.servers.watch.reachable();
     const std::optional<read_mode> mode = digests.duty.mode();
@@ -288,7 +288,7 @@
     known.merge(digests.store);
     item.servers_in_use.sweep(now, known.recovered_at);
     item.table.sweep(now);
-    if (item.feed.revision() != revision || item.version != version) digests.rounds.hasten();
+    if (item.feed.revision() != revision || item.version != version) digests.rounds.send_early();
 }
 
 void store_fleet::ask_store(std::size_t vm, store_follow& follow)
