--- a/apps/worksshift.cpp
+++ b/apps/worksshift.cpp
@@ -12,7 +12,7 @@
 
 #include <nlohmann/json.hpp>
 
-#include "http_call.h"
+#include "http_client.h"
 #include "settings.h"
 
 namespace {
@@ -98,7 +98,7 @@
 
 private:
     event_ptr<event_base> base;
-    http_caller caller;
+    http_client caller;
     link_address target;
     std::string token;
 };
--- a/apps/worksshift_router.cpp
+++ b/apps/worksshift_router.cpp
@@ -21,10 +21,10 @@
             return 0;
         }
         start_bounded_log(options.level, options.vm.text, {options.log_lines_per_s});
-        const protocol dialect = platform_protocol();
+        const protocol adapter = platform_protocol();
         int status = 0;
         {
-            router process(options, dialect,
+            router process(options, adapter,
                            [=] { return parse_router_settings(count, arguments); });
             status = process.run();
         }
--- a/src/caller_links.cpp
+++ b/src/caller_connections.cpp
@@ -1,4 +1,4 @@
-#include "caller_links.h"
+#include "caller_connections.h"
 
 #include <array>
 #include <cerrno>
@@ -39,8 +39,10 @@
 
 } // namespace
 
-struct caller_links::link {
-    explicit link(std::size_t head_at_most) : reader(http_reader::side::requests, head_at_most) {}
+struct caller_connections::link {
+    explicit link(std::size_t max_head_bytes) : reader(http_reader::side::requests, max_head_bytes)
+    {
+    }
 
     enum class stage : std::uint8_t {
         reading,    ///< idle, or reading a request
@@ -50,7 +52,7 @@
     };
 
     std::uint64_t id = 0;
-    caller_links* owner = nullptr;
+    caller_connections* owner = nullptr;
     event_ptr<bufferevent> socket;
     http_reader reader;
     stage at = stage::reading;
@@ -63,11 +65,11 @@
     instant since{}; ///< start of the stage, arrival of the head's first byte, or end of the head
 };
 
-caller_links::caller_links(event_base* base, const link_address& listen) : base(base)
+caller_connections::caller_connections(event_base* base, const link_address& listen) : base(base)
 {
     const sockaddr_in at = to_socket_address(listen);
     const auto accepted = [](evconnlistener*, evutil_socket_t socket, sockaddr*, int, void* self) {
-        static_cast<caller_links*>(self)->accept(socket);
+        static_cast<caller_connections*>(self)->accept(socket);
     };
     this->listener.reset(evconnlistener_new_bind(
         base, accepted, this, LEV_OPT_CLOSE_ON_FREE | LEV_OPT_REUSEABLE | LEV_OPT_CLOSE_ON_EXEC,
@@ -77,15 +79,15 @@
                          "the address for callers cannot be bound");
     }
     evconnlistener_set_error_cb(this->listener.get(), [](evconnlistener*, void* self) {
-        static_cast<caller_links*>(self)->pause_accepting();
+        static_cast<caller_connections*>(self)->pause_accepting();
     });
 }
 
-caller_links::~caller_links() = default;
+caller_connections::~caller_connections() = default;
 
 /** Called when accept() failed, usually because no file descriptor is free. New connections wait in
  * the kernel's queue until the next sweep. */
-void caller_links::pause_accepting()
+void caller_connections::pause_accepting()
 {
     log_event(log_level::warn, "accept_failed",
               {{"reason", std::strerror(errno)}, {"connections", this->links.size()}});
@@ -93,9 +95,9 @@
     this->accepting_paused = true;
 }
 
-void caller_links::accept(evutil_socket_t socket)
+void caller_connections::accept(evutil_socket_t socket)
 {
-    auto made = std::make_unique<link>(this->limits.header_bytes);
+    auto made = std::make_unique<link>(this->limits.max_header_bytes);
     link* item = made.get();
     item->id = this->next_link++;
     item->owner = this;
@@ -127,40 +129,40 @@
     this->links.emplace(item->id, std::move(made));
 }
 
-void caller_links::handle_head(link& item, const http_head& head)
+void caller_connections::handle_head(link& item, const http_head& head)
 {
     item.head = head;
     item.body.clear();
     item.since = now();
     const std::string* expect = head.find("expect");
-    if (expect != nullptr && same_name(*expect, "100-continue")) {
+    if (expect != nullptr && header_names_equal(*expect, "100-continue")) {
         constexpr std::string_view go_on = "HTTP/1.1 100 Continue\r\n\r\n";
         evbuffer_add(bufferevent_get_output(item.socket.get()), go_on.data(), go_on.size());
         flush_output(item.socket.get());
     }
 }
 
-void caller_links::handle_body(link& item, std::string_view bytes)
+void caller_connections::handle_body(link& item, std::string_view bytes)
 {
     if (item.at != link::stage::reading) return;
-    if (item.body.size() + bytes.size() > this->limits.body_bytes) {
+    if (item.body.size() + bytes.size() > this->limits.max_body_bytes) {
         this->refuse(item, content_too_large, "body too large");
         return;
     }
     item.body.append(bytes);
 }
 
-void caller_links::read(link& item)
+void caller_connections::read(link& item)
 {
     evbuffer* input = bufferevent_get_input(item.socket.get());
     if (item.at == link::stage::lingering) evbuffer_drain(input, evbuffer_get_length(input));
     while (item.at == link::stage::reading && evbuffer_get_length(input) > 0) {
         if (item.reader.idle()) item.since = now();
-        item.reader.set_head_at_most(this->limits.header_bytes);
+        item.reader.set_max_head_bytes(this->limits.max_header_bytes);
         const read_result result = item.reader.read(input);
         if (item.at != link::stage::reading) return;
         if (result == read_result::need_more) return;
-        if (result == read_result::message_ended) {
+        if (result == read_result::message_complete) {
             this->deliver_request(item);
         } else if (result == read_result::head_too_large) {
             this->refuse(item, head_too_large, "head too large");
@@ -170,7 +172,7 @@
     }
 }
 
-void caller_links::deliver_request(link& item)
+void caller_connections::deliver_request(link& item)
 {
     item.at = link::stage::responding;
     item.since = now();
@@ -184,13 +186,13 @@
 }
 
 /** Rejects a request that cannot be read completely, and closes the connection afterwards. */
-void caller_links::refuse(link& item, int status, std::string_view text)
+void caller_connections::refuse(link& item, int status, std::string_view text)
 {
     log_event(log_level::info, "request_refused",
               {{"step", "read"}, {"status", status}, {"reason", text}});
     item.keep_alive = false;
     std::string head = "HTTP/1.1 " + std::to_string(status) + " ";
-    head.append(reason_of(status)).append("\r\n");
+    head.append(reason_phrase(status)).append("\r\n");
     append_header(head, "Connection", "close");
     append_header(head, "Content-Length", std::to_string(text.size()));
     head.append("\r\n").append(text);
@@ -204,26 +206,27 @@
     }
 }
 
-void caller_links::handle_event(link& item, short what)
+void caller_connections::handle_event(link& item, short what)
 {
     const bool ended = (what & (BEV_EVENT_EOF | BEV_EVENT_ERROR)) != 0;
     if (!ended || item.at == link::stage::closed) return;
     this->drop(item);
 }
 
-caller_links::link* caller_links::find(std::uint64_t request)
+caller_connections::link* caller_connections::find(std::uint64_t request)
 {
     const auto found = this->in_progress.find(request);
     return found == this->in_progress.end() ? nullptr : found->second;
 }
 
-std::string caller_links::write_head(const link& item, const http_head& head,
-                                     std::optional<std::size_t> length) const
+std::string caller_connections::write_head(const link& item, const http_head& head,
+                                           std::optional<std::size_t> length) const
 {
     std::string text = "HTTP/1.1 " + std::to_string(head.status) + " ";
-    text.append(reason_of(head.status)).append("\r\n");
+    text.append(reason_phrase(head.status)).append("\r\n");
     for (const header& entry : head.headers) {
-        if (is_hop_header(entry.name) || same_name(entry.name, "content-length")) continue;
+        if (is_hop_by_hop_header(entry.name) || header_names_equal(entry.name, "content-length"))
+            continue;
         append_header(text, entry.name, entry.value);
     }
     if (length) {
@@ -235,7 +238,8 @@
     return text.append("\r\n");
 }
 
-void caller_links::answer_whole(std::uint64_t request, const http_head& head, std::string_view body)
+void caller_connections::send_response(std::uint64_t request, const http_head& head,
+                                       std::string_view body)
 {
     link* item = this->find(request);
     if (item == nullptr) return;
@@ -247,7 +251,7 @@
     this->finish(request);
 }
 
-void caller_links::answer(std::uint64_t request, const own_answer& given)
+void caller_connections::answer(std::uint64_t request, const own_answer& given)
 {
     http_head head;
     head.status = given.status;
@@ -258,10 +262,10 @@
         head.headers.push_back({"Retry-After", text.data()});
     }
     head.headers.push_back({"Content-Type", "text/plain"});
-    this->answer_whole(request, head, given.text);
+    this->send_response(request, head, given.text);
 }
 
-void caller_links::begin(std::uint64_t request, const http_head& head, std::string_view piece)
+void caller_connections::begin(std::uint64_t request, const http_head& head, std::string_view piece)
 {
     link* item = this->find(request);
     if (item == nullptr) return;
@@ -272,7 +276,7 @@
     this->add(request, piece);
 }
 
-void caller_links::add(std::uint64_t request, std::string_view piece)
+void caller_connections::add(std::uint64_t request, std::string_view piece)
 {
     link* item = this->find(request);
     if (item == nullptr) return;
@@ -280,12 +284,12 @@
     flush_output(item->socket.get());
 }
 
-void caller_links::finish(std::uint64_t request)
+void caller_connections::finish(std::uint64_t request)
 {
     link* item = this->find(request);
     if (item == nullptr) return;
     evbuffer* out = bufferevent_get_output(item->socket.get());
-    if (item->chunked) write_last_chunk(out);
+    if (item->chunked) write_final_chunk(out);
     this->in_progress.erase(request);
     item->finished = true;
     flush_output(item->socket.get());
@@ -293,7 +297,7 @@
 }
 
 /** Called when the response has been sent: reads the next request or closes the connection. */
-void caller_links::end_answer(link& item)
+void caller_connections::end_answer(link& item)
 {
     item.finished = false;
     item.request = 0;
@@ -307,7 +311,7 @@
     this->read(item);
 }
 
-void caller_links::abort(std::uint64_t request)
+void caller_connections::abort(std::uint64_t request)
 {
     link* item = this->find(request);
     if (item == nullptr) return;
@@ -316,7 +320,7 @@
     this->drop(*item);
 }
 
-void caller_links::drop(link& item)
+void caller_connections::drop(link& item)
 {
     if (item.at == link::stage::closed) return;
     item.at = link::stage::closed;
@@ -326,7 +330,7 @@
     if (request != 0 && this->in_progress.erase(request) > 0) this->on_gone.emit(request);
 }
 
-void caller_links::check(link& item, instant time)
+void caller_connections::check(link& item, instant time)
 {
     const duration age = time - item.since;
     switch (item.at) {
@@ -336,7 +340,7 @@
     case link::stage::reading:
         if (item.reader.idle()) {
             if (age > this->limits.idle_timeout) this->drop(item);
-        } else if (item.reader.head_done()) {
+        } else if (item.reader.head_complete()) {
             if (age > body_timeout) this->refuse(item, request_timeout, "body too slow");
         } else if (age > this->limits.header_timeout) {
             this->refuse(item, request_timeout, "head too slow");
@@ -348,7 +352,7 @@
     }
 }
 
-void caller_links::sweep(instant time)
+void caller_connections::sweep(instant time)
 {
     for (const std::uint64_t id : this->dropped)
         this->links.erase(id);
@@ -360,7 +364,7 @@
         this->check(*item, time);
 }
 
-void caller_links::stop_listening()
+void caller_connections::stop_listening()
 {
     this->listener.reset();
     for (const auto& [id, item] : this->links) {
--- a/src/caller_links.h
+++ b/src/caller_connections.h
@@ -36,19 +36,19 @@
     duration retry_after{}; ///< zero: no Retry-After header
 };
 
-class caller_links {
+class caller_connections {
 public:
-    caller_links(event_base* base, const link_address& listen);
-    ~caller_links();
-    caller_links(const caller_links&) = delete;
-    caller_links& operator=(const caller_links&) = delete;
-    caller_links(caller_links&&) = delete;
-    caller_links& operator=(caller_links&&) = delete;
+    caller_connections(event_base* base, const link_address& listen);
+    ~caller_connections();
+    caller_connections(const caller_connections&) = delete;
+    caller_connections& operator=(const caller_connections&) = delete;
+    caller_connections(caller_connections&&) = delete;
+    caller_connections& operator=(caller_connections&&) = delete;
 
     void set_limits(const caller_limits& limits) { this->limits = limits; }
 
     /** Sends a server's complete response, without its hop-by-hop headers. */
-    void answer_whole(std::uint64_t request, const http_head& head, std::string_view body);
+    void send_response(std::uint64_t request, const http_head& head, std::string_view body);
     /** Sends a response of the router's own. */
     void answer(std::uint64_t request, const own_answer& given);
     /** Starts a chunked response and sends its first piece; `add` sends further pieces. */
--- a/src/caller_front.cpp
+++ b/src/caller_front.cpp
@@ -7,7 +7,7 @@
 #include <event2/keyvalq_struct.h>
 #include <nlohmann/json.hpp>
 
-#include "http_call.h"
+#include "http_client.h"
 #include "log.h"
 
 namespace worksshift {
--- a/src/config_follower.cpp
+++ b/src/config_follower.cpp
@@ -31,10 +31,10 @@
     return newest == ahead.end() ? nullptr : *newest;
 }
 
-config_follower::config_follower(event_base* base, http_caller& caller, const link_address& store,
-                                 const protocol& dialect, fleet_gossip& gossip)
-    : caller(caller), dialect(dialect), gossip(gossip),
-      calls(base, caller, store, dialect, follow.watch)
+config_follower::config_follower(event_base* base, http_client& caller, const link_address& store,
+                                 const protocol& adapter, fleet_gossip& gossip)
+    : caller(caller), adapter(adapter), gossip(gossip),
+      calls(base, caller, store, adapter, follow.watch)
 {
     const auto take_all = [this](const std::vector<stored_object>& objects) {
         for (const stored_object& item : objects) {
@@ -53,7 +53,7 @@
 void config_follower::take(const std::string& document, std::string_view source)
 {
     try {
-        const std::shared_ptr<router_config> received = this->dialect.decode_config(document);
+        const std::shared_ptr<router_config> received = this->adapter.decode_config(document);
         const std::uint64_t before = this->version();
         const bool newer = received->version > before;
         log_event(log_level::info, "config_received",
--- a/src/config_follower.h
+++ b/src/config_follower.h
@@ -10,7 +10,7 @@
 #include <random>
 
 #include "fleet_gossip.h"
-#include "http_call.h"
+#include "http_client.h"
 #include "protocol.h"
 #include "store_follow.h"
 #include "store_watch_client.h"
@@ -27,8 +27,8 @@
 
 class config_follower {
 public:
-    config_follower(event_base* base, http_caller& caller, const link_address& store,
-                    const protocol& dialect, fleet_gossip& gossip);
+    config_follower(event_base* base, http_client& caller, const link_address& store,
+                    const protocol& adapter, fleet_gossip& gossip);
 
     void start() { this->calls.proceed(); }
     /** \p watched: how this VM reads the store; std::nullopt if it does not watch it. */
@@ -53,8 +53,8 @@
     void take(const std::string& document, std::string_view source);
     void ask_peer(instant now);
 
-    http_caller& caller;
-    const protocol& dialect;
+    http_client& caller;
+    const protocol& adapter;
     fleet_gossip& gossip;
     store_follow follow{object_kind::configuration};
     store_watch_client calls;
--- a/src/daemon.h
+++ b/src/daemon.h
@@ -71,7 +71,7 @@
     gossip_socket gossip;
     caller_front front;
     server_calls calls;
-    http_caller caller;
+    http_client caller;
     engine_client engines;
     platform_client platform;
     shard_fetcher fetcher;
--- a/src/engine_client.h
+++ b/src/engine_client.h
@@ -6,7 +6,7 @@
 
 #include <functional>
 
-#include "http_call.h"
+#include "http_client.h"
 #include "tables.h"
 
 namespace worksshift {
@@ -16,7 +16,7 @@
     using report_handler = std::function<void(load_report)>;
     using order_handler = std::function<void(order_ended)>;
 
-    explicit engine_client(http_caller& caller) : caller(caller) {}
+    explicit engine_client(http_client& caller) : caller(caller) {}
 
     /** Fills in the report from the engine's response. \p done is not called if the engine does not
      * answer or its response lacks the number of running requests. */
@@ -25,7 +25,7 @@
     void give_order(const start_order& order, order_handler done);
 
 private:
-    http_caller& caller;
+    http_client& caller;
 };
 
 } // namespace worksshift
--- a/src/evacuation_follower.cpp
+++ b/src/evacuation_follower.cpp
@@ -6,11 +6,11 @@
 
 namespace worksshift {
 
-evacuation_follower::evacuation_follower(event_base* base, http_caller& caller,
-                                         const link_address& store, const protocol& dialect,
+evacuation_follower::evacuation_follower(event_base* base, http_client& caller,
+                                         const link_address& store, const protocol& adapter,
                                          server_table& servers, fleet_gossip& gossip)
-    : gossip(gossip), servers(servers), state(dialect),
-      calls(base, caller, store, dialect, follow.watch)
+    : gossip(gossip), servers(servers), state(adapter),
+      calls(base, caller, store, adapter, follow.watch)
 {
     store_watch& news = this->follow.watch;
     news.on_list.connect([this](const std::vector<stored_object>& all) {
--- a/src/evacuation_follower.h
+++ b/src/evacuation_follower.h
@@ -8,7 +8,7 @@
 
 #include "evacuations.h"
 #include "fleet_gossip.h"
-#include "http_call.h"
+#include "http_client.h"
 #include "server_table.h"
 #include "store_follow.h"
 #include "store_watch_client.h"
@@ -17,8 +17,8 @@
 
 class evacuation_follower {
 public:
-    evacuation_follower(event_base* base, http_caller& caller, const link_address& store,
-                        const protocol& dialect, server_table& servers, fleet_gossip& gossip);
+    evacuation_follower(event_base* base, http_client& caller, const link_address& store,
+                        const protocol& adapter, server_table& servers, fleet_gossip& gossip);
 
     void start() { this->calls.proceed(); }
     /** \p watched: how this VM reads the store; std::nullopt if it does not watch it. */
--- a/src/evacuations.h
+++ b/src/evacuations.h
@@ -22,7 +22,7 @@
 /** The set of evacuated data centres as one VM knows it, with the store's revision of it. */
 class evacuation_state {
 public:
-    explicit evacuation_state(const protocol& dialect) : dialect(dialect) {}
+    explicit evacuation_state(const protocol& adapter) : adapter(adapter) {}
 
     /** Replaces the state by the complete list as of a revision of the store. */
     void apply_list(std::span<const stored_object> all, std::uint64_t revision);
@@ -51,12 +51,12 @@
 private:
     [[nodiscard]] std::uint32_t data_centre_hash(const stored_object& item) const
     {
-        return static_cast<std::uint32_t>(this->dialect.decode_evacuation(item).hash());
+        return static_cast<std::uint32_t>(this->adapter.decode_evacuation(item).hash());
     }
     /** Replaces the state unless \p revision is older than or the same as the known one. */
     void replace(std::set<std::uint32_t> places, std::uint64_t revision);
 
-    const protocol& dialect;
+    const protocol& adapter;
     std::set<std::uint32_t> current;
     std::uint64_t newest = 0; ///< revision of `current`; 0: unknown
 };
--- a/src/http_call.cpp
+++ b/src/http_client.cpp
@@ -1,4 +1,4 @@
-#include "http_call.h"
+#include "http_client.h"
 
 #include <algorithm>
 
@@ -25,7 +25,7 @@
     return copied;
 }
 
-void http_caller::finish(pending& item, evhttp_request* answer)
+void http_client::finish(pending& item, evhttp_request* answer)
 {
     if (item.over) return;
     item.over = true;
@@ -39,7 +39,7 @@
     item.handler(response);
 }
 
-std::uint64_t http_caller::call(const link_address& to, evhttp_cmd_type method,
+std::uint64_t http_client::call(const link_address& to, evhttp_cmd_type method,
                                 const std::string& path, const std::vector<header>& headers,
                                 const std::string& body, const call_limit& limit,
                                 http_handler handler)
@@ -76,7 +76,7 @@
     return item->number;
 }
 
-void http_caller::cancel(std::uint64_t call)
+void http_client::cancel(std::uint64_t call)
 {
     const auto found = std::ranges::find(this->calls, call, &pending::number);
     if (found == this->calls.end() || (*found)->over) return;
@@ -84,7 +84,7 @@
     (*found)->deadline->stop();
 }
 
-void http_caller::sweep()
+void http_client::sweep()
 {
     std::erase_if(this->calls, [](const auto& item) { return item->over; });
 }
--- a/src/http_call.h
+++ b/src/http_client.h
@@ -29,9 +29,9 @@
 using http_handler = std::function<void(const http_response&)>;
 
 /** Makes calls and owns them until they are complete. */
-class http_caller {
+class http_client {
 public:
-    explicit http_caller(event_base* base) : base(base) {}
+    explicit http_client(event_base* base) : base(base) {}
 
     /** Starts a call and returns its number. */
     std::uint64_t call(const link_address& to, evhttp_cmd_type method, const std::string& path,
--- a/src/http_wire.cpp
+++ b/src/http_wire.cpp
@@ -27,26 +27,26 @@
 
 } // namespace
 
-bool same_name(std::string_view left, std::string_view right)
+bool header_names_equal(std::string_view left, std::string_view right)
 {
     return left.size() == right.size() && strncasecmp(left.data(), right.data(), left.size()) == 0;
 }
 
-bool is_hop_header(std::string_view name)
+bool is_hop_by_hop_header(std::string_view name)
 {
-    return std::ranges::any_of(hop_headers,
-                               [name](std::string_view hop) { return same_name(name, hop); });
+    return std::ranges::any_of(
+        hop_headers, [name](std::string_view hop) { return header_names_equal(name, hop); });
 }
 
 const std::string* http_head::find(std::string_view name) const
 {
     const auto found = std::ranges::find_if(
-        this->headers, [name](const header& item) { return same_name(item.name, name); });
+        this->headers, [name](const header& item) { return header_names_equal(item.name, name); });
     return found == this->headers.end() ? nullptr : &found->value;
 }
 
-http_reader::http_reader(side reads, std::size_t head_at_most)
-    : reads(reads), head_at_most(head_at_most)
+http_reader::http_reader(side reads, std::size_t max_head_bytes)
+    : reads(reads), max_head_bytes(max_head_bytes)
 {
     this->reset();
 }
@@ -130,7 +130,7 @@
     for (const header& item : this->head.headers) {
         size += item.name.size() + item.value.size() + line_overhead;
     }
-    this->oversized = size > this->head_at_most;
+    this->oversized = size > this->max_head_bytes;
     if (this->oversized) return -1;
     this->on_head(this->head);
     const bool skip_body = std::exchange(this->bodiless, false);
@@ -141,11 +141,11 @@
 {
     if (!this->have_head) {
         this->head_bytes += consumed;
-        if (this->head_bytes > this->head_at_most) return read_result::head_too_large;
+        if (this->head_bytes > this->max_head_bytes) return read_result::head_too_large;
     }
     if (this->oversized) return read_result::head_too_large;
     const auto fault = HTTP_PARSER_ERRNO(&this->parser);
-    if (this->ended) return read_result::message_ended;
+    if (this->ended) return read_result::message_complete;
     if (fault == HPE_HEADER_OVERFLOW) return read_result::head_too_large;
     if (fault != HPE_OK || this->parser.upgrade != 0) return read_result::malformed;
     return consumed == given ? read_result::need_more : read_result::malformed;
@@ -164,22 +164,22 @@
         evbuffer_drain(input, consumed);
         if (result == read_result::need_more) continue;
         constexpr int informational = 100;
-        const bool interim = result == read_result::message_ended && this->reads == side::answers &&
-                             this->head.status / informational == 1;
-        if (result == read_result::message_ended) this->reset();
+        const bool interim = result == read_result::message_complete &&
+                             this->reads == side::answers && this->head.status / informational == 1;
+        if (result == read_result::message_complete) this->reset();
         if (!interim) return result;
     }
     return read_result::need_more;
 }
 
-read_result http_reader::read_end()
+read_result http_reader::read_eof()
 {
     static const http_parser_settings callbacks = make_callbacks();
     if (!this->begun) return read_result::need_more;
     http_parser_execute(&this->parser, &callbacks, "", 0);
     const bool whole = this->ended && this->have_head;
     if (whole) this->reset();
-    return whole ? read_result::message_ended : read_result::malformed;
+    return whole ? read_result::message_complete : read_result::malformed;
 }
 
 void write_chunk(evbuffer* out, std::string_view bytes)
@@ -191,7 +191,7 @@
     evbuffer_add(out, "\r\n", 2);
 }
 
-void write_last_chunk(evbuffer* out)
+void write_final_chunk(evbuffer* out)
 {
     constexpr std::string_view mark = "0\r\n\r\n";
     evbuffer_add(out, mark.data(), mark.size());
@@ -202,7 +202,7 @@
     out.append(name).append(": ").append(value).append("\r\n");
 }
 
-std::string_view reason_of(int status)
+std::string_view reason_phrase(int status)
 {
     return http_status_str(static_cast<http_status>(status));
 }
--- a/src/http_wire.h
+++ b/src/http_wire.h
@@ -34,13 +34,13 @@
 };
 
 /** Compares two header names, ignoring case. */
-bool same_name(std::string_view left, std::string_view right);
+bool header_names_equal(std::string_view left, std::string_view right);
 
 /** Whether a header is hop-by-hop, that is, applies to one connection and is never forwarded. */
-bool is_hop_header(std::string_view name);
+bool is_hop_by_hop_header(std::string_view name);
 
 /** Result of reading input. */
-enum class read_result : std::uint8_t { need_more, message_ended, malformed, head_too_large };
+enum class read_result : std::uint8_t { need_more, message_complete, malformed, head_too_large };
 
 /** Incremental reader of consecutive messages. Stops at the end of each message, so that the bytes
  * after it stay unread. */
@@ -48,7 +48,7 @@
 public:
     enum class side : std::uint8_t { requests, answers };
 
-    http_reader(side reads, std::size_t head_at_most);
+    http_reader(side reads, std::size_t max_head_bytes);
 
     /** Called with each head and with pieces of the body. */
     std::function<void(http_head&)> on_head;
@@ -57,16 +57,16 @@
     /** Consumes \p input up to the end of one message. */
     read_result read(evbuffer* input);
     /** Handles the end of input. A response without a length is complete at this point. */
-    read_result read_end();
+    read_result read_eof();
 
     /** The next response has no body whatever its headers say, as after a HEAD request. */
     void expect_no_body() { this->bodiless = true; }
     /** Between messages: no byte of the next one has been read. */
     [[nodiscard]] bool idle() const { return !this->begun; }
     /** The current message's head was read in full. */
-    [[nodiscard]] bool head_done() const { return this->have_head; }
+    [[nodiscard]] bool head_complete() const { return this->have_head; }
     /** Sets the maximum size of a head. */
-    void set_head_at_most(std::size_t bytes) { this->head_at_most = bytes; }
+    void set_max_head_bytes(std::size_t bytes) { this->max_head_bytes = bytes; }
 
 private:
     static http_parser_settings make_callbacks();
@@ -76,7 +76,7 @@
     read_result classify(std::size_t given, std::size_t consumed);
 
     side reads;
-    std::size_t head_at_most;
+    std::size_t max_head_bytes;
     http_parser parser{};
     http_head head;
     std::size_t head_bytes = 0;
@@ -91,10 +91,10 @@
 /** Writes one chunk of a chunked body. */
 void write_chunk(evbuffer* out, std::string_view bytes);
 /** Writes the zero-length chunk that ends a chunked body. */
-void write_last_chunk(evbuffer* out);
+void write_final_chunk(evbuffer* out);
 /** Appends `name: value` and CRLF. */
 void append_header(std::string& out, std::string_view name, std::string_view value);
 /** The standard reason phrase of a status code. */
-std::string_view reason_of(int status);
+std::string_view reason_phrase(int status);
 
 } // namespace worksshift
--- a/src/live_request.h
+++ b/src/live_request.h
@@ -19,7 +19,7 @@
     std::uint64_t id = 0;
     http_head head;
     std::string body;
-    request_facts facts;
+    request_metadata facts;
     /** The configuration at admission. Keeps `matched_route` and `account_regions` valid. */
     router_config_ptr config;
     const route* matched_route = nullptr;
--- a/src/platform_client.cpp
+++ b/src/platform_client.cpp
@@ -58,7 +58,7 @@
 
 } // namespace
 
-platform_client::platform_client(event_base* base, http_caller& caller, link_address address,
+platform_client::platform_client(event_base* base, http_client& caller, link_address address,
                                  double calls_per_second)
     : caller(caller), address(std::move(address)), calls_per_second(calls_per_second),
       queue_timer(base, [this] { this->run_queued(); })
--- a/src/platform_client.h
+++ b/src/platform_client.h
@@ -13,7 +13,7 @@
 #include <optional>
 
 #include "claims.h"
-#include "http_call.h"
+#include "http_client.h"
 #include "membership.h"
 
 namespace worksshift {
@@ -28,7 +28,7 @@
     using list_handler = std::function<void(const std::optional<std::vector<listed_vm>>&)>;
 
     /** \p calls_per_second is the sustained rate of this VM's calls. */
-    platform_client(event_base* base, http_caller& caller, link_address address,
+    platform_client(event_base* base, http_client& caller, link_address address,
                     double calls_per_second);
 
     /** Reads or writes an object; fails at once if the budget is used up. */
@@ -53,7 +53,7 @@
     void run_queued();
     void start(const object_call& call, object_handler handler);
 
-    http_caller& caller;
+    http_client& caller;
     link_address address;
     double calls_per_second;
     std::uint64_t call_count = 0;
--- a/src/protocol.cpp
+++ b/src/protocol.cpp
@@ -20,11 +20,11 @@
 
 const route* router_config::find(std::string_view host, std::string_view target) const
 {
-    auto group = this->routes_of_host.find(host);
-    if (group == this->routes_of_host.end()) {
-        group = this->routes_of_host.find(without_port(host));
+    auto group = this->routes_by_host.find(host);
+    if (group == this->routes_by_host.end()) {
+        group = this->routes_by_host.find(without_port(host));
     }
-    if (group == this->routes_of_host.end()) return nullptr;
+    if (group == this->routes_by_host.end()) return nullptr;
     const std::string_view path = path_of(target);
     const auto found = std::ranges::find_if(group->second, [&](std::size_t at) {
         return path.starts_with(this->routes[at].path_prefix);
@@ -35,14 +35,14 @@
 void router_config::index()
 {
     for (std::size_t at = 0; at < this->routes.size(); ++at) {
-        this->routes_of_host[this->routes[at].host].push_back(at);
+        this->routes_by_host[this->routes[at].host].push_back(at);
         for (const route_target& target : this->routes[at].targets) {
-            const auto [found, added] = this->shortest_objective.try_emplace(
+            const auto [found, added] = this->min_latency_objective.try_emplace(
                 target.service, this->routes[at].latency_objective);
             found->second = std::min(found->second, this->routes[at].latency_objective);
         }
     }
-    for (auto& [host, group] : this->routes_of_host) {
+    for (auto& [host, group] : this->routes_by_host) {
         std::ranges::sort(group, std::greater{},
                           [this](std::size_t at) { return this->routes[at].path_prefix.size(); });
     }
--- a/src/protocol.h
+++ b/src/protocol.h
@@ -31,7 +31,7 @@
 };
 
 /** Metadata from the headers of a caller's request. */
-struct request_facts {
+struct request_metadata {
     std::string id;
     std::string api_key; ///< empty: none was sent
     std::optional<milliseconds> deadline;
@@ -43,7 +43,7 @@
 };
 
 /** Metadata that the router adds to a request forwarded to a server. */
-struct forward_facts {
+struct forward_metadata {
     std::string_view expected_server;
     std::string_view account;                  ///< empty: the route is public
     milliseconds remaining{};                  ///< until the deadline
@@ -53,7 +53,7 @@
 };
 
 /** Metadata from the headers of a server's response. */
-struct answer_facts {
+struct response_metadata {
     std::string request_id;              ///< echoed by the server; empty: none
     bool not_executed = false;           ///< the server reports that it did not run the request
     std::optional<seconds> idle_timeout; ///< announced for the connection
@@ -65,7 +65,7 @@
 };
 
 /** Longer delays requested by a server are cut to this; nobody asks for more on purpose. */
-constexpr duration longest_retry_after = std::chrono::hours(1);
+constexpr duration max_retry_after = std::chrono::hours(1);
 
 /** How many times a request may be executed. */
 enum class route_kind : std::uint8_t {
@@ -117,13 +117,13 @@
     /** Maximum request rate of a cold server; std::nullopt: not limited. */
     std::optional<double> cold_requests_per_s;
 
-    [[nodiscard]] bool limits_cold() const { return this->cold_requests_per_s.has_value(); }
+    [[nodiscard]] bool has_cold_limit() const { return this->cold_requests_per_s.has_value(); }
 };
 
 /** Limits on what callers may send; larger or slower requests are rejected. */
 struct caller_limits {
-    std::size_t header_bytes = std::size_t{16} * 1024;
-    std::size_t body_bytes = std::size_t{4} * 1024 * 1024;
+    std::size_t max_header_bytes = std::size_t{16} * 1024;
+    std::size_t max_body_bytes = std::size_t{4} * 1024 * 1024;
     milliseconds header_timeout = seconds(3);
     milliseconds idle_timeout = seconds(15);
 };
@@ -133,11 +133,11 @@
     std::uint64_t version = 0;
     std::vector<route> routes;
     std::map<std::string, std::vector<std::size_t>, std::less<>>
-        routes_of_host; ///< indexes in `routes`, longest path prefix first
-    std::unordered_map<std::string, client_account> account_of_key;
+        routes_by_host; ///< indexes in `routes`, longest path prefix first
+    std::unordered_map<std::string, client_account> account_by_key;
     std::map<service_id, service_traits> services;
     /** The shortest latency objective of all routes to a service. */
-    std::map<service_id, milliseconds> shortest_objective;
+    std::map<service_id, milliseconds> min_latency_objective;
     caller_limits limits;
     /** Number of routes and accounts whose allowed regions could not be parsed. Their requests are
      * not sent to any server. */
@@ -161,10 +161,10 @@
     std::uint32_t slots = 1;
     bool draining = false;
     /** Remaining time until the server is warm, measured when it wrote the entry. */
-    milliseconds cold_for{};
+    milliseconds cold_remaining{};
     /** Unix time of the server's start in milliseconds; 0: not reported. A restarted server may
      * keep its id, so this value distinguishes a process from its predecessor. */
-    std::uint64_t born_ms = 0;
+    std::uint64_t started_at_ms = 0;
 };
 
 /** An object of the store: the store's own fields, and the document as raw text. */
@@ -203,13 +203,13 @@
 
 /** Functions of a platform adapter. Decoders \throw peer_error naming the step and the fault. */
 struct protocol {
-    request_facts (*decode_request)(const http_head&) = nullptr;
+    request_metadata (*decode_request)(const http_head&) = nullptr;
     /** Head of the request to a server, including the empty line that ends it. */
-    std::string (*encode_request)(const http_head&, const forward_facts&,
+    std::string (*encode_request)(const http_head&, const forward_metadata&,
                                   std::size_t body) = nullptr;
-    answer_facts (*decode_answer)(const http_head&) = nullptr;
+    response_metadata (*decode_response)(const http_head&) = nullptr;
     /** Whether the request target is the platform's readiness check. */
-    bool (*is_readiness)(std::string_view target) = nullptr;
+    bool (*is_readiness_check)(std::string_view target) = nullptr;
 
     std::shared_ptr<router_config> (*decode_config)(std::string_view document) = nullptr;
     server_record (*decode_server)(const stored_object&) = nullptr;
--- a/src/registry_follower.cpp
+++ b/src/registry_follower.cpp
@@ -19,11 +19,11 @@
 
 } // namespace
 
-registry_follower::registry_follower(event_base* base, http_caller& caller,
-                                     const link_address& store, const protocol& dialect,
+registry_follower::registry_follower(event_base* base, http_client& caller,
+                                     const link_address& store, const protocol& adapter,
                                      server_table& table, fleet_gossip& gossip)
-    : caller(caller), gossip(gossip), table(table), registry(table, dialect),
-      calls(base, caller, store, dialect, follow.watch)
+    : caller(caller), gossip(gossip), table(table), registry(table, adapter),
+      calls(base, caller, store, adapter, follow.watch)
 {
     store_watch& watch = this->follow.watch;
     watch.on_partial_list.connect([this](const std::vector<stored_object>& part) {
--- a/src/registry_follower.h
+++ b/src/registry_follower.h
@@ -8,7 +8,7 @@
 #include <string>
 
 #include "fleet_gossip.h"
-#include "http_call.h"
+#include "http_client.h"
 #include "registry_feed.h"
 #include "server_registry.h"
 #include "store_follow.h"
@@ -23,8 +23,8 @@
      * missing servers that are still in use. */
     static constexpr duration answer_cache_lifetime = milliseconds(50);
 
-    registry_follower(event_base* base, http_caller& caller, const link_address& store,
-                      const protocol& dialect, server_table& table, fleet_gossip& gossip);
+    registry_follower(event_base* base, http_client& caller, const link_address& store,
+                      const protocol& adapter, server_table& table, fleet_gossip& gossip);
 
     void start() { this->calls.proceed(); }
     /** \p watched: how this VM reads the store; std::nullopt if it does not watch it. */
@@ -64,7 +64,7 @@
     void take(const http_response& response, const std::string& peer, instant asked_at);
     void apply(const registry_update& update, const update_origin& origin);
 
-    http_caller& caller;
+    http_client& caller;
     fleet_gossip& gossip;
     const server_table& table;
     server_registry registry;
--- a/src/request_path.cpp
+++ b/src/request_path.cpp
@@ -54,22 +54,22 @@
 
 } // namespace
 
-request_path::request_path(caller_links& callers, server_links& servers, server_table& table,
-                           const protocol& dialect, metrics& numbers)
-    : callers(callers), servers(servers), table(table), admission_control(table), dialect(dialect),
+request_path::request_path(caller_connections& callers, server_connections& servers,
+                           server_table& table, const protocol& adapter, metrics& numbers)
+    : callers(callers), servers(servers), table(table), admission_control(table), adapter(adapter),
       numbers(numbers)
 {
     callers.on_request.connect(
         [this](caller_request request) { this->on_request(std::move(request)); });
     callers.on_gone.connect([this](std::uint64_t request) { this->leave(request); });
     servers.on_head.connect(
-        [this](std::uint64_t attempt, const http_head& head, const answer_facts& facts) {
+        [this](std::uint64_t attempt, const http_head& head, const response_metadata& facts) {
             this->on_response_head(attempt, head, facts);
         });
     servers.on_body.connect([this](std::uint64_t attempt, std::string_view bytes) {
         this->on_response_body(attempt, bytes);
     });
-    servers.on_end.connect([this](const attempt_end& end) { this->on_attempt_end(end); });
+    servers.on_end.connect([this](const attempt_outcome& end) { this->on_attempt_end(end); });
     servers.on_checked.connect([this](std::uint32_t server, bool ended) {
         this->on_server_checked(server_incarnation{server}, ended);
     });
@@ -81,7 +81,7 @@
 {
     this->config = std::move(given);
     this->callers.set_limits(this->config->limits);
-    for (const auto& [service, objective] : this->config->shortest_objective)
+    for (const auto& [service, objective] : this->config->min_latency_objective)
         this->table.set_objective(service, objective);
     for (const auto& [service, traits] : this->config->services)
         this->table.set_traits(service, traits);
@@ -98,7 +98,7 @@
     item.id = request.id;
     item.arrived = now();
     this->last_arrival_at = item.arrived;
-    item.facts = this->dialect.decode_request(request.head);
+    item.facts = this->adapter.decode_request(request.head);
     for (const std::string_view name : item.facts.ignored_headers) {
         this->numbers.count("worksshift_ignored_headers_total{header=\"" + std::string(name) +
                             "\"}");
@@ -132,8 +132,8 @@
     }
     item.priority = item.matched_route->priority;
     if (!item.matched_route->is_public) {
-        const auto account = item.config->account_of_key.find(item.facts.api_key);
-        if (account == item.config->account_of_key.end()) {
+        const auto account = item.config->account_by_key.find(item.facts.api_key);
+        if (account == item.config->account_by_key.end()) {
             this->answer_locally(item, unauthorized, "unknown key");
             return false;
         }
@@ -237,7 +237,7 @@
     row.health.on_sent(time);
     row.cold.on_sent(time);
     row.trial.on_sent(time);
-    forward_facts facts;
+    forward_metadata facts;
     facts.expected_server = row.record.id.text;
     facts.account = item.account.text;
     facts.remaining = std::chrono::duration_cast<milliseconds>(item.deadline - time);
@@ -246,14 +246,14 @@
     const std::string source =
         where.cached_at == nullptr ? std::string() : to_string(where.cached_at->record.address);
     facts.fetch_from = source;
-    attempt_order order;
+    attempt_request order;
     order.attempt = item.attempt;
     order.server = row.record.id;
     order.address = row.record.address;
     order.request_id = item.facts.id;
-    order.head = this->dialect.encode_request(item.head, facts, item.body.size());
+    order.head = this->adapter.encode_request(item.head, facts, item.body.size());
     order.body = item.body;
-    order.no_answer_body = item.head.method == "HEAD";
+    order.no_response_body = item.head.method == "HEAD";
     order.repeatable = item.matched_route->repeatable();
     this->servers.start(order);
 }
@@ -266,7 +266,7 @@
 }
 
 void request_path::on_response_head(std::uint64_t attempt, const http_head& head,
-                                    const answer_facts& facts)
+                                    const response_metadata& facts)
 {
     live_request* item = this->find_attempt(attempt);
     if (item == nullptr) return;
@@ -297,7 +297,7 @@
  * updates are delayed while the store is unavailable; without them, requests would still be sent to
  * a server that is shutting down. */
 void request_path::apply_server_hints(const live_request& item, int status,
-                                      const answer_facts& facts)
+                                      const response_metadata& facts)
 {
     server_entry& row = *item.row;
     if (facts.leaving && this->table.mark_leaving(row)) {
@@ -360,7 +360,7 @@
     item.attempt = 0;
 }
 
-void request_path::on_attempt_end(const attempt_end& end)
+void request_path::on_attempt_end(const attempt_outcome& end)
 {
     live_request* found = this->find_attempt(end.attempt);
     if (found == nullptr) return;
@@ -369,8 +369,8 @@
     const instant time = now();
     this->record_outcome(item, end, time);
     this->release(item);
-    if (item.refused || end.result == send_result::not_sent) {
-        if (end.result == send_result::not_sent) {
+    if (item.refused || end.result == send_progress::not_sent) {
+        if (end.result == send_progress::not_sent) {
             row.health.on_unreachable(time);
             this->table.mark_unreachable(row, time);
         } else {
@@ -381,7 +381,7 @@
     }
     ++item.runs;
     this->record_broken_attempt(item, row.record, end, time);
-    const bool whole = end.result == send_result::answered && !item.cannot_resume &&
+    const bool whole = end.result == send_progress::answered && !item.cannot_resume &&
                        !item.events.has_partial_event();
     if (!whole) {
         row.health.on_failure(time);
@@ -406,23 +406,24 @@
 }
 
 /** Records the attempt's outcome in its server's statistics. */
-void request_path::record_outcome(const live_request& item, const attempt_end& end, instant time)
+void request_path::record_outcome(const live_request& item, const attempt_outcome& end,
+                                  instant time)
 {
     if (item.caller_left || item.answer.status == misdirected) return;
     // An engine that refuses a request is full, which its load already shows. Unreachability is
     // tracked by each VM separately, since it may affect only that VM.
-    if (item.engine && (item.refused || end.result == send_result::not_sent)) return;
+    if (item.engine && (item.refused || end.result == send_progress::not_sent)) return;
     const bool failed =
-        item.refused || end.result != send_result::answered || item.answer.status >= server_error;
+        item.refused || end.result != send_progress::answered || item.answer.status >= server_error;
     server_table::on_answered(*item.row, time - item.sent, failed, time);
 }
 
 /** Updates crash suspicion for the request's content. A server that closed the connection early may
  * have crashed or only lost the response, so a connection check is started. */
 void request_path::record_broken_attempt(const live_request& item, const server_record& server,
-                                         const attempt_end& end, instant time)
+                                         const attempt_outcome& end, instant time)
 {
-    if (end.result == send_result::answered) {
+    if (end.result == send_progress::answered) {
         this->suspect_contents.on_answered(item.content, time);
         return;
     }
@@ -469,16 +470,16 @@
     if (item.response_begun) {
         this->callers.finish(item.id);
     } else if (!item.caller_left) {
-        this->callers.answer_whole(item.id, item.answer, item.buffered_body);
+        this->callers.send_response(item.id, item.answer, item.buffered_body);
     }
     this->end(item, "answered", item.answer.status);
 }
 
 /** Retries or fails a request that its server did not run: the server was full, a different server
  * answered at the address, or the connection failed. */
-void request_path::on_refused_attempt(live_request& item, const attempt_end& end)
+void request_path::on_refused_attempt(live_request& item, const attempt_outcome& end)
 {
-    const bool sent = end.result != send_result::not_sent;
+    const bool sent = end.result != send_progress::not_sent;
     const bool has_budget = !sent || this->may_retry(item, false);
     const bool time_left = item.deadline - now() > min_remaining_time_to_retry;
     if (!item.caller_left && has_budget && time_left && item.sends < max_sends_per_request) {
--- a/src/request_path.h
+++ b/src/request_path.h
@@ -16,12 +16,12 @@
 #include <vector>
 
 #include "admission.h"
-#include "caller_links.h"
+#include "caller_connections.h"
 #include "crash_suspects.h"
 #include "fleet_retry_budget.h"
 #include "live_request.h"
 #include "metrics.h"
-#include "server_links.h"
+#include "server_connections.h"
 #include "server_table.h"
 
 namespace worksshift {
@@ -49,8 +49,8 @@
 
 class request_path {
 public:
-    request_path(caller_links& callers, server_links& servers, server_table& table,
-                 const protocol& dialect, metrics& numbers);
+    request_path(caller_connections& callers, server_connections& servers, server_table& table,
+                 const protocol& adapter, metrics& numbers);
     ~request_path();
     request_path(const request_path&) = delete;
     request_path& operator=(const request_path&) = delete;
@@ -85,18 +85,19 @@
     void dispatch(live_request& item);
     [[nodiscard]] bool is_blocked(live_request& item);
     void record_broken_attempt(const live_request& item, const server_record& server,
-                               const attempt_end& end, instant time);
+                               const attempt_outcome& end, instant time);
     void on_server_checked(server_incarnation server, bool ended);
     void refuse(live_request& item, const retry_later& answer);
     void send(live_request& item, const placement_result& where);
-    void on_response_head(std::uint64_t attempt, const http_head& head, const answer_facts& facts);
-    void apply_server_hints(const live_request& item, int status, const answer_facts& facts);
+    void on_response_head(std::uint64_t attempt, const http_head& head,
+                          const response_metadata& facts);
+    void apply_server_hints(const live_request& item, int status, const response_metadata& facts);
     void on_response_body(std::uint64_t attempt, std::string_view bytes);
-    void on_attempt_end(const attempt_end& end);
-    void record_outcome(const live_request& item, const attempt_end& end, instant time);
+    void on_attempt_end(const attempt_outcome& end);
+    void record_outcome(const live_request& item, const attempt_outcome& end, instant time);
     void abandon_silent_attempt(live_request& item, instant time);
     void finish_answer(live_request& item);
-    void on_refused_attempt(live_request& item, const attempt_end& end);
+    void on_refused_attempt(live_request& item, const attempt_outcome& end);
     void retry_or_fail(live_request& item, bool may_have_run, const char* step,
                        const std::string& detail);
     [[nodiscard]] bool may_retry(live_request& item, bool may_have_run);
@@ -112,12 +113,12 @@
     void log_attempt(const live_request& item, std::string_view outcome, std::string_view step,
                      std::string_view detail) const;
 
-    caller_links& callers;
-    server_links& servers;
+    caller_connections& callers;
+    server_connections& servers;
     server_table& table;
     admission admission_control;
     crash_suspects suspect_contents;
-    const protocol& dialect;
+    const protocol& adapter;
     metrics& numbers;
     router_config_ptr config;
     fleet_retry_settings budget_settings;
--- a/src/router.cpp
+++ b/src/router.cpp
@@ -74,14 +74,14 @@
 
 } // namespace
 
-router::router(router_settings given, const protocol& dialect, settings_source reload)
-    : options(std::move(given)), dialect(dialect), reload(std::move(reload)),
+router::router(router_settings given, const protocol& adapter, settings_source reload)
+    : options(std::move(given)), adapter(adapter), reload(std::move(reload)),
       base(make_event_base()), servers(options.data_centre), callers(base.get(), options.front),
-      links(base.get(), dialect), path(callers, links, servers, dialect, numbers),
+      links(base.get(), adapter), path(callers, links, servers, adapter, numbers),
       gossip(base.get(), options.peer, options.data_centre, options.seeds), caller(base.get()),
-      configuration(base.get(), caller, options.store, dialect, gossip),
-      registry(base.get(), caller, options.store, dialect, servers, gossip),
-      evacuations(base.get(), caller, options.store, dialect, servers, gossip),
+      configuration(base.get(), caller, options.store, adapter, gossip),
+      registry(base.get(), caller, options.store, adapter, servers, gossip),
+      evacuations(base.get(), caller, options.store, adapter, servers, gossip),
       ticker(base.get(), [this] { this->tick(); }),
       on_term(base.get(), SIGTERM, [this] { this->stop(); }),
       on_int(base.get(), SIGINT, [this] { this->stop(); }),
@@ -147,7 +147,7 @@
     log_event(log_level::warn, "resumed",
               {{"suspended_ms", span / milliseconds(1)}, {"requests", this->path.active()}});
     this->path.on_suspended(span);
-    this->links.forget_all();
+    this->links.close_all_idle();
 }
 
 void router::connect_signals()
@@ -329,7 +329,7 @@
         this->readiness_http.get(),
         [](evhttp_request* request, void* given) {
             const auto* self = static_cast<router*>(given);
-            const bool known = self->dialect.is_readiness(evhttp_request_get_uri(request));
+            const bool known = self->adapter.is_readiness_check(evhttp_request_get_uri(request));
             reply(request, known && self->ready() ? ok : unavailable, {});
         },
         this);
--- a/src/router.h
+++ b/src/router.h
@@ -9,7 +9,7 @@
 
 #include <functional>
 
-#include "caller_links.h"
+#include "caller_connections.h"
 #include "config_follower.h"
 #include "evacuation_follower.h"
 #include "fleet_gossip.h"
@@ -17,7 +17,7 @@
 #include "registry_follower.h"
 #include "request_path.h"
 #include "router_settings.h"
-#include "server_links.h"
+#include "server_connections.h"
 #include "server_table.h"
 #include "suspension.h"
 #include "watcher_selection.h"
@@ -30,7 +30,7 @@
     /** Reads the settings again. \throws user_error when they are invalid. */
     using settings_source = std::function<router_settings()>;
 
-    router(router_settings options, const protocol& dialect, settings_source reload);
+    router(router_settings options, const protocol& adapter, settings_source reload);
     ~router();
     router(const router&) = delete;
     router& operator=(const router&) = delete;
@@ -64,16 +64,16 @@
     void continue_stop(instant now);
 
     router_settings options;
-    const protocol& dialect;
+    const protocol& adapter;
     settings_source reload;
     event_ptr<event_base> base;
     metrics numbers;
     server_table servers;
-    caller_links callers;
-    server_links links;
+    caller_connections callers;
+    server_connections links;
     request_path path;
     fleet_gossip gossip;
-    http_caller caller;
+    http_client caller;
     watcher_selection watch_role;
     config_follower configuration;
     registry_follower registry;
--- a/src/server_calls.cpp
+++ b/src/server_calls.cpp
@@ -4,7 +4,7 @@
 #include <strings.h>
 
 #include "answer_relay.h"
-#include "http_call.h"
+#include "http_client.h"
 #include "http_wire.h"
 
 namespace worksshift {
@@ -87,7 +87,7 @@
     evkeyvalq* headers = evhttp_request_get_output_headers(request);
     evhttp_add_header(headers, "Host", item.order.server.address.c_str());
     for (const header& extra : open.headers) {
-        if (!is_hop_header(extra.name) && !same_name(extra.name, "host")) {
+        if (!is_hop_by_hop_header(extra.name) && !header_names_equal(extra.name, "host")) {
             evhttp_add_header(headers, extra.name.c_str(), extra.value.c_str());
         }
     }
@@ -165,7 +165,7 @@
     message.status = static_cast<std::uint16_t>(status);
     message.version = item.order.version;
     for (header& extra : copy_headers(headers)) {
-        if (!is_hop_header(extra.name)) message.headers.push_back(std::move(extra));
+        if (!is_hop_by_hop_header(extra.name)) message.headers.push_back(std::move(extra));
     }
     item.head_sent = true;
     this->on_frame.emit(item.order.entry, std::move(message));
--- a/src/server_links.cpp
+++ b/src/server_connections.cpp
@@ -1,4 +1,4 @@
-#include "server_links.h"
+#include "server_connections.h"
 
 #include <algorithm>
 #include <cerrno>
@@ -20,13 +20,13 @@
 
 } // namespace
 
-struct server_links::link : std::enable_shared_from_this<server_links::link> {
-    explicit link(server_links* owner)
+struct server_connections::link : std::enable_shared_from_this<server_connections::link> {
+    explicit link(server_connections* owner)
         : owner(owner), reader(http_reader::side::answers, max_response_head_bytes)
     {
     }
 
-    server_links* owner;
+    server_connections* owner;
     server_id server;
     event_ptr<bufferevent> socket;
     http_reader reader;
@@ -38,19 +38,20 @@
     bool skipping = false; ///< reading a late response to an earlier request, which is discarded
     bool close_after = false;
     bool peer_closed = false;
-    bool refused = false;             ///< the host refused the connection
-    bool is_closed = false;           ///< closed, and to be freed in the next sweep
-    instant since{};                  ///< when connecting began, or when the last response ended
-    duration max_idle = idle_at_most; ///< maximum idle time
+    bool refused = false;              ///< the host refused the connection
+    bool is_closed = false;            ///< closed, and to be freed in the next sweep
+    instant since{};                   ///< when connecting began, or when the last response ended
+    duration max_idle = max_idle_time; ///< maximum idle time
 };
 
-server_links::server_links(event_base* base, const protocol& dialect) : base(base), dialect(dialect)
+server_connections::server_connections(event_base* base, const protocol& adapter)
+    : base(base), adapter(adapter)
 {
 }
 
-server_links::~server_links() = default;
+server_connections::~server_connections() = default;
 
-void server_links::start(const attempt_order& order)
+void server_connections::start(const attempt_request& order)
 {
     link_ptr item = this->take_idle(order);
     if (item == nullptr) item = this->connect(order.server, order.address);
@@ -59,7 +60,7 @@
     item->skipping = false;
     item->close_after = false;
     this->attempts[order.attempt] = item;
-    if (order.no_answer_body) item->reader.expect_no_body();
+    if (order.no_response_body) item->reader.expect_no_body();
     if (item->connected) {
         this->send(*item, order);
     } else {
@@ -68,7 +69,7 @@
     }
 }
 
-server_links::link_ptr server_links::take_idle(const attempt_order& order)
+server_connections::link_ptr server_connections::take_idle(const attempt_request& order)
 {
     const auto pool = this->idle.find(order.server);
     if (pool == this->idle.end()) return nullptr;
@@ -80,7 +81,7 @@
             this->forget(order.server);
             return nullptr;
         }
-        if (!order.repeatable && age > fresh_within) return nullptr;
+        if (!order.repeatable && age > max_reuse_age) return nullptr;
         pool->second.pop_back();
         const bool stray = evbuffer_get_length(bufferevent_get_input(item->socket.get())) > 0;
         if (!item->is_closed && !stray) return item;
@@ -89,7 +90,8 @@
     return nullptr;
 }
 
-void server_links::check(std::uint32_t check, const server_id& server, const link_address& address)
+void server_connections::check(std::uint32_t check, const server_id& server,
+                               const link_address& address)
 {
     if (this->checks.contains(check)) return;
     const link_ptr item = this->connect(server, address);
@@ -97,7 +99,7 @@
     this->checks[check] = item;
 }
 
-void server_links::end_check(link& item, bool ended)
+void server_connections::end_check(link& item, bool ended)
 {
     const std::optional<std::uint32_t> check = std::exchange(item.check, std::nullopt);
     if (!check) return;
@@ -105,7 +107,8 @@
     this->on_checked.emit(*check, ended);
 }
 
-server_links::link_ptr server_links::connect(const server_id& server, const link_address& address)
+server_connections::link_ptr server_connections::connect(const server_id& server,
+                                                         const link_address& address)
 {
     auto item = std::make_shared<link>(this);
     ++this->connections_opened;
@@ -144,7 +147,7 @@
     return item;
 }
 
-void server_links::send(link& item, const attempt_order& order)
+void server_connections::send(link& item, const attempt_request& order)
 {
     evbuffer* out = bufferevent_get_output(item.socket.get());
     evbuffer_add(out, order.head.data(), order.head.size());
@@ -152,7 +155,7 @@
     flush_output(item.socket.get());
 }
 
-void server_links::handle_event(const link_ptr& item, short what)
+void server_connections::handle_event(const link_ptr& item, short what)
 {
     if (item->is_closed) return;
     if ((what & BEV_EVENT_CONNECTED) != 0) {
@@ -171,8 +174,8 @@
         return;
     }
     const bool clean = (what & BEV_EVENT_EOF) != 0;
-    if (clean && item->attempt != 0 && !item->skipping && item->reader.head_done() &&
-        item->reader.read_end() == read_result::message_ended) {
+    if (clean && item->attempt != 0 && !item->skipping && item->reader.head_complete() &&
+        item->reader.read_eof() == read_result::message_complete) {
         item->close_after = true;
         this->finish_answer(item);
         return;
@@ -183,9 +186,9 @@
     this->fail(item, item->connected ? "read" : "connect", clean ? "closed" : std::strerror(error));
 }
 
-void server_links::handle_head(link& item, const http_head& head)
+void server_connections::handle_head(link& item, const http_head& head)
 {
-    const answer_facts facts = this->dialect.decode_answer(head);
+    const response_metadata facts = this->adapter.decode_response(head);
     constexpr int client_error = 400;
     const bool other_request = !facts.request_id.empty() && facts.request_id != item.request_id;
     // Only error responses may lack the request id.
@@ -194,12 +197,12 @@
     if (facts.close || !head.keep_alive) item.close_after = true;
     if (facts.idle_timeout) {
         // Half of the announced time, because the server's idle timer started earlier than ours.
-        item.max_idle = std::min<duration>(idle_at_most, milliseconds(*facts.idle_timeout) / 2);
+        item.max_idle = std::min<duration>(max_idle_time, milliseconds(*facts.idle_timeout) / 2);
     }
     if (!item.skipping) this->on_head.emit(item.attempt, head, facts);
 }
 
-void server_links::read(const link_ptr& item)
+void server_connections::read(const link_ptr& item)
 {
     evbuffer* input = bufferevent_get_input(item->socket.get());
     while (!item->is_closed && evbuffer_get_length(input) > 0) {
@@ -209,7 +212,7 @@
         }
         const read_result result = item->reader.read(input);
         if (result == read_result::need_more) return;
-        if (result != read_result::message_ended) {
+        if (result != read_result::message_complete) {
             this->fail(item, "parse", "not an answer");
             return;
         }
@@ -220,7 +223,7 @@
     }
 }
 
-void server_links::finish_answer(const link_ptr& item)
+void server_connections::finish_answer(const link_ptr& item)
 {
     const std::uint64_t attempt = std::exchange(item->attempt, 0);
     if (attempt == 0) return;
@@ -235,10 +238,10 @@
         item->since = now();
         this->idle[item->server].push_back(item);
     }
-    this->on_end.emit({attempt, send_result::answered, "answer", {}});
+    this->on_end.emit({attempt, send_progress::answered, "answer", {}});
 }
 
-void server_links::fail(const link_ptr& item, const char* step, std::string detail)
+void server_connections::fail(const link_ptr& item, const char* step, std::string detail)
 {
     const std::uint64_t attempt = std::exchange(item->attempt, 0);
     const bool sent = item->connected;
@@ -246,11 +249,11 @@
     this->end_check(*item, item->refused);
     if (attempt == 0) return;
     this->attempts.erase(attempt);
-    this->on_end.emit({attempt, sent ? send_result::broken : send_result::not_sent, step,
+    this->on_end.emit({attempt, sent ? send_progress::broken : send_progress::not_sent, step,
                        std::move(detail), sent && item->peer_closed});
 }
 
-void server_links::drop(link& item)
+void server_connections::drop(link& item)
 {
     if (item.is_closed) return;
     item.is_closed = true;
@@ -263,7 +266,7 @@
     if (pool != this->idle.end()) std::erase(pool->second, this->closed.back());
 }
 
-void server_links::cancel(std::uint64_t attempt)
+void server_connections::cancel(std::uint64_t attempt)
 {
     const auto found = this->attempts.find(attempt);
     if (found == this->attempts.end()) return;
@@ -273,7 +276,7 @@
     this->drop(*item);
 }
 
-void server_links::sweep(instant time)
+void server_connections::sweep(instant time)
 {
     this->closed.clear();
     std::vector<link_ptr> late;
@@ -294,7 +297,7 @@
     std::erase_if(this->idle, [](const auto& entry) { return entry.second.empty(); });
 }
 
-void server_links::forget(const server_id& server)
+void server_connections::forget(const server_id& server)
 {
     const auto pool = this->idle.find(server);
     if (pool == this->idle.end()) return;
@@ -304,7 +307,7 @@
     this->idle.erase(server);
 }
 
-void server_links::forget_all()
+void server_connections::close_all_idle()
 {
     std::vector<server_id> servers(this->idle.size());
     std::ranges::transform(this->idle, servers.begin(),
--- a/src/server_links.h
+++ b/src/server_connections.h
@@ -20,31 +20,31 @@
 namespace worksshift {
 
 /** How far an attempt got. */
-enum class send_result : std::uint8_t {
+enum class send_progress : std::uint8_t {
     answered, ///< the response is complete
     not_sent, ///< no byte of the request reached the server
     broken,   ///< the request was sent, but no complete response arrived
 };
 
 /** Outcome of an attempt. */
-struct attempt_end {
+struct attempt_outcome {
     std::uint64_t attempt = 0;
-    send_result result = send_result::broken;
+    send_progress result = send_progress::broken;
     const char* step = ""; ///< the step at which the attempt ended
     std::string detail;
     bool peer_closed = false; ///< the server closed or reset the connection
 };
 
 /** One request to be sent to a server. */
-struct attempt_order {
+struct attempt_request {
     std::uint64_t attempt = 0;
     server_id server;
     link_address address;
     std::string request_id; ///< echoed by the server in its response
     std::string head;
-    std::string_view body;       ///< not owned; must stay valid until the attempt is over
-    bool no_answer_body = false; ///< the response has no body, as after HEAD
-    bool repeatable = false;     ///< the request may be executed more than once
+    std::string_view body;         ///< not owned; must stay valid until the attempt is over
+    bool no_response_body = false; ///< the response has no body, as after HEAD
+    bool repeatable = false;       ///< the request may be executed more than once
 };
 
 /** Connect timeout. The network delay to servers is a few milliseconds, so a server that takes
@@ -55,22 +55,22 @@
 constexpr milliseconds unacknowledged_timeout(1500);
 /** Maximum idle time of a pooled connection; half of the timeout that the server announces if that
  * is shorter. */
-constexpr duration idle_at_most = seconds(4);
+constexpr duration max_idle_time = seconds(4);
 /** A request that must not run twice reuses a connection only if it has been idle for at most this
  * time, too short for the server to have closed it; otherwise a new one is opened. If the server
  * closed the idle connection as the request was sent, its outcome would be unknown. */
-constexpr duration fresh_within = milliseconds(700);
+constexpr duration max_reuse_age = milliseconds(700);
 
-class server_links {
+class server_connections {
 public:
-    server_links(event_base* base, const protocol& dialect);
-    ~server_links();
-    server_links(const server_links&) = delete;
-    server_links& operator=(const server_links&) = delete;
-    server_links(server_links&&) = delete;
-    server_links& operator=(server_links&&) = delete;
-
-    void start(const attempt_order& order);
+    server_connections(event_base* base, const protocol& adapter);
+    ~server_connections();
+    server_connections(const server_connections&) = delete;
+    server_connections& operator=(const server_connections&) = delete;
+    server_connections(server_connections&&) = delete;
+    server_connections& operator=(server_connections&&) = delete;
+
+    void start(const attempt_request& order);
     /** Closes the attempt's connection, so that the server stops processing. Emits no signal. */
     void cancel(std::uint64_t attempt);
     /** Checks whether the server's process has ended, by opening a connection without sending
@@ -85,15 +85,15 @@
     void forget(const server_id& server);
     /** Closes all idle connections. Used after a suspension of the VM, when their idle time is
      * unknown. */
-    void forget_all();
+    void close_all_idle();
 
     [[nodiscard]] std::size_t active() const { return this->attempts.size(); }
     [[nodiscard]] std::uint64_t opened() const { return this->connections_opened; }
 
     /** Signals of an attempt, by its number: the response's head, pieces of its body, its end. */
-    sigc::signal<void(std::uint64_t, const http_head&, const answer_facts&)> on_head;
+    sigc::signal<void(std::uint64_t, const http_head&, const response_metadata&)> on_head;
     sigc::signal<void(std::uint64_t, std::string_view)> on_body;
-    sigc::signal<void(const attempt_end&)> on_end;
+    sigc::signal<void(const attempt_outcome&)> on_end;
     /** Result of a check: true if the server's process has ended, that is, its host refused the
      * connection. A server that does not answer may be busy or unreachable, so the
      * result is false. */
@@ -103,10 +103,10 @@
     struct link;
     using link_ptr = std::shared_ptr<link>;
 
-    link_ptr take_idle(const attempt_order& order);
+    link_ptr take_idle(const attempt_request& order);
     link_ptr connect(const server_id& server, const link_address& address);
     void end_check(link& item, bool ended);
-    void send(link& item, const attempt_order& order);
+    void send(link& item, const attempt_request& order);
     void handle_head(link& item, const http_head& head);
     void read(const link_ptr& item);
     void handle_event(const link_ptr& item, short what);
@@ -115,7 +115,7 @@
     void drop(link& item);
 
     event_base* base;
-    const protocol& dialect;
+    const protocol& adapter;
     std::unordered_map<std::uint64_t, link_ptr> attempts;
     std::unordered_map<std::uint32_t, link_ptr> checks;
     std::unordered_map<server_id, std::vector<link_ptr>> idle;
--- a/src/server_registry.cpp
+++ b/src/server_registry.cpp
@@ -91,7 +91,7 @@
 bool server_registry::is_former(const stored_object& removal) const
 {
     try {
-        return this->table.is_former(this->dialect.decode_server(removal));
+        return this->table.is_former(this->adapter.decode_server(removal));
     } catch (const error&) {
         // The entry cannot be decoded, so it is treated as a removal, whoever wrote it.
         return false;
@@ -102,17 +102,18 @@
                           const update_origin& origin, instant now)
 {
     try {
-        const server_record record = this->dialect.decode_server(item);
+        const server_record record = this->adapter.decode_server(item);
         if (this->table.is_former(record)) return false;
         this->missing.erase(record.id);
         const server_entry* known = this->table.find(record.id);
-        const bool restarted = known != nullptr && known->record.born_ms < record.born_ms;
-        const std::uint64_t before = restarted ? known->record.born_ms : 0;
+        const bool restarted =
+            known != nullptr && known->record.started_at_ms < record.started_at_ms;
+        const std::uint64_t before = restarted ? known->record.started_at_ms : 0;
         if (!this->table.put(record, now)) return false;
         if (restarted) {
             log_event(log_level::info, "server_restarted",
                       {{"server", record.id.text},
-                       {"born_ms", record.born_ms},
+                       {"born_ms", record.started_at_ms},
                        {"before_ms", before},
                        {"revision", item.revision}});
             this->on_restarted.emit(record.id);
--- a/src/server_registry.h
+++ b/src/server_registry.h
@@ -64,7 +64,7 @@
      * expired. */
     static constexpr double expired_share_threshold = 0.5;
 
-    server_registry(server_table& table, const protocol& dialect) : table(table), dialect(dialect)
+    server_registry(server_table& table, const protocol& adapter) : table(table), adapter(adapter)
     {
     }
 
@@ -121,7 +121,7 @@
     [[nodiscard]] std::set<service_id> services_with_mass_expiry() const;
 
     server_table& table;
-    const protocol& dialect;
+    const protocol& adapter;
     std::map<server_id, missing_entry> missing;
     unreadable_entries unlogged_unreadable;
     std::uint64_t unreadable_total = 0;
--- a/src/server_table.cpp
+++ b/src/server_table.cpp
@@ -90,7 +90,7 @@
  * cold. */
 void server_table::update_cold(server_entry& row, bool restarted, instant now)
 {
-    const milliseconds remaining = row.record.cold_for;
+    const milliseconds remaining = row.record.cold_remaining;
     if (remaining > milliseconds{}) {
         mark_cold(row, remaining, "entry", now);
     } else if (restarted) {
@@ -150,7 +150,7 @@
 void server_table::update_cold_shares(service_state& group, const fleet_members& members,
                                       instant now)
 {
-    if (!group.traits.limits_cold()) return;
+    if (!group.traits.has_cold_limit()) return;
     const cold_bound bound(group.traits.cold_requests_per_s.value_or(0), this->cold);
     for (server_entry* row : group.rows) {
         if (!row->cold.cold(now)) continue;
@@ -164,7 +164,7 @@
  * cold servers permits one. */
 bool server_table::is_open(const service_state& group, const server_entry& row, instant now) const
 {
-    return !row.backing_off(now) && (!group.traits.limits_cold() || row.cold.open(now));
+    return !row.backing_off(now) && (!group.traits.has_cold_limit() || row.cold.open(now));
 }
 
 bool server_table::is_allowed(const server_entry& row, const placement_request& wanted)
@@ -190,7 +190,7 @@
         // Servers already tried count: the caller's later retry may be sent to them again.
         if (!row->takes_work() || !is_allowed(*row, wanted)) continue;
         if (this->is_open(group->second, *row, now)) continue;
-        const bool cold = group->second.traits.limits_cold() && !row->cold.open(now);
+        const bool cold = group->second.traits.has_cold_limit() && !row->cold.open(now);
         const instant at = std::max(row->backoff_until, cold ? row->cold.opens_at() : instant{});
         if (!first || at < *first) first = at;
     }
@@ -200,7 +200,7 @@
 bool server_table::is_former(const server_record& record) const
 {
     const auto found = this->table.find(record.id);
-    return found != this->table.end() && record.born_ms < found->second.record.born_ms;
+    return found != this->table.end() && record.started_at_ms < found->second.record.started_at_ms;
 }
 
 bool server_table::put(const server_record& record, instant now)
@@ -208,7 +208,7 @@
     if (this->is_former(record)) return false;
     const auto known = this->table.find(record.id);
     const bool known_before = known != this->table.end();
-    if (known_before && record.born_ms > known->second.record.born_ms) {
+    if (known_before && record.started_at_ms > known->second.record.started_at_ms) {
         this->retire(known->second);
     }
     const auto [found, added] = this->table.try_emplace(record.id);
@@ -327,7 +327,7 @@
         for (const server_entry* row : group.rows) {
             if (!row->takes_work() || !row->health.usable(now) || row->unresponsive(now)) continue;
             if (row->failing || row->backing_off(now)) continue;
-            if (group.traits.limits_cold() && row->cold.cold(now)) continue;
+            if (group.traits.has_cold_limit() && row->cold.cold(now)) continue;
             ++group.sum.engines;
             group.sum.slots += row->record.slots;
             group.sum.requests += row->load();
@@ -673,7 +673,7 @@
 server_incarnation incarnation_of(const server_record& record)
 {
     return server_incarnation{
-        static_cast<std::uint32_t>(rendezvous_weight(record.id.hash(), record.born_ms))};
+        static_cast<std::uint32_t>(rendezvous_weight(record.id.hash(), record.started_at_ms))};
 }
 
 std::uint64_t affinity_of(std::span<const prompt_part> prompt)
--- a/src/store_watch_client.cpp
+++ b/src/store_watch_client.cpp
@@ -18,10 +18,10 @@
 
 } // namespace
 
-store_watch_client::store_watch_client(event_base* base, http_caller& caller,
-                                       const link_address& store, const protocol& dialect,
+store_watch_client::store_watch_client(event_base* base, http_client& caller,
+                                       const link_address& store, const protocol& adapter,
                                        store_watch& watch)
-    : caller(caller), store(store), dialect(dialect), watch(watch),
+    : caller(caller), store(store), adapter(adapter), watch(watch),
       next(base, [this] { this->proceed(); })
 {
 }
@@ -47,10 +47,10 @@
     ++(call.mode == read_mode::stale ? this->stale_calls : this->linearizable_calls);
     const std::string path = std::visit(
         visitor{[&](const list_read& list) {
-                    return this->dialect.list_path(this->watch.kind(), list.after, call.mode);
+                    return this->adapter.list_path(this->watch.kind(), list.after, call.mode);
                 },
                 [&](const watch_read& changes) {
-                    return this->dialect.watch_path(this->watch.kind(), changes.revision,
+                    return this->adapter.watch_path(this->watch.kind(), changes.revision,
                                                     changes.wait, call.mode);
                 }},
         call.what);
@@ -80,7 +80,7 @@
 /** \throws peer_error if the body is not a page. */
 object_page store_watch_client::decode(const std::string& body)
 {
-    object_page page = this->dialect.decode_page(body);
+    object_page page = this->adapter.decode_page(body);
     this->unreadable_total += page.unreadable;
     if (page.unreadable > 0) {
         log_event(log_level::warn, "entries_unreadable",
--- a/src/store_watch_client.h
+++ b/src/store_watch_client.h
@@ -4,15 +4,15 @@
  */
 #pragma once
 
-#include "http_call.h"
+#include "http_client.h"
 #include "store_watch.h"
 
 namespace worksshift {
 
 class store_watch_client {
 public:
-    store_watch_client(event_base* base, http_caller& caller, const link_address& store,
-                       const protocol& dialect, store_watch& watch);
+    store_watch_client(event_base* base, http_client& caller, const link_address& store,
+                       const protocol& adapter, store_watch& watch);
 
     /** Makes the call that is due, or sets a timer for the next one. To be called after the state
      * of the `store_watch` was changed. */
@@ -28,9 +28,9 @@
     void take(std::uint64_t number, const http_response& response);
     object_page decode(const std::string& body);
 
-    http_caller& caller;
+    http_client& caller;
     link_address store;
-    const protocol& dialect;
+    const protocol& adapter;
     store_watch& watch;
     timer next;
     std::uint64_t newest_call = 0; ///< identifies the newest call at the HTTP caller
--- a/test/correctness/cold_servers_are_spared.cpp
+++ b/test/correctness/cold_servers_are_spared.cpp
@@ -196,8 +196,8 @@
         made.service = llm;
         made.data_centre = {"dc"};
         made.slots = 10;
-        made.born_ms = born;
-        made.cold_for = milliseconds(cold_ms);
+        made.started_at_ms = born;
+        made.cold_remaining = milliseconds(cold_ms);
         return made;
     }
 
--- a/test/correctness/evacuated_servers_get_nothing.cpp
+++ b/test/correctness/evacuated_servers_get_nothing.cpp
@@ -33,7 +33,7 @@
         fleet->add_server("a", "desk", good, "here");
         fleet->add_server("b", "desk", good, "there");
         fleet->start_all();
-        CPPUNIT_ASSERT(fleet->all_ready());
+        CPPUNIT_ASSERT(fleet->wait_until_all_ready());
         return fleet;
     }
 
--- a/test/correctness/leaving_servers_are_known_to_all.cpp
+++ b/test/correctness/leaving_servers_are_known_to_all.cpp
@@ -44,7 +44,7 @@
             return {answer_text(200, request, "x"), then::keep};
         });
         fleet.start_all();
-        CPPUNIT_ASSERT(fleet.all_ready());
+        CPPUNIT_ASSERT(fleet.wait_until_all_ready());
         CPPUNIT_ASSERT(requests_to_first(fleet) > 0);
         fleet.store->fault = fakes::store_fault::silent;
         leaves = true;
@@ -57,7 +57,7 @@
         fleet.routers[2].signal(SIGKILL);
         fleet.routers[2].wait();
         fleet.start(2);
-        CPPUNIT_ASSERT(fleet.all_ready());
+        CPPUNIT_ASSERT(fleet.wait_until_all_ready());
         fleet.run_until([] { return false; }, seconds(1));
         CPPUNIT_ASSERT_EQUAL(std::size_t{0}, requests_to_first(fleet));
     }
--- a/test/correctness/requests_stay_in_their_regions.cpp
+++ b/test/correctness/requests_stay_in_their_regions.cpp
@@ -144,7 +144,7 @@
         const std::vector<region_id> expected{{"north"}, {"west"}};
         CPPUNIT_ASSERT(sound->find("h", "/a/x")->allowed_regions.empty());
         CPPUNIT_ASSERT(sound->find("h", "/b/x")->allowed_regions == expected);
-        CPPUNIT_ASSERT(sound->account_of_key.at("k").allowed_regions == expected);
+        CPPUNIT_ASSERT(sound->account_by_key.at("k").allowed_regions == expected);
         for (const std::string nothing : {"[]", "null"})
             CPPUNIT_ASSERT(decode(nothing)->find("h", "/b/x")->allowed_regions.empty());
         // An unreadable list allows no region, and the rest of the configuration is still used.
@@ -153,7 +153,7 @@
             CPPUNIT_ASSERT(made->find("h", "/a/x")->allowed_regions.empty());
             const std::vector<region_id> none{region_id{}};
             CPPUNIT_ASSERT_MESSAGE(other, made->find("h", "/b/x")->allowed_regions == none);
-            CPPUNIT_ASSERT(made->account_of_key.at("k").allowed_regions == none);
+            CPPUNIT_ASSERT(made->account_by_key.at("k").allowed_regions == none);
             CPPUNIT_ASSERT_EQUAL(std::size_t{2}, made->unreadable_regions);
         }
     }
--- a/test/correctness/requests_that_end_servers.cpp
+++ b/test/correctness/requests_that_end_servers.cpp
@@ -105,7 +105,7 @@
         this->fleet->set_config(example_config(1));
         this->add_servers(6);
         this->fleet->start_all();
-        CPPUNIT_ASSERT(this->fleet->all_ready());
+        CPPUNIT_ASSERT(this->fleet->wait_until_all_ready());
         this->wait(seconds(1));
     }
 
@@ -145,7 +145,7 @@
             this->fleet->routers[router].signal(SIGKILL);
             this->fleet->routers[router].wait();
             this->fleet->start(router);
-            CPPUNIT_ASSERT(this->fleet->all_ready());
+            CPPUNIT_ASSERT(this->fleet->wait_until_all_ready());
             this->wait(seconds(1));
         }
         const std::size_t before = this->harmful_sends();
@@ -167,7 +167,9 @@
             }
             this->ask_harmful(1);
         }
-        const auto whole = [](const auto& caller) { return is_whole(caller->received); };
+        const auto whole = [](const auto& caller) {
+            return is_complete_response(caller->received);
+        };
         CPPUNIT_ASSERT(
             this->fleet->run_until([&] { return std::ranges::all_of(beside, whole); }, seconds(3)));
         this->wait(learnt_within);
--- a/test/correctness/router_fleet_serves.cpp
+++ b/test/correctness/router_fleet_serves.cpp
@@ -37,7 +37,7 @@
         fleet->add_server("a", "desk", good);
         fleet->add_server("b", "desk", good);
         fleet->start_all();
-        CPPUNIT_ASSERT(fleet->all_ready());
+        CPPUNIT_ASSERT(fleet->wait_until_all_ready());
         return fleet;
     }
 
@@ -150,7 +150,8 @@
         fleet->run_until([] { return false; }, seconds(1));
         const auto kept = fleet->connect(0);
         kept->send(request_text("GET", "/safe/x", "1"));
-        CPPUNIT_ASSERT(fleet->run_until([&] { return is_whole(kept->received); }, seconds(2)));
+        CPPUNIT_ASSERT(
+            fleet->run_until([&] { return is_complete_response(kept->received); }, seconds(2)));
         // An unanswered request keeps the process running to the end of its grace period.
         fleet->servers[0]->answer = [](const std::string&) -> scripted_answer {
             return {"", then::stay_silent};
--- a/test/error/busy_is_not_silent.cpp
+++ b/test/error/busy_is_not_silent.cpp
@@ -85,7 +85,7 @@
     void setUp() override
     {
         this->rig = std::make_unique<path_rig>();
-        this->rig->path->set_config(this->rig->dialect.decode_config(example_config(1)));
+        this->rig->path->set_config(this->rig->adapter.decode_config(example_config(1)));
         for (const char* id : {"a", "b"}) {
             this->engines.push_back(
                 &this->rig->add_server(id, "llm", [](const std::string& request) {
--- a/test/error/callers_that_ask_badly.cpp
+++ b/test/error/callers_that_ask_badly.cpp
@@ -47,7 +47,7 @@
     void setUp() override
     {
         this->rig = std::make_unique<path_rig>();
-        this->rig->path->set_config(this->rig->dialect.decode_config(example_config(1)));
+        this->rig->path->set_config(this->rig->adapter.decode_config(example_config(1)));
         this->server = &this->rig->add_server("a", "desk", [](const std::string& request) {
             return scripted_answer{answer_text(200, request, header_in(request, "x-request-id")),
                                    then::keep};
@@ -119,14 +119,14 @@
         leaving_caller.leave();
         this->rig->run_for(milliseconds(20));
         CPPUNIT_ASSERT(caller.received.empty());
-        this->rig->path->set_config(this->rig->dialect.decode_config(example_config(1)));
+        this->rig->path->set_config(this->rig->adapter.decode_config(example_config(1)));
         CPPUNIT_ASSERT(this->rig->run_until([&] { return caller.received.ends_with("served"); }));
     }
 
     /** Guards against matching a shorter prefix when a route with a longer one matches too. */
     void nested_routes()
     {
-        const router_config_ptr config = this->rig->dialect.decode_config(example_config(1));
+        const router_config_ptr config = this->rig->adapter.decode_config(example_config(1));
         CPPUNIT_ASSERT_EQUAL(std::string("safe"), config->find("h", "/safe/x")->name);
         CPPUNIT_ASSERT_EQUAL(std::string("safe"), config->find("h", "/safe/nest")->name);
         CPPUNIT_ASSERT_EQUAL(std::string("safe/nested"),
--- a/test/error/cold_times_that_mean_nothing.cpp
+++ b/test/error/cold_times_that_mean_nothing.cpp
@@ -18,21 +18,21 @@
     CPPUNIT_TEST(of_a_service);
     CPPUNIT_TEST_SUITE_END();
 
-    protocol dialect = platform_protocol();
+    protocol adapter = platform_protocol();
 
-    milliseconds cold_for(const std::string& told) const
+    milliseconds cold_remaining(const std::string& told) const
     {
         stored_object entry;
         entry.name = "a";
         entry.document = R"({"service":"desk","address":"127.0.0.1:1","zone":"dc","version":"v1",)"
                          R"("slots":4,"state":"ready","sequence":1,"coldRemainingMs":)" +
                          told + "}";
-        return this->dialect.decode_server(entry).cold_for;
+        return this->adapter.decode_server(entry).cold_remaining;
     }
 
     service_traits traits(const std::string& told) const
     {
-        const auto config = this->dialect.decode_config(
+        const auto config = this->adapter.decode_config(
             R"({"version":1,"routes":[],"services":[{"name":"desk")" + told + "}]}");
         return config->services.at({"desk"});
     }
@@ -41,14 +41,14 @@
     /** Remaining cold time in a server's entry: limited to 0..60 s, rejected if not a number. */
     void of_a_server()
     {
-        CPPUNIT_ASSERT(this->cold_for("2500") == milliseconds(2500));
-        CPPUNIT_ASSERT(this->cold_for("12.7") == milliseconds(12));
-        CPPUNIT_ASSERT(this->cold_for("-1") == milliseconds(0));
-        CPPUNIT_ASSERT(this->cold_for("-1e300") == milliseconds(0));
-        CPPUNIT_ASSERT(this->cold_for("1e300") == seconds(60));
-        CPPUNIT_ASSERT(this->cold_for("18446744073709551615") == seconds(60));
+        CPPUNIT_ASSERT(this->cold_remaining("2500") == milliseconds(2500));
+        CPPUNIT_ASSERT(this->cold_remaining("12.7") == milliseconds(12));
+        CPPUNIT_ASSERT(this->cold_remaining("-1") == milliseconds(0));
+        CPPUNIT_ASSERT(this->cold_remaining("-1e300") == milliseconds(0));
+        CPPUNIT_ASSERT(this->cold_remaining("1e300") == seconds(60));
+        CPPUNIT_ASSERT(this->cold_remaining("18446744073709551615") == seconds(60));
         for (const std::string other : {"null", "\"3000\"", "[]", "true"})
-            CPPUNIT_ASSERT_THROW((void)this->cold_for(other), peer_error);
+            CPPUNIT_ASSERT_THROW((void)this->cold_remaining(other), peer_error);
     }
 
     /** Cold-start time and rate of a service: limited likewise, ignored if not a number. */
--- a/test/error/configurations_that_come_late.cpp
+++ b/test/error/configurations_that_come_late.cpp
@@ -19,9 +19,9 @@
 class vm {
 public:
     vm(event_base* base, const std::string& address, std::uint16_t port, const link_address& store,
-       const protocol& dialect)
+       const protocol& adapter)
         : caller(base), gossip(base, {address, port}, {"dc"}, seeds(port)),
-          follower(base, caller, store, dialect, gossip), http(evhttp_new(base)),
+          follower(base, caller, store, adapter, gossip), http(evhttp_new(base)),
           ticker(base, [this] { this->tick(); })
     {
         this->gossip.on_digest.connect(
@@ -37,7 +37,7 @@
         this->follower.start();
     }
 
-    http_caller caller;
+    http_client caller;
     fleet_gossip gossip;
     config_follower follower;
     bool watching = true;
@@ -90,7 +90,7 @@
     std::unique_ptr<fakes::fake_store> store;
     std::unique_ptr<vm> first;
     std::unique_ptr<vm> second;
-    protocol dialect = platform_protocol();
+    protocol adapter = platform_protocol();
     std::uint16_t port = 0;
     link_address store_address;
 
@@ -111,7 +111,7 @@
 
     std::unique_ptr<vm> make(const std::string& address, const link_address& store_at)
     {
-        return std::make_unique<vm>(this->base.get(), address, this->port, store_at, this->dialect);
+        return std::make_unique<vm>(this->base.get(), address, this->port, store_at, this->adapter);
     }
 
 public:
--- a/test/error/forged_headers.cpp
+++ b/test/error/forged_headers.cpp
@@ -91,7 +91,7 @@
     void setUp() override
     {
         this->rig = std::make_unique<path_rig>();
-        this->rig->path->set_config(this->rig->dialect.decode_config(example_config(1)));
+        this->rig->path->set_config(this->rig->adapter.decode_config(example_config(1)));
     }
 
     /** Guards against a forged header on the first attempt, on each kind of route. */
--- a/test/error/registry_entries_by_others.cpp
+++ b/test/error/registry_entries_by_others.cpp
@@ -111,7 +111,7 @@
     CPPUNIT_TEST(routers_serve_beside_thousands_of_them);
     CPPUNIT_TEST_SUITE_END();
 
-    protocol dialect = platform_protocol();
+    protocol adapter = platform_protocol();
 
     static std::size_t unreadable(router_fleet& fleet)
     {
@@ -125,7 +125,7 @@
     {
         for (const std::string& document : invalid_documents()) {
             server_table table(data_centre_id{"dc"});
-            server_registry registry(table, this->dialect);
+            server_registry registry(table, this->adapter);
             const std::vector<stored_object> all{entry("a", valid_document), entry("b", document)};
             registry.apply_list(all, store_origin{}, instant(seconds(1000)));
             const std::string start = document.substr(0, 200);
@@ -138,7 +138,7 @@
     {
         const std::string more = with_replacement(
             R"("sequence":1)", R"("sequence":1,"born":1790000000000,"x":[{}],"y":null)");
-        CPPUNIT_ASSERT_EQUAL(std::uint32_t{4}, this->dialect.decode_server(entry("a", more)).slots);
+        CPPUNIT_ASSERT_EQUAL(std::uint32_t{4}, this->adapter.decode_server(entry("a", more)).slots);
     }
 
     /** The id of a server is sent in a header line, so it must not be empty or contain blanks,
@@ -146,14 +146,14 @@
     void names_that_cannot_be_sent_are_refused()
     {
         for (const std::string name : {"", "a b", "a\r\nX-Other: 1", "a\x7f", "\xc3\xa4"})
-            CPPUNIT_ASSERT_THROW(this->dialect.decode_server(entry(name, valid_document)),
+            CPPUNIT_ASSERT_THROW(this->adapter.decode_server(entry(name, valid_document)),
                                  peer_error);
     }
 
     void entry_that_turns_unsound_is_a_server_gone()
     {
         server_table table(data_centre_id{"dc"});
-        server_registry registry(table, this->dialect);
+        server_registry registry(table, this->adapter);
         const instant now = instant(seconds(1000));
         std::vector<stored_object> all;
         for (const std::string name : {"a", "b", "c", "d"})
@@ -176,7 +176,7 @@
         }
         invalid.insert(invalid.end(), {"null", "7", "[]", R"("\ud800")", "NaN", "1e999"});
         for (const std::string& document : invalid) {
-            const object_page page = this->dialect.decode_page(
+            const object_page page = this->adapter.decode_page(
                 page_of(item("a", valid_document) + "," + item("b", document) + "," +
                         item("c", valid_document)));
             CPPUNIT_ASSERT_EQUAL_MESSAGE(document, std::size_t{3}, page.objects.size());
@@ -186,7 +186,7 @@
         for (const std::string other :
              {"null", "7", "{}", R"({"metadata":null,"spec":{}})", R"({"metadata":{"name":7}})",
               R"({"metadata":{"name":"b","revision":"x"},"spec":{}})"}) {
-            const object_page page = this->dialect.decode_page(
+            const object_page page = this->adapter.decode_page(
                 page_of(item("a", valid_document) + "," + other + "," + item("c", valid_document)));
             CPPUNIT_ASSERT_EQUAL_MESSAGE(other, std::size_t{2}, page.objects.size());
             const std::string events = R"({"removed":false,"object":)" + item("a", valid_document) +
@@ -194,7 +194,7 @@
                                        R"({"removed":true,"object":)" + item("c", valid_document) +
                                        "}";
             const object_page batch =
-                this->dialect.decode_page(R"({"events":[)" + events + R"(],"asOf":9})");
+                this->adapter.decode_page(R"({"events":[)" + events + R"(],"asOf":9})");
             CPPUNIT_ASSERT_EQUAL_MESSAGE(other, std::size_t{2}, batch.objects.size());
             CPPUNIT_ASSERT(batch.objects[1].removed);
         }
@@ -204,7 +204,7 @@
     {
         for (const std::string body : {"", "null", "[]", "{", R"({"items":7})", R"({"items":[1)",
                                        R"({"items":[],"asOf":"x"})", "\xff\xfe"}) {
-            CPPUNIT_ASSERT_THROW_MESSAGE(body, this->dialect.decode_page(body), peer_error);
+            CPPUNIT_ASSERT_THROW_MESSAGE(body, this->adapter.decode_page(body), peer_error);
         }
     }
 
@@ -229,7 +229,7 @@
             fleet.store->put("servers", "x" + std::to_string(i), document);
         }
         fleet.start_all();
-        CPPUNIT_ASSERT(fleet.all_ready());
+        CPPUNIT_ASSERT(fleet.wait_until_all_ready());
         CPPUNIT_ASSERT_EQUAL(200, status_in(fleet.ask(0, request_text("GET", "/safe/x", "r1"))));
         // Waits until the list is complete and the watch has started.
         CPPUNIT_ASSERT(
--- a/test/error/servers_that_answer_badly.cpp
+++ b/test/error/servers_that_answer_badly.cpp
@@ -67,7 +67,7 @@
     void setUp() override
     {
         this->rig = std::make_unique<path_rig>();
-        this->rig->path->set_config(this->rig->dialect.decode_config(example_config(1)));
+        this->rig->path->set_config(this->rig->adapter.decode_config(example_config(1)));
     }
 
     /** Guards against forwarding a truncated response to an idempotent request instead of retrying.
@@ -177,8 +177,8 @@
     {
         // Larger than all socket buffers together, so part of the body is still unsent.
         constexpr std::size_t large = std::size_t{16} * 1024 * 1024;
-        auto config = this->rig->dialect.decode_config(example_config(2));
-        config->limits.body_bytes = large;
+        auto config = this->rig->adapter.decode_config(example_config(2));
+        config->limits.max_body_bytes = large;
         this->rig->path->set_config(config);
         scripted_server& server = this->rig->add_server("a", "desk", good);
         raw_caller& caller = this->rig->add_caller();
@@ -214,12 +214,12 @@
     {
         scripted_server& server = this->rig->add_server("a", "desk", good);
         this->ask(request_text("GET", "/safe/x", "1"));
-        this->rig->run_for(fresh_within + milliseconds(100));
+        this->rig->run_for(max_reuse_age + milliseconds(100));
         this->ask(request_text("GET", "/safe/x", "2"));
         CPPUNIT_ASSERT_EQUAL(std::size_t{1}, server.connections);
         this->ask(request_text("POST", "/unsafe/x", "3", "{}"));
         CPPUNIT_ASSERT_EQUAL(std::size_t{1}, server.connections);
-        this->rig->run_for(fresh_within + milliseconds(100));
+        this->rig->run_for(max_reuse_age + milliseconds(100));
         this->ask(request_text("POST", "/unsafe/x", "4", "{}"));
         CPPUNIT_ASSERT_EQUAL(std::size_t{2}, server.connections);
     }
--- a/test/error/servers_that_leave_or_ask_for_rest.cpp
+++ b/test/error/servers_that_leave_or_ask_for_rest.cpp
@@ -65,7 +65,7 @@
     void start(const std::string& service, bool second)
     {
         this->rig = std::make_unique<path_rig>();
-        this->rig->path->set_config(this->rig->dialect.decode_config(example_config(1)));
+        this->rig->path->set_config(this->rig->adapter.decode_config(example_config(1)));
         this->rig->add_server("first", service, [this](const std::string& request) {
             return this->answer_first(request);
         });
@@ -136,10 +136,10 @@
     }
 
     /** The registry entry expires and reappears, as after an outage of the store. */
-    void list_anew(std::uint64_t born_ms = 0)
+    void list_anew(std::uint64_t started_at_ms = 0)
     {
         server_record record = this->rig->table.find(server_id{"first"})->record;
-        record.born_ms = born_ms;
+        record.started_at_ms = started_at_ms;
         this->rig->table.remove(record.id);
         this->rig->table.sweep(std::chrono::steady_clock::now());
         this->rig->table.put(record, std::chrono::steady_clock::now());
--- a/test/error/servers_that_leave_or_lapse.cpp
+++ b/test/error/servers_that_leave_or_lapse.cpp
@@ -39,7 +39,7 @@
     /** The users' bound: time from the store's response to the removal until the last new work. */
     static constexpr duration leaving_bound = milliseconds(2000);
 
-    protocol dialect = platform_protocol();
+    protocol adapter = platform_protocol();
     std::unique_ptr<server_table> table;
     std::unique_ptr<server_registry> registry;
     instant start = instant(seconds(1000));
@@ -74,7 +74,7 @@
     void setUp() override
     {
         this->table = std::make_unique<server_table>(data_centre_id{"dc"});
-        this->registry = std::make_unique<server_registry>(*this->table, this->dialect);
+        this->registry = std::make_unique<server_registry>(*this->table, this->adapter);
         const std::vector<stored_object> all{entry("a"), entry("b"), entry("c"), entry("d")};
         this->registry->apply_list(all, store_origin{}, this->start);
     }
--- a/test/error/servers_that_start_again.cpp
+++ b/test/error/servers_that_start_again.cpp
@@ -50,7 +50,7 @@
     static constexpr std::uint64_t first_born = 1'790'000'000'000;
     static constexpr std::uint64_t second_born = first_born + 60'000;
 
-    protocol dialect = platform_protocol();
+    protocol adapter = platform_protocol();
     std::unique_ptr<server_table> table;
     std::unique_ptr<server_registry> registry;
     instant start = instant(seconds(1000));
@@ -68,7 +68,7 @@
     void setUp() override
     {
         this->table = std::make_unique<server_table>(data_centre_id{"dc"});
-        this->registry = std::make_unique<server_registry>(*this->table, this->dialect);
+        this->registry = std::make_unique<server_registry>(*this->table, this->adapter);
         const std::vector<stored_object> all{entry("a", first_born), entry("b", first_born)};
         this->registry->apply_list(all, store_origin{}, this->start);
     }
@@ -143,7 +143,7 @@
     void request_of_the_former_life_is_not_taken_for_running()
     {
         path_rig rig;
-        rig.path->set_config(rig.dialect.decode_config(example_config(1)));
+        rig.path->set_config(rig.adapter.decode_config(example_config(1)));
         const auto waits = [](const std::string& request) {
             return header_in(request, "x-request-id") == "waits";
         };
@@ -168,7 +168,7 @@
         CPPUNIT_ASSERT(rig.run_until([&] { return times_sent() == 1; }));
         const std::string asked = std::ranges::any_of(engines[0]->requests, waits) ? "a" : "b";
         const link_address address = engines[asked == "a" ? 0 : 1]->address();
-        rig.table.put(rig.dialect.decode_server(entry(asked, second_born, "ready", address)));
+        rig.table.put(rig.adapter.decode_server(entry(asked, second_born, "ready", address)));
         const instant end =
             std::chrono::steady_clock::now() + min_silence_timeout + milliseconds(300);
         for (unsigned next = 0; std::chrono::steady_clock::now() < end; ++next) {
@@ -188,7 +188,7 @@
         });
         fleet.store->put("servers", "a", document(server.address(), first_born, "ready", "desk"));
         fleet.start_all();
-        CPPUNIT_ASSERT(fleet.all_ready());
+        CPPUNIT_ASSERT(fleet.wait_until_all_ready());
         CPPUNIT_ASSERT_EQUAL(200, status_in(fleet.ask(0, request_text("GET", "/safe/x", "r1"))));
         CPPUNIT_ASSERT_EQUAL(std::size_t{0}, server.closed);
         fleet.store->put("servers", "a", document(server.address(), second_born, "ready", "desk"));
--- a/test/error/store_that_fails.cpp
+++ b/test/error/store_that_fails.cpp
@@ -28,8 +28,8 @@
     event_ptr<event_base> base;
     link_address address;
     std::unique_ptr<fakes::fake_store> store;
-    std::unique_ptr<http_caller> caller;
-    protocol dialect = platform_protocol();
+    std::unique_ptr<http_client> caller;
+    protocol adapter = platform_protocol();
     std::unique_ptr<store_watch> state;
     std::unique_ptr<store_watch_client> watch;
     std::vector<stored_object> listed;
@@ -75,10 +75,10 @@
         this->base = make_event_base();
         this->address = {"127.0.0.1", support::free_port()};
         this->store = std::make_unique<fakes::fake_store>(this->base.get(), this->address);
-        this->caller = std::make_unique<http_caller>(this->base.get());
+        this->caller = std::make_unique<http_client>(this->base.get());
         this->state = std::make_unique<store_watch>(object_kind::servers);
         this->watch = std::make_unique<store_watch_client>(
-            this->base.get(), *this->caller, this->address, this->dialect, *this->state);
+            this->base.get(), *this->caller, this->address, this->adapter, *this->state);
         this->listed.clear();
         this->changed.clear();
         this->early.clear();
--- a/test/error/streams_that_break.cpp
+++ b/test/error/streams_that_break.cpp
@@ -68,7 +68,7 @@
     void setUp() override
     {
         this->rig = std::make_unique<path_rig>();
-        this->rig->path->set_config(this->rig->dialect.decode_config(example_config(1)));
+        this->rig->path->set_config(this->rig->adapter.decode_config(example_config(1)));
     }
 
     /** Guards against changing or holding back an unbroken stream. */
--- a/test/error/suspended_vms.cpp
+++ b/test/error/suspended_vms.cpp
@@ -35,7 +35,7 @@
     void setUp() override
     {
         this->rig = std::make_unique<path_rig>();
-        this->rig->path->set_config(this->rig->dialect.decode_config(example_config(1)));
+        this->rig->path->set_config(this->rig->adapter.decode_config(example_config(1)));
     }
 
     /** Guards against missed, repeated and false reports of a suspension. */
@@ -111,7 +111,7 @@
             const raw_caller& caller = this->ask("GET", "/safe/x");
             CPPUNIT_ASSERT(this->rig->run_until([&] { return !caller.received.empty(); }));
             CPPUNIT_ASSERT_EQUAL(asked < 3 ? std::size_t{1} : std::size_t{2}, server.connections);
-            if (asked == 2) this->rig->links->forget_all();
+            if (asked == 2) this->rig->links->close_all_idle();
         }
     }
 };
--- a/test/fakes/fake_http.h
+++ b/test/fakes/fake_http.h
@@ -8,7 +8,7 @@
 #include <string>
 
 #include "event_loop.h"
-#include "http_call.h"
+#include "http_client.h"
 
 namespace fakes {
 
--- a/test/fakes/load_run.cpp
+++ b/test/fakes/load_run.cpp
@@ -4,8 +4,8 @@
 #include <cmath>
 
 #include "fakes/answer.h"
-#include "http_call.h"
-#include "support/figure.h"
+#include "http_client.h"
+#include "support/benchmark_report.h"
 
 namespace fakes {
 
--- a/test/fuzz/evacuations_reach_every_vm.cpp
+++ b/test/fuzz/evacuations_reach_every_vm.cpp
@@ -143,15 +143,15 @@
      * digest must not revoke evacuations that the others know. */
     static void that_a_vm_knows_before_its_servers()
     {
-        const protocol dialect = platform_protocol();
-        evacuation_state starting(dialect);
+        const protocol adapter = platform_protocol();
+        evacuation_state starting(adapter);
         stored_object item;
         item.name = "a";
         const std::vector<stored_object> all{item};
         starting.apply_list(all, 9);
         fleet_digest digest;
         starting.describe(digest, {});
-        evacuation_state other(dialect);
+        evacuation_state other(adapter);
         other.apply_list(all, 5);
         other.take_digest(digest);
         CPPUNIT_ASSERT(other.includes({"a"}));
@@ -203,8 +203,8 @@
     /** Digests carry only data centres that have servers, and a bounded number of them. */
     static void of_places_that_do_not_exist()
     {
-        const protocol dialect = platform_protocol();
-        evacuation_state state(dialect);
+        const protocol adapter = platform_protocol();
+        evacuation_state state(adapter);
         std::vector<stored_object> all;
         for (int i = 0; i < 5000; ++i) {
             stored_object item;
@@ -223,7 +223,7 @@
         state.describe(digest, {place});
         CPPUNIT_ASSERT(digest.evacuated == std::vector<std::uint32_t>{place});
         const fleet_digest told = decode_digest(encode(digest), "vm");
-        evacuation_state other(dialect);
+        evacuation_state other(adapter);
         other.take_digest(told);
         CPPUNIT_ASSERT(other.includes({"a"}));
         CPPUNIT_ASSERT_EQUAL(std::uint64_t{9}, other.revision());
--- a/test/fuzz/path_keeps_promises.cpp
+++ b/test/fuzz/path_keeps_promises.cpp
@@ -135,7 +135,7 @@
     void run_once()
     {
         path_rig rig;
-        rig.path->set_config(rig.dialect.decode_config(example_config(1)));
+        rig.path->set_config(rig.adapter.decode_config(example_config(1)));
         rig.path->set_retry_budget({1.0, seconds(10), 100.0});
         this->runs.clear();
         this->arrivals = 0;
--- a/test/fuzz/registry_pages_are_decoded.cpp
+++ b/test/fuzz/registry_pages_are_decoded.cpp
@@ -64,13 +64,13 @@
     CPPUNIT_TEST(any_bytes_end_in_a_page_or_an_error);
     CPPUNIT_TEST_SUITE_END();
 
-    protocol dialect = platform_protocol();
+    protocol adapter = platform_protocol();
 
     /** Decodes the object as a server; any exception but peer_error fails the test. */
     void read(const stored_object& object) const
     {
         try {
-            const server_record record = this->dialect.decode_server(object);
+            const server_record record = this->adapter.decode_server(object);
             RC_ASSERT(!record.service.empty() && record.slots > 0 && record.address.port > 0);
         } catch (const peer_error&) {
             // An invalid entry is rejected.
@@ -86,10 +86,10 @@
             const std::string page = R"({"items":[)" + item(good_metadata, valid_document) + "," +
                                      other + "," + item(good_metadata, valid_document) +
                                      R"(],"asOf":5})";
-            const object_page read = this->dialect.decode_page(page);
+            const object_page read = this->adapter.decode_page(page);
             RC_ASSERT(read.objects.size() + read.unreadable == 3U);
-            RC_ASSERT(this->dialect.decode_server(read.objects.front()).slots == 4U);
-            RC_ASSERT(this->dialect.decode_server(read.objects.back()).slots == 4U);
+            RC_ASSERT(this->adapter.decode_server(read.objects.front()).slots == 4U);
+            RC_ASSERT(this->adapter.decode_server(read.objects.back()).slots == 4U);
         });
         CPPUNIT_ASSERT(passed);
     }
@@ -119,7 +119,7 @@
             page[at] = *rc::gen::arbitrary<char>();
             if (*rc::gen::arbitrary<bool>()) page.resize(at);
             try {
-                for (const stored_object& object : this->dialect.decode_page(page).objects)
+                for (const stored_object& object : this->adapter.decode_page(page).objects)
                     this->read(object);
             } catch (const peer_error&) {
                 // The caller treats this as a failed call.
--- a/test/performance/accounts.cpp
+++ b/test/performance/accounts.cpp
@@ -8,7 +8,7 @@
 #include <fstream>
 #include <thread>
 
-#include "support/figure.h"
+#include "support/benchmark_report.h"
 #include "support/fleet.h"
 
 namespace {
@@ -51,7 +51,7 @@
     const auto start = std::chrono::steady_clock::now();
     fleet.start();
     const std::chrono::duration<double> spent = std::chrono::steady_clock::now() - start;
-    support::figures out;
+    support::benchmark_report out;
     out.note("accounts.count", static_cast<double>(options.accounts), "accounts");
     out.note("accounts.first_configuration", spent.count(), "s");
     int refused = 0;
--- a/test/performance/claims.cpp
+++ b/test/performance/claims.cpp
@@ -7,8 +7,8 @@
 #include <chrono>
 
 #include "log.h"
+#include "support/benchmark_report.h"
 #include "support/core_fleet.h"
-#include "support/figure.h"
 
 namespace {
 
@@ -17,7 +17,7 @@
 
 constexpr int quarters = 4;
 
-void measure_rate(support::figures& out, int per_second, int quarter_s)
+void measure_rate(support::benchmark_report& out, int per_second, int quarter_s)
 {
     support::core_options options;
     options.nodes = 8;
@@ -74,7 +74,7 @@
 int main()
 {
     start_log(log_level::error, "measure");
-    support::figures out;
+    support::benchmark_report out;
     measure_rate(out, 60, 150);
     measure_rate(out, 240, 60);
     return out.exit_status();
--- a/test/performance/config.cpp
+++ b/test/performance/config.cpp
@@ -8,8 +8,8 @@
 #include <thread>
 
 #include "log.h"
+#include "support/benchmark_report.h"
 #include "support/core_fleet.h"
-#include "support/figure.h"
 #include "support/fleet.h"
 
 namespace {
@@ -27,7 +27,7 @@
     return sum;
 }
 
-void measure_processes(support::figures& out, const std::string& name, int changes,
+void measure_processes(support::benchmark_report& out, const std::string& name, int changes,
                        const std::vector<std::string>& arguments)
 {
     support::fleet_options options;
@@ -107,7 +107,7 @@
     }
 }
 
-void measure_large(support::figures& out)
+void measure_large(support::benchmark_report& out)
 {
     support::core_options options = support::target_size();
     options.heartbeat = worksshift::milliseconds(250);
@@ -126,7 +126,7 @@
 int main()
 {
     worksshift::start_log(worksshift::log_level::error, "measure");
-    support::figures out;
+    support::benchmark_report out;
     measure_processes(out, "config.8", 150, {});
     measure_processes(out, "config.8_loss_5_percent", 50, {"--test-datagram-loss-percent=5"});
     measure_large(out);
--- a/test/performance/control.cpp
+++ b/test/performance/control.cpp
@@ -6,8 +6,8 @@
 #include <chrono>
 
 #include "log.h"
+#include "support/benchmark_report.h"
 #include "support/core_fleet.h"
-#include "support/figure.h"
 
 namespace {
 
@@ -18,7 +18,7 @@
     return static_cast<double>(std::clock()) / CLOCKS_PER_SEC;
 }
 
-void measure(support::figures& out, std::size_t nodes)
+void measure(support::benchmark_report& out, std::size_t nodes)
 {
     const bool large = nodes >= 60;
     support::core_options options;
@@ -29,12 +29,12 @@
     options.models = std::max<std::size_t>(1, options.servers / 13);
     if (large && options.models % 5 != 0) options.models += 5 - options.models % 5;
     options.heartbeat = milliseconds(250);
-    const double memory_before = support::own_resident_kb();
+    const double memory_before = support::own_rss_kib();
     support::core_fleet fleet(options);
     fleet.run_for(seconds(15));
     const std::string name = "control." + std::to_string(nodes);
     const double count = static_cast<double>(nodes);
-    out.note(name + ".memory_per_node", (support::own_resident_kb() - memory_before) / count, "KB");
+    out.note(name + ".memory_per_node", (support::own_rss_kib() - memory_before) / count, "KB");
     const auto window = [&](const char* kind, bool churn) {
         fleet.gossip_bytes = 0;
         fleet.gossip_by_kind.clear();
@@ -71,7 +71,7 @@
 int main()
 {
     start_log(log_level::error, "measure");
-    support::figures out;
+    support::benchmark_report out;
     for (const std::size_t nodes : {8U, 60U, 240U, 480U})
         measure(out, nodes);
     return out.exit_status();
--- a/test/performance/decisions.cpp
+++ b/test/performance/decisions.cpp
@@ -7,8 +7,8 @@
 
 #include "log.h"
 #include "plans.h"
+#include "support/benchmark_report.h"
 #include "support/core_fleet.h"
-#include "support/figure.h"
 #include "sync_config.h"
 
 namespace {
@@ -46,7 +46,7 @@
 
 /** Time for which a change of one account blocks the event loop, so that no tokens are relayed: on
  * the VM that makes the plan and writes the change, and on any other VM, which applies it. */
-void time_changes(support::figures& out, const config_documents& documents)
+void time_changes(support::benchmark_report& out, const config_documents& documents)
 {
     config_state writer;
     config_state reader;
@@ -81,16 +81,16 @@
 int main()
 {
     start_log(log_level::error, "measure");
-    support::figures out;
+    support::benchmark_report out;
     // Memory is measured first, since later allocations would reuse memory that was freed earlier.
-    const double before = support::own_resident_kb();
+    const double before = support::own_rss_kib();
     constexpr std::size_t chats = 200'000;
     chat_directory directory(chats, std::chrono::hours(12));
     for (std::uint64_t i = 0; i < chats; ++i) {
         directory.record({"model-1"}, chat_key{hash_of(std::to_string(i))}, {"server-17"},
                          instant{});
     }
-    const double after_chats = support::own_resident_kb();
+    const double after_chats = support::own_rss_kib();
     out.note("decisions.memory_per_chat", (after_chats - before) * 1024 / chats, "B");
     constexpr std::uint32_t accounts = 36'000;
     fleet_config config;
@@ -106,7 +106,7 @@
     const config_documents documents = write_fleet_config(config);
     const fleet_config parsed = parse_fleet_config(documents);
     out.note("decisions.memory_per_account",
-             (support::own_resident_kb() - after_chats) * 1024 / accounts / 2, "B");
+             (support::own_rss_kib() - after_chats) * 1024 / accounts / 2, "B");
     std::size_t largest_bytes = 0;
     std::size_t total_bytes = 0;
     for (const auto& [name, content] : documents.shards) {
--- a/test/performance/drain.cpp
+++ b/test/performance/drain.cpp
@@ -6,7 +6,7 @@
 #include <fstream>
 #include <thread>
 
-#include "support/figure.h"
+#include "support/benchmark_report.h"
 #include "support/fleet.h"
 
 int main()
@@ -50,7 +50,7 @@
     load.wait();
     std::ifstream file(report);
     const nlohmann::json result = nlohmann::json::parse(file);
-    support::figures out;
+    support::benchmark_report out;
     out.note("drain.streams_sent", result["sent"], "requests");
     out.at_least("drain.open_at_most", result["open_at_most"], "requests", 900);
     out.at_most("drain.streams_cut", result["broken"], "requests", 0);
--- a/test/performance/fairness.cpp
+++ b/test/performance/fairness.cpp
@@ -9,8 +9,8 @@
 #include <map>
 
 #include "log.h"
+#include "support/benchmark_report.h"
 #include "support/core_fleet.h"
-#include "support/figure.h"
 
 namespace {
 
@@ -117,7 +117,7 @@
 int main()
 {
     start_log(log_level::error, "measure");
-    support::figures out;
+    support::benchmark_report out;
     // Waits of several runs are pooled, since the p99 of one run depends on a dozen requests.
     constexpr std::uint64_t runs = 12;
     waits calm;
--- a/test/performance/faults.cpp
+++ b/test/performance/faults.cpp
@@ -9,12 +9,12 @@
 #include <fstream>
 #include <thread>
 
-#include "support/figure.h"
+#include "support/benchmark_report.h"
 #include "support/fleet.h"
 
 namespace {
 
-using support::figures;
+using support::benchmark_report;
 
 constexpr std::size_t router_count = 8;
 
@@ -133,7 +133,7 @@
     const nlohmann::json result = nlohmann::json::parse(file);
     const tally runs = count_runs(fleet);
 
-    figures out;
+    benchmark_report out;
     const double sent = result["sent"];
     out.note("faults.chats_sent", sent, "requests");
     out.at_most("faults.wrong_answers", result["wrong"], "requests", 0);
--- a/test/performance/fleet.cpp
+++ b/test/performance/fleet.cpp
@@ -9,8 +9,8 @@
 #include <numeric>
 
 #include "rendezvous.h"
+#include "support/benchmark_report.h"
 #include "support/digest_fleet.h"
-#include "support/figure.h"
 
 namespace {
 
@@ -131,7 +131,7 @@
     return std::chrono::duration<double>(fleet.run_until(all_know, seconds(30))).count();
 }
 
-void measure(const fleet_size& size, figures& shown)
+void measure(const fleet_size& size, benchmark_report& shown)
 {
     constexpr duration settle = seconds(40);
     constexpr duration span = seconds(20);
@@ -172,7 +172,7 @@
 
 int main()
 {
-    figures shown;
+    benchmark_report shown;
     measure({8, 4, 22, 320, milliseconds(400)}, shown);
     measure({80, 4, 93, 1014, milliseconds(500)}, shown);
     measure({300, 4, 300, 3000, milliseconds(500)}, shown);
--- a/test/performance/path.cpp
+++ b/test/performance/path.cpp
@@ -6,13 +6,13 @@
 #include <chrono>
 #include <thread>
 
-#include "support/figure.h"
+#include "support/benchmark_report.h"
 #include "support/fleet.h"
 
 namespace {
 
 using support::cpu_seconds;
-using support::resident_kb;
+using support::rss_kib;
 
 double total(const support::fleet& fleet, double (*measure)(pid_t))
 {
@@ -39,7 +39,7 @@
 
 int main()
 {
-    support::figures out;
+    support::benchmark_report out;
     support::fleet fleet(make_options());
     fleet.start();
     std::string engines;
@@ -81,13 +81,13 @@
     slow.engine_arguments = {"--prefill-us", "0", "--token-interval-ms", "500"};
     support::fleet wide(slow);
     wide.start();
-    const double memory_before = total(wide, resident_kb);
+    const double memory_before = total(wide, rss_kib);
     const std::string report = std::string(WORKSSHIFT_BINARY_DIR) + "/path-report.json";
     support::child load = wide.start_load({"--rate", "700", "--duration-s", "9", "--tokens", "20",
                                            "--chats", "12000", "--drain-s", "60"},
                                           report);
     std::this_thread::sleep_for(std::chrono::milliseconds(9500));
-    const double memory = total(wide, resident_kb) - memory_before;
+    const double memory = total(wide, rss_kib) - memory_before;
     load.wait();
     std::ifstream file(report);
     const nlohmann::json many = nlohmann::json::parse(file);
--- a/test/performance/placement.cpp
+++ b/test/performance/placement.cpp
@@ -13,8 +13,8 @@
 #include "log.h"
 #include "placement.h"
 #include "rendezvous.h"
+#include "support/benchmark_report.h"
 #include "support/core_fleet.h"
-#include "support/figure.h"
 
 namespace {
 
@@ -452,7 +452,7 @@
     support::admission_tally admissions;
 };
 
-void print(support::figures& out, const std::string& name, const run_result& shown)
+void print(support::benchmark_report& out, const std::string& name, const run_result& shown)
 {
     out.note(name + ".reuse", shown.reuse, "ratio");
     out.note(name + ".worst_admission", shown.worst_admission, "load/mean");
@@ -461,7 +461,7 @@
     out.note(name + ".skew_p99", shown.skew_p99, "max/mean");
 }
 
-void measure(support::figures& out, const workload& load)
+void measure(support::benchmark_report& out, const workload& load)
 {
     const auto calm = make_trace(load, 1, 3);
     const auto surging = make_trace(load, 3, 3);
@@ -502,7 +502,7 @@
 }
 
 /** A fleet of the target size, for some seconds: 480 nodes and 1,400 servers. */
-void measure_large(support::figures& out)
+void measure_large(support::benchmark_report& out)
 {
     support::core_options options = support::target_size();
     options.limit = 300;
@@ -560,7 +560,7 @@
 int main(int count, char** arguments)
 {
     start_log(log_level::error, "measure");
-    support::figures out;
+    support::benchmark_report out;
     std::vector<std::string> names(arguments + 1, arguments + count);
     if (names.empty()) names = {"kigali", "nairobi", "large"};
     for (const std::string& name : names) {
--- a/test/performance/router.cpp
+++ b/test/performance/router.cpp
@@ -2,7 +2,7 @@
  * Resource use of routers: CPU time per stream event and memory per stream under a steady load
  * through one router, the idle cost of fleets of several sizes, and the time to choose a server.
  */
-#include "support/figure.h"
+#include "support/benchmark_report.h"
 #include "support/router_fleet.h"
 
 namespace {
@@ -22,7 +22,7 @@
 }
 
 /** Concurrent streams with an event every 20 ms each, as an engine under load sends them. */
-void measure_path(figures& report)
+void measure_path(benchmark_report& report)
 {
     router_fleet fleet(1);
     std::string config = example_config(1);
@@ -37,9 +37,9 @@
     for (std::size_t i = 0; i < streams; ++i)
         engines.push_back(&fleet.add_server("e" + std::to_string(i), "llm", begin));
     fleet.start_all();
-    fleet.all_ready();
+    fleet.wait_until_all_ready();
     const pid_t process = fleet.routers[0].id();
-    const double before_kb = resident_kb(process);
+    const double before_kb = rss_kib(process);
     std::vector<std::unique_ptr<raw_caller>> callers;
     std::string request = request_text("POST", "/once/x", "1", "{}");
     request.replace(request.find(": 2000"), 6, ": 9000");
@@ -49,7 +49,7 @@
         const raw_caller& caller = *callers.back();
         fleet.run_until([&] { return !caller.received.empty(); }, seconds(1));
     }
-    const double per_stream_kb = (resident_kb(process) - before_kb) / streams;
+    const double per_stream_kb = (rss_kib(process) - before_kb) / streams;
     const double before = cpu_seconds(process);
     for (unsigned event = 2; event <= events_per_stream; ++event) {
         for (scripted_server* engine : engines) {
@@ -73,7 +73,7 @@
 }
 
 /** Idle fleet: CPU time, digest traffic and store calls of a VM. */
-void measure_control(std::size_t vms, figures& report)
+void measure_control(std::size_t vms, benchmark_report& report)
 {
     router_fleet fleet(vms);
     fleet.set_config(example_config(1));
@@ -83,7 +83,7 @@
     for (int i = 0; i < 20; ++i)
         fleet.add_server("s" + std::to_string(i), "desk", answer_ok);
     fleet.start_all();
-    fleet.all_ready();
+    fleet.wait_until_all_ready();
     constexpr duration settle = seconds(5);
     constexpr duration span = seconds(6);
     fleet.run_until([] { return false; }, settle);
@@ -105,7 +105,7 @@
 }
 
 /** Mean time to choose one of \p servers engines for a prompt. */
-void measure_choice(std::size_t servers, figures& report)
+void measure_choice(std::size_t servers, benchmark_report& report)
 {
     constexpr int rounds = 400;
     server_table table({"dc"});
@@ -133,7 +133,7 @@
 
 int main()
 {
-    figures report;
+    benchmark_report report;
     for (const std::size_t servers : {93, 1400, 3000})
         measure_choice(servers, report);
     measure_path(report);
--- a/test/soak/promise_ledger.cpp
+++ b/test/soak/promise_ledger.cpp
@@ -252,7 +252,7 @@
 {
     item.answered = now;
     item.status = support::status_in(received);
-    item.whole = support::is_whole(received);
+    item.whole = support::is_complete_response(received);
     if (item.left == instant{}) ++this->by_status[item.status];
     if (guarantees_not_run(item.status) && item.runs > 0) {
         this->report("refused as not run, and ran", item);
--- a/test/soak/soak_run.cpp
+++ b/test/soak/soak_run.cpp
@@ -66,7 +66,8 @@
         this->fleet.start(i);
         this->guarantees.start_life(i, this->now);
     }
-    if (!this->fleet.all_ready()) this->guarantees.broken.emplace_back("not ready after the start");
+    if (!this->fleet.wait_until_all_ready())
+        this->guarantees.broken.emplace_back("not ready after the start");
     this->now = std::chrono::steady_clock::now();
 }
 
@@ -80,7 +81,7 @@
         [this, id = made.id](const std::string& request) { return this->plan(id, request); },
         [this](const std::string& request) { this->guarantees.end_run(request); });
     made.proxy = std::make_unique<loopback_proxy>(this->fleet.base.get(), made.server->address());
-    this->fleet.list_server(made.id, service, made.proxy->address());
+    this->fleet.register_server(made.id, service, made.proxy->address());
     this->active_servers.push_back(made.id);
     this->servers.push_back(std::move(made));
 }
@@ -266,7 +267,7 @@
 {
     asked_request* item = this->guarantees.find(from.request_id);
     const std::string& got = from.connection->received;
-    const bool ended = from.connection->closed || support::is_whole(got);
+    const bool ended = from.connection->closed || support::is_complete_response(got);
     if (item != nullptr && ended) this->guarantees.take_answer(*item, got, this->now);
     const bool caller_leaves = from.leave_at != instant{} && this->now >= from.leave_at;
     constexpr duration max_wait = seconds(4);
@@ -432,7 +433,7 @@
             std::string text = support::request_text("GET", "/safe/x", last.id);
             connection->send(text.replace(text.find(": k1") + 2, 2, api_key));
             const instant limit = this->now + seconds(1);
-            while (!connection->closed && !support::is_whole(connection->received) &&
+            while (!connection->closed && !support::is_complete_response(connection->received) &&
                    this->now < limit) {
                 this->step();
             }
--- a/test/support/figure.h
+++ b/test/support/benchmark_report.h
@@ -18,7 +18,7 @@
 namespace support {
 
 /** Resident memory of this process, in KiB. */
-inline double own_resident_kb()
+inline double own_rss_kib()
 {
     std::ifstream file("/proc/self/statm");
     double total = 0;
@@ -45,7 +45,7 @@
 }
 
 /** Resident memory of a process, in KiB; 0 if it cannot be read. */
-inline double resident_kb(pid_t process)
+inline double rss_kib(pid_t process)
 {
     std::ifstream file("/proc/" + std::to_string(process) + "/status");
     for (std::string line; std::getline(file, line);) {
@@ -65,7 +65,7 @@
 }
 
 /** Prints results and records whether all were within their bounds. */
-class figures {
+class benchmark_report {
 public:
     /** Prints a result without a bound. */
     void note(const std::string& name, double value, const char* unit)
--- a/test/support/path_rig.cpp
+++ b/test/support/path_rig.cpp
@@ -160,10 +160,11 @@
 }
 
 path_rig::path_rig()
-    : base(make_event_base()), dialect(platform_protocol()), table({"dc"}), front_port(free_port()),
-      callers(std::make_unique<caller_links>(base.get(), link_address{"127.0.0.1", front_port})),
-      links(std::make_unique<server_links>(base.get(), dialect)),
-      path(std::make_unique<request_path>(*callers, *links, table, dialect, numbers)),
+    : base(make_event_base()), adapter(platform_protocol()), table({"dc"}), front_port(free_port()),
+      callers(
+          std::make_unique<caller_connections>(base.get(), link_address{"127.0.0.1", front_port})),
+      links(std::make_unique<server_connections>(base.get(), adapter)),
+      path(std::make_unique<request_path>(*callers, *links, table, adapter, numbers)),
       ticker(base.get(), [this] {
           const instant now = std::chrono::steady_clock::now();
           this->callers->sweep(now);
--- a/test/support/path_rig.h
+++ b/test/support/path_rig.h
@@ -9,7 +9,7 @@
 #include <string>
 #include <vector>
 
-#include "caller_links.h"
+#include "caller_connections.h"
 #include "platform.h"
 #include "request_path.h"
 #include "support/fleet.h"
@@ -97,12 +97,12 @@
     void run_for(worksshift::duration span);
 
     worksshift::event_ptr<event_base> base;
-    worksshift::protocol dialect;
+    worksshift::protocol adapter;
     worksshift::metrics numbers;
     worksshift::server_table table;
     std::uint16_t front_port;
-    std::unique_ptr<worksshift::caller_links> callers;
-    std::unique_ptr<worksshift::server_links> links;
+    std::unique_ptr<worksshift::caller_connections> callers;
+    std::unique_ptr<worksshift::server_connections> links;
     std::unique_ptr<worksshift::request_path> path;
 
 private:
--- a/test/support/router_fleet.cpp
+++ b/test/support/router_fleet.cpp
@@ -65,12 +65,12 @@
                                           const std::string& data_centre)
 {
     this->servers.push_back(std::make_unique<scripted_server>(this->base.get(), std::move(answer)));
-    this->list_server(id, service, this->servers.back()->address(), data_centre);
+    this->register_server(id, service, this->servers.back()->address(), data_centre);
     return *this->servers.back();
 }
 
-void router_fleet::list_server(const std::string& id, const std::string& service,
-                               const link_address& address, const std::string& data_centre)
+void router_fleet::register_server(const std::string& id, const std::string& service,
+                                   const link_address& address, const std::string& data_centre)
 {
     this->listings.push_back({id, service, address, data_centre});
     this->store->put("servers", id, this->entry(id, "ready"));
@@ -111,7 +111,8 @@
 {
     const auto caller = this->connect(router);
     caller->send(text);
-    this->run_until([&] { return caller->closed || is_whole(caller->received); }, seconds(5));
+    this->run_until([&] { return caller->closed || is_complete_response(caller->received); },
+                    seconds(5));
     return caller->received;
 }
 
@@ -131,7 +132,7 @@
     return caller.received;
 }
 
-bool router_fleet::all_ready()
+bool router_fleet::wait_until_all_ready()
 {
     const instant end = std::chrono::steady_clock::now() + seconds(10);
     for (std::size_t i = 0; i < this->routers.size(); ++i) {
@@ -142,7 +143,7 @@
     return true;
 }
 
-bool is_whole(const std::string& answer)
+bool is_complete_response(const std::string& answer)
 {
     if (answer.ends_with("0\r\n\r\n")) return true;
     const std::string length = header_in(answer, "content-length");
--- a/test/support/router_fleet.h
+++ b/test/support/router_fleet.h
@@ -28,9 +28,9 @@
                                 scripted_server::script answer,
                                 const std::string& data_centre = "dc");
     /** Adds a server that the test runs itself to the store's registry. */
-    void list_server(const std::string& id, const std::string& service,
-                     const worksshift::link_address& address,
-                     const std::string& data_centre = "dc");
+    void register_server(const std::string& id, const std::string& service,
+                         const worksshift::link_address& address,
+                         const std::string& data_centre = "dc");
     /** The address at which a router contacts the store. A change takes effect at its next start.
      */
     [[nodiscard]] worksshift::link_address store_address(std::size_t router) const;
@@ -46,7 +46,7 @@
     /** Whether the router's readiness check succeeds. */
     bool ready(std::size_t router);
     /** Waits until all routers are ready; false if one is not within ten seconds. */
-    bool all_ready();
+    bool wait_until_all_ready();
     /** The response of the router's metrics port, including its head. */
     std::string metrics(std::size_t router, const std::string& path = "/metrics");
     /** Runs the event loop until \p done; false if the time limit is reached first. */
@@ -78,7 +78,7 @@
 };
 
 /** Whether a raw HTTP response is complete. */
-bool is_whole(const std::string& answer);
+bool is_complete_response(const std::string& answer);
 /** Status code of a raw HTTP response; 0 if there is none yet. */
 int status_in(const std::string& answer);
 
--- a/test/support/store_fleet.h
+++ b/test/support/store_fleet.h
@@ -69,12 +69,12 @@
     worksshift::store_follow servers{worksshift::object_kind::servers, 2};
     worksshift::store_follow evacuations{worksshift::object_kind::evacuations, 3};
     worksshift::store_outage outage;
-    worksshift::protocol dialect = worksshift::platform_protocol();
-    worksshift::evacuation_state evacuated{dialect};
+    worksshift::protocol adapter = worksshift::platform_protocol();
+    worksshift::evacuation_state evacuated{adapter};
     worksshift::registry_feed feed;
     std::map<std::string, worksshift::stored_object> registry;
     worksshift::server_table table{worksshift::data_centre_id{"dc"}, 4};
-    worksshift::server_registry servers_in_use{table, dialect};
+    worksshift::server_registry servers_in_use{table, adapter};
     worksshift::instant started{};
     bool listed = false;
     std::uint64_t version = 0; ///< version of the configuration in force
