--- a/src/admin_api.cpp
+++ b/src/admin_api.cpp
@@ -423,10 +423,11 @@
         }
     }
     json alarms = json::array();
-    if (this->core.config().lower_seen > 0) {
+    if (this->core.config().lower_revisions_seen > 0) {
         alarms.push_back("the platform or a VM showed a lower revision than the one in force");
     }
-    if (this->core.config().invalid_seen > 0) alarms.push_back("an invalid configuration was seen");
+    if (this->core.config().invalid_documents_seen > 0)
+        alarms.push_back("an invalid configuration was seen");
     reply(request, 200,
           {{"vm", t.self.text},
            {"revision", in_force},
--- a/src/admit_attempts.cpp
+++ b/src/admit_attempts.cpp
@@ -432,7 +432,7 @@
         const std::uint32_t own = report.own_running_then;
         gate.foreign = report.running > own ? report.running - own : 0;
         gate.reported_at = report.sent;
-        if (report.versions.told) gate.versions = report.versions;
+        if (report.versions.versions_reported) gate.versions = report.versions;
     }
     for (const load_summary& load : std::exchange(t.in.loads, {})) {
         const auto gate = t.gates.find(load.server);
--- a/src/answer_relay.cpp
+++ b/src/answer_relay.cpp
@@ -100,7 +100,7 @@
     }
     ++item->next_sequence;
     if (item->stream) item->tokens_passed += count_tokens(data.bytes);
-    if (item->body.size() <= recorded_body_at_most) item->body += data.bytes;
+    if (item->body.size() <= max_recorded_body_bytes) item->body += data.bytes;
     this->on_data.emit(item->request, data.bytes);
     return std::nullopt;
 }
--- a/src/claim_slices.cpp
+++ b/src/claim_slices.cpp
@@ -16,7 +16,7 @@
     sequence,
     fingerprint,
     claimed_at,
-    settled,
+    has_outcome,
     status,
     body
 };
@@ -24,7 +24,7 @@
 json write_record(const claim_record& record)
 {
     return json::array({record.holder.origin, record.holder.sequence, record.fingerprint,
-                        record.claimed_at_s, record.settled, record.status, record.body});
+                        record.claimed_at_s, record.has_outcome, record.status, record.body});
 }
 
 claim_record read_record(const json& list)
@@ -32,7 +32,7 @@
     return {{list.at(origin), list.at(sequence)},
             list.at(fingerprint),
             list.at(claimed_at),
-            list.at(settled),
+            list.at(has_outcome),
             list.at(status),
             list.at(body)};
 }
@@ -41,7 +41,7 @@
 
 bool claim_slice::expired(std::uint64_t unix_s) const
 {
-    return this->opened_at_s + claim_slice_age_s + claim_lifetime_s + claim_clock_slack_s < unix_s;
+    return this->opened_at_s + max_claim_slice_age_s + claim_lifetime_s + max_clock_skew_s < unix_s;
 }
 
 claim_slice parse_claim_slice(const std::string& value)
@@ -74,7 +74,7 @@
 
 std::string claim_slice_object(std::size_t bucket, std::uint64_t number)
 {
-    return "claims/" + std::to_string(bucket) + "/" + std::to_string(number % claim_slice_ring);
+    return "claims/" + std::to_string(bucket) + "/" + std::to_string(number % claim_ring_size);
 }
 
 std::uint64_t parse_claim_head(const std::string& value)
--- a/src/claim_slices.h
+++ b/src/claim_slices.h
@@ -24,19 +24,20 @@
 constexpr std::uint64_t claim_lifetime_s = 3600;
 /** A slice that is older accepts no more claims, so that all its claims can be dropped together
  * once they have expired. */
-constexpr std::uint64_t claim_slice_age_s = 600;
+constexpr std::uint64_t max_claim_slice_age_s = 600;
 /** The largest difference between the clocks of two VMs that is tolerated. */
-constexpr std::uint64_t claim_clock_slack_s = 60;
+constexpr std::uint64_t max_clock_skew_s = 60;
 /** Number of slice objects of a bucket. */
-constexpr std::uint64_t claim_slice_ring = 256;
-constexpr std::size_t recorded_body_at_most = 1024; ///< longer responses are recorded without body
+constexpr std::uint64_t claim_ring_size = 256;
+constexpr std::size_t max_recorded_body_bytes =
+    1024; ///< longer responses are recorded without body
 
 /** One recorded claim. */
 struct claim_record {
     attempt_id holder;
     std::uint64_t fingerprint = 0;
     std::uint64_t claimed_at_s = 0;
-    bool settled = false;
+    bool has_outcome = false;
     std::uint16_t status = 0;
     std::string body;
 };
--- a/src/claims.cpp
+++ b/src/claims.cpp
@@ -39,12 +39,12 @@
 {
     if (record.holder == request.id) return reply_to(request, claim_state::granted);
     if (record.fingerprint != request.fingerprint) return reply_to(request, claim_state::mismatch);
-    if (!record.settled) return reply_to(request, claim_state::in_doubt);
+    if (!record.has_outcome) return reply_to(request, claim_state::in_doubt);
     return {request.id, claim_state::repeated, record.status, record.body};
 }
 
 /** Applies an outcome: `not_run` releases the key, `done` records the response. */
-void apply_outcome(claim_records& records, const claim_settle& report)
+void apply_outcome(claim_records& records, const claim_outcome& report)
 {
     const auto found = records.find(report.key);
     if (found == records.end() || found->second.holder != report.id) return;
@@ -53,16 +53,16 @@
         return;
     }
     if (report.result == outcome::done) {
-        found->second.settled = true;
+        found->second.has_outcome = true;
         found->second.status = report.status;
-        if (report.body.size() <= recorded_body_at_most) found->second.body = report.body;
+        if (report.body.size() <= max_recorded_body_bytes) found->second.body = report.body;
     }
 }
 
 void start_call(tables& t, claim_bucket_row& bucket, claim_step step, object_call call, instant now)
 {
     bucket.call = t.next_call++;
-    bucket.call_at = now;
+    bucket.call_started_at = now;
     bucket.step = step;
     call.id = bucket.call;
     t.out.emplace_back(std::move(call));
@@ -76,10 +76,10 @@
 void start_slice_write(tables& t, std::size_t index, claim_bucket_row& bucket, claim_step step,
                        instant now)
 {
-    bucket.wrote_at = now;
+    bucket.last_write_at = now;
     start_call(t, bucket, step,
-               {0, claim_slice_object(index, bucket.writing.number), true, bucket.writing.version,
-                write_claim_slice(bucket.writing)},
+               {0, claim_slice_object(index, bucket.pending_slice.number), true,
+                bucket.pending_slice.version, write_claim_slice(bucket.pending_slice)},
                now);
 }
 
@@ -87,7 +87,7 @@
 bool is_full(const tables& t, const claim_slice& newest, std::uint64_t unix_s)
 {
     return newest.records.size() >= t.settings.claims_per_slice ||
-           (!newest.records.empty() && newest.opened_at_s + claim_slice_age_s < unix_s);
+           (!newest.records.empty() && newest.opened_at_s + max_claim_slice_age_s < unix_s);
 }
 
 /** Whether the outcome of the claim is queued and not yet stored. */
@@ -95,7 +95,7 @@
                         const attempt_id& holder)
 {
     return std::ranges::any_of(bucket.queue, [&](const queued_claim& item) {
-        const auto* report = std::get_if<claim_settle>(&item.what);
+        const auto* report = std::get_if<claim_outcome>(&item.what);
         return report != nullptr && report->key == key && report->id == holder;
     });
 }
@@ -106,7 +106,7 @@
     std::erase_if(bucket.queue, [&](const queued_claim& item) {
         const auto* request = std::get_if<claim_request>(&item.what);
         if (request == nullptr) {
-            const auto& report = std::get<claim_settle>(item.what);
+            const auto& report = std::get<claim_outcome>(item.what);
             const claim_slice* slice = find_live_slice(bucket, report.key, unix_s);
             return slice == nullptr || slice->records.at(report.key).holder != report.id;
         }
@@ -123,7 +123,7 @@
 /** Whether something is queued and the interval since the last write has elapsed. */
 bool write_is_due(const claim_bucket_row& bucket, instant now)
 {
-    return !bucket.queue.empty() && now - bucket.wrote_at >= min_write_interval;
+    return !bucket.queue.empty() && now - bucket.last_write_at >= min_write_interval;
 }
 
 /** Whether the item is a claim of an unclaimed key, so that a write may grant it. */
@@ -138,7 +138,7 @@
 std::uint64_t first_outcome_slice(claim_bucket_row& bucket, std::uint64_t unix_s)
 {
     for (const queued_claim& item : bucket.queue) {
-        const auto* report = std::get_if<claim_settle>(&item.what);
+        const auto* report = std::get_if<claim_outcome>(&item.what);
         if (report != nullptr) return find_live_slice(bucket, report->key, unix_s)->number;
     }
     return bucket.newest;
@@ -152,29 +152,29 @@
         bucket.queue, [&](const queued_claim& item) { return is_new_claim(bucket, item, unix_s); });
     const std::uint64_t number =
         has_new_claims ? bucket.newest : first_outcome_slice(bucket, unix_s);
-    bucket.writing = bucket.slices.at(number);
+    bucket.pending_slice = bucket.slices.at(number);
     std::vector<queued_claim> remaining;
     for (queued_claim& item : std::exchange(bucket.queue, {})) {
         if (const auto* request = std::get_if<claim_request>(&item.what)) {
-            const auto existing = bucket.writing.records.find(request->key);
-            const bool duplicate = existing != bucket.writing.records.end() &&
+            const auto existing = bucket.pending_slice.records.find(request->key);
+            const bool duplicate = existing != bucket.pending_slice.records.end() &&
                                    existing->second.claimed_at_s + claim_lifetime_s >= unix_s;
             if (duplicate || !is_new_claim(bucket, item, unix_s)) {
                 // Answered once the earlier claim of the key is stored.
                 remaining.push_back(std::move(item));
                 continue;
             }
-            bucket.writing.records[request->key] = {
+            bucket.pending_slice.records[request->key] = {
                 request->id, request->fingerprint, unix_s, false, 0, {}};
             bucket.in_write.push_back(std::move(item));
             continue;
         }
-        const auto& report = std::get<claim_settle>(item.what);
+        const auto& report = std::get<claim_outcome>(item.what);
         if (find_live_slice(bucket, report.key, unix_s)->number != number) {
             remaining.push_back(std::move(item));
             continue;
         }
-        apply_outcome(bucket.writing.records, report);
+        apply_outcome(bucket.pending_slice.records, report);
         bucket.in_write.push_back(std::move(item));
     }
     bucket.queue = std::move(remaining);
@@ -188,10 +188,10 @@
     } else if (!bucket.slices.contains(bucket.newest)) {
         start_read(t, bucket, claim_step::read_newest, claim_slice_object(index, bucket.newest),
                    time.now);
-    } else if (bucket.older != 0) {
-        start_read(t, bucket, claim_step::read_older, claim_slice_object(index, bucket.older),
-                   time.now);
-    } else if (bucket.head_due) {
+    } else if (bucket.next_older_slice != 0) {
+        start_read(t, bucket, claim_step::read_older,
+                   claim_slice_object(index, bucket.next_older_slice), time.now);
+    } else if (bucket.head_update_pending) {
         start_call(t, bucket, claim_step::write_head,
                    {0, claim_head_object(index), true, bucket.head_version,
                     write_claim_head(bucket.newest)},
@@ -203,8 +203,8 @@
         answer_queue(t, bucket, time.unix_s);
         if (!write_is_due(bucket, time.now)) return;
         if (is_full(t, bucket.slices.at(bucket.newest), time.unix_s)) {
-            bucket.writing = bucket.slices.at(bucket.newest);
-            bucket.writing.sealed = true;
+            bucket.pending_slice = bucket.slices.at(bucket.newest);
+            bucket.pending_slice.sealed = true;
             start_slice_write(t, index, bucket, claim_step::seal, time.now);
             return;
         }
@@ -218,8 +218,8 @@
 {
     bucket.slices.clear();
     bucket.newest = 0;
-    bucket.older = 0;
-    bucket.head_due = false;
+    bucket.next_older_slice = 0;
+    bucket.head_update_pending = false;
 }
 
 /** Rejects the queued claims, because the next object of the ring still holds unexpired claims. */
@@ -244,7 +244,7 @@
         if (found.number > bucket.newest) {
             // The head was stale by at least one full pass over the ring.
             bucket.slices.clear();
-            bucket.older = found.number - 1;
+            bucket.next_older_slice = found.number - 1;
             bucket.newest = found.number;
         }
         if (found.number == bucket.newest) {
@@ -254,7 +254,7 @@
         } else {
             log_event(log_level::error, "claims_full", {{"slice", bucket.newest}});
             reject_queued_claims(t, bucket);
-            bucket.not_before = time.now + retry_delay;
+            bucket.retry_not_before = time.now + retry_delay;
             return;
         }
     }
@@ -262,20 +262,20 @@
     bucket.slices[bucket.newest] = std::move(slice);
     if (!sealed) return;
     ++bucket.newest;
-    bucket.head_due = true;
+    bucket.head_update_pending = true;
 }
 
 /** Handles a read of an older slice. A missing or expired slice ends the search. */
 void handle_older_slice(claim_bucket_row& bucket, const object_result& result, std::uint64_t unix_s)
 {
-    const std::uint64_t number = std::exchange(bucket.older, 0);
+    const std::uint64_t number = std::exchange(bucket.next_older_slice, 0);
     if (result.status != object_status::ok) return;
     claim_slice slice = parse_claim_slice(result.value);
     if (slice.number != number || slice.expired(unix_s)) return;
     slice.version = result.version;
     bucket.slices[number] = std::move(slice);
-    const bool has_older = number > 1 && bucket.newest - number + 1 < claim_slice_ring;
-    bucket.older = has_older ? number - 1 : 0;
+    const bool has_older = number > 1 && bucket.newest - number + 1 < claim_ring_size;
+    bucket.next_older_slice = has_older ? number - 1 : 0;
 }
 
 void handle_head(claim_bucket_row& bucket, const object_result& result)
@@ -283,13 +283,13 @@
     const bool missing = result.status == object_status::missing;
     bucket.head_version = missing ? 0 : result.version;
     bucket.newest = missing ? 1 : parse_claim_head(result.value);
-    bucket.older = bucket.newest - 1;
+    bucket.next_older_slice = bucket.newest - 1;
 }
 
 void handle_slice_written(tables& t, claim_bucket_row& bucket, std::uint64_t version)
 {
-    bucket.writing.version = version;
-    bucket.slices[bucket.writing.number] = std::move(bucket.writing);
+    bucket.pending_slice.version = version;
+    bucket.slices[bucket.pending_slice.number] = std::move(bucket.pending_slice);
     for (const queued_claim& item : std::exchange(bucket.in_write, {})) {
         if (const auto* request = std::get_if<claim_request>(&item.what)) {
             t.send(item.entry, reply_to(*request, claim_state::granted));
@@ -317,10 +317,10 @@
     } else if (wrote) {
         // Without a conflict no other node is known to have written, so only the slice of this
         // write is uncertain.
-        bucket.slices.erase(bucket.writing.number);
-        if (bucket.writing.number != bucket.newest) invalidate_bucket(bucket);
+        bucket.slices.erase(bucket.pending_slice.number);
+        if (bucket.pending_slice.number != bucket.newest) invalidate_bucket(bucket);
     }
-    if (!conflict) bucket.not_before = now + retry_delay;
+    if (!conflict) bucket.retry_not_before = now + retry_delay;
 }
 
 void handle_success(tables& t, claim_bucket_row& bucket, const object_result& result,
@@ -342,12 +342,12 @@
     case claim_step::seal:
         handle_slice_written(t, bucket, result.version);
         ++bucket.newest;
-        bucket.head_due = true;
-        bucket.wrote_at = {};
+        bucket.head_update_pending = true;
+        bucket.last_write_at = {};
         return;
     case claim_step::write_head:
         bucket.head_version = result.version;
-        bucket.head_due = false;
+        bucket.head_update_pending = false;
         return;
     }
 }
@@ -369,7 +369,7 @@
         log_event(log_level::error, "claims_unreadable",
                   {{"step", fault.step}, {"peer", fault.peer}, {"why", fault.what()}});
         invalidate_bucket(bucket);
-        bucket.not_before = time.now + retry_delay;
+        bucket.retry_not_before = time.now + retry_delay;
     }
 }
 
@@ -406,20 +406,20 @@
     return hash_of(key) % claim_buckets;
 }
 
-void forget_claims(tables& t)
+void invalidate_claim_buckets(tables& t)
 {
     for (auto& [index, bucket] : t.claims.buckets) {
         if (bucket.call == 0) invalidate_bucket(bucket);
     }
 }
 
-void settle_claims(tables& t, const tick_time& time)
+void process_claims(tables& t, const tick_time& time)
 {
     for (auto& [from, message] : std::exchange(t.in.claim_requests, {})) {
         const std::string key = message.key;
         enqueue(t, key, {from, std::move(message), time.now});
     }
-    for (auto& [from, message] : std::exchange(t.in.claim_settles, {})) {
+    for (auto& [from, message] : std::exchange(t.in.claim_outcomes, {})) {
         const std::string key = message.key;
         enqueue(t, key, {from, std::move(message), time.now});
     }
@@ -429,11 +429,12 @@
         if (row != t.claims.buckets.end()) handle_result(t, row->second, result, time);
     }
     for (auto& [index, bucket] : t.claims.buckets) {
-        if (bucket.call != 0 && time.now - bucket.call_at > object_call_timeout) {
+        if (bucket.call != 0 && time.now - bucket.call_started_at > object_call_timeout) {
             handle_result(t, bucket, {bucket.call, object_status::failed, 0, {}}, time);
         }
         expire_queued_items(t, bucket, time.now);
-        if (bucket.call != 0 || bucket.queue.empty() || time.now < bucket.not_before) continue;
+        if (bucket.call != 0 || bucket.queue.empty() || time.now < bucket.retry_not_before)
+            continue;
         start_next_call(t, index, bucket, time);
     }
 }
--- a/src/claims.h
+++ b/src/claims.h
@@ -55,7 +55,7 @@
 /** A claim, or the outcome of one, queued for its bucket's next write. */
 struct queued_claim {
     vm_id entry;
-    std::variant<claim_request, claim_settle> what;
+    std::variant<claim_request, claim_outcome> what;
     instant since{};
 };
 
@@ -75,16 +75,17 @@
         slices; ///< by number, as last read from the platform or written to it
     std::uint64_t head_version = 0;
     std::uint64_t newest = 0; ///< number of the slice that accepts new claims; 0: not known yet
-    std::uint64_t older = 0;  ///< number of the next older slice to read; 0: all have been read
-    bool head_due = false;    ///< the stored head does not name the newest slice yet
-    claim_slice writing;      ///< the content of the slice after the write in flight
+    std::uint64_t next_older_slice =
+        0; ///< number of the next older slice to read; 0: all have been read
+    bool head_update_pending = false; ///< the stored head does not name the newest slice yet
+    claim_slice pending_slice;        ///< the content of the slice after the write in flight
     std::vector<queued_claim> queue;
     std::vector<queued_claim> in_write; ///< the items that the write in flight contains
     std::uint64_t call = 0;             ///< id of the call in flight, 0 if none
     claim_step step = claim_step::read_head;
-    instant call_at{};
-    instant wrote_at{};
-    instant not_before{}; ///< backoff after a failure
+    instant call_started_at{};
+    instant last_write_at{};
+    instant retry_not_before{}; ///< backoff after a failure
 };
 
 struct claim_table {
@@ -96,10 +97,10 @@
 
 /** Invalidates the cached buckets after a change of membership, because another VM may have written
  * them as their home. Otherwise a key that another home released would stay `in_doubt` here. */
-void forget_claims(tables& t);
+void invalidate_claim_buckets(tables& t);
 
 /** System: queues received claims and outcomes, reads and writes buckets, and replies to the entry
  * nodes. */
-void settle_claims(tables& t, const tick_time& time);
+void process_claims(tables& t, const tick_time& time);
 
 } // namespace worksshift
--- a/src/config_documents.cpp
+++ b/src/config_documents.cpp
@@ -132,11 +132,11 @@
 
 } // namespace
 
-manifest_head parse_manifest(std::string_view manifest)
+parsed_manifest parse_manifest(std::string_view manifest)
 {
     const json value = parse_json(manifest, step, "manifest");
     json_reader reader(value, step, "manifest");
-    manifest_head head;
+    parsed_manifest head;
     head.revision = reader.whole("revision", 1, UINT64_MAX);
     head.shards = reader.names("shards");
     if (reader.has("plans")) head.plans = reader.names("plans");
@@ -146,7 +146,7 @@
 
 fleet_config parse_fleet_config(const config_documents& documents, const fleet_config* known)
 {
-    manifest_head head = parse_manifest(documents.manifest);
+    parsed_manifest head = parse_manifest(documents.manifest);
     std::unordered_map<std::string_view, std::shared_ptr<const config_shard_content>> known_shards;
     fleet_config config;
     if (known != nullptr) {
--- a/src/config_documents.h
+++ b/src/config_documents.h
@@ -32,14 +32,14 @@
 };
 
 /** The content of a manifest. */
-struct manifest_head {
+struct parsed_manifest {
     std::uint64_t revision = 0;
     std::vector<std::string> shards;
     std::vector<std::string> plans;
 };
 
 /** \throws user_error with the path and the value at fault. */
-manifest_head parse_manifest(std::string_view manifest);
+parsed_manifest parse_manifest(std::string_view manifest);
 
 /** Parses and validates a whole configuration. Rejects unknown fields, values out of range,
  * duplicate names and references to missing shards. Shards from which \p known was parsed are
--- a/src/config_writer.cpp
+++ b/src/config_writer.cpp
@@ -116,7 +116,7 @@
         item->end(change_state::unanswered, "read manifest", "there is no manifest");
         return;
     }
-    manifest_head head;
+    parsed_manifest head;
     try {
         head = parse_manifest(result.value);
     } catch (const user_error& fault) {
@@ -184,7 +184,7 @@
     item->unwritten.pop_back();
     ++item->writes_in_flight;
     const object_call write{0, shard_object(name), true, 0, item->documents.shards.at(name)};
-    this->platform.run_in_turn(write, [this, item, name](const object_result& result) {
+    this->platform.run_when_budget_allows(write, [this, item, name](const object_result& result) {
         --item->writes_in_flight;
         // A conflict means that the shard already exists: its name is the hash of its content.
         const bool stored =
--- a/src/daemon.cpp
+++ b/src/daemon.cpp
@@ -235,8 +235,8 @@
 
 void daemon::execute_one(const start_order& order)
 {
-    this->engines.give_order(order, [this](order_ended ended) {
-        this->core.data().in.orders_ended.push_back(std::move(ended));
+    this->engines.give_order(order, [this](order_result ended) {
+        this->core.data().in.order_results.push_back(std::move(ended));
         this->schedule_tick();
     });
 }
@@ -346,7 +346,7 @@
     }
     if (!newer || fetched_by_watchers) return;
     this->manifest_version = result.version;
-    manifest_head head;
+    parsed_manifest head;
     try {
         head = parse_manifest(result.value);
     } catch (const user_error& fault) {
--- a/src/engine_client.h
+++ b/src/engine_client.h
@@ -14,7 +14,7 @@
 class engine_client {
 public:
     using report_handler = std::function<void(load_report)>;
-    using order_handler = std::function<void(order_ended)>;
+    using order_handler = std::function<void(order_result)>;
 
     explicit engine_client(http_client& caller) : caller(caller) {}
 
--- a/src/engine_orders.cpp
+++ b/src/engine_orders.cpp
@@ -31,7 +31,7 @@
 
 /** The next order that brings the engine closer to the configuration: loads come before unloads.
  * The version is empty if no order is needed. (clang-tidy 16 crashes on a std::optional here.) */
-order_wanted next_order(const gate_row& gate, const service_config& service)
+order_request next_order(const gate_row& gate, const service_config& service)
 {
     const engine_versions& has = gate.versions;
     const auto missing = std::ranges::find_if(
@@ -50,12 +50,12 @@
 
 void apply_requests(tables& t, instant now)
 {
-    for (const auto& [from, wanted] : std::exchange(t.in.orders_wanted, {})) {
+    for (const auto& [from, wanted] : std::exchange(t.in.order_requests, {})) {
         order_row& row = t.orders[wanted.server];
         const bool same = row.wanted.kind == wanted.kind && row.wanted.version == wanted.version;
         if (!same) row = {};
         row.wanted = wanted;
-        row.asked_at = now;
+        row.requested_at = now;
         // An engine that is already loading received the order earlier, perhaps from the previous
         // holder.
         if (wanted.under_way && !row.sent) {
@@ -63,13 +63,14 @@
             row.sent_at = now;
         }
     }
-    std::erase_if(t.orders,
-                  [&](const auto& entry) { return now - entry.second.asked_at > request_expiry; });
+    std::erase_if(t.orders, [&](const auto& entry) {
+        return now - entry.second.requested_at > request_expiry;
+    });
 }
 
 void handle_order_responses(tables& t)
 {
-    for (const order_ended& ended : std::exchange(t.in.orders_ended, {})) {
+    for (const order_result& ended : std::exchange(t.in.order_results, {})) {
         t.lease.highest_fence = std::max(t.lease.highest_fence, ended.known_fence);
         const auto row = t.orders.find(ended.server);
         if (row == t.orders.end() || ended.accepted) continue;
@@ -114,7 +115,7 @@
 version_choice choose_version(const gate_row& gate, const service_config& service,
                               const std::string& continued)
 {
-    if (!gate.versions.told) return {true, continued};
+    if (!gate.versions.versions_reported) return {true, continued};
     if (!continued.empty()) return {gate.versions.has(continued), continued};
     if (service.versions.empty()) return {true, {}};
     if (gate.versions.has(service.serving)) return {true, service.serving};
@@ -128,25 +129,26 @@
     return {false, {}};
 }
 
-void want_orders(tables& t, instant& next, const tick_time& time)
+void request_orders(tables& t, instant& next, const tick_time& time)
 {
     if (time.now < next || !t.needs_orders) return;
     next = time.now + request_period;
     for (const auto& [id, gate] : t.gates) {
         const auto service = t.services.find(gate.service);
-        if (!gate.first || !gate.versions.told || service == t.services.end()) continue;
+        if (!gate.first || !gate.versions.versions_reported || service == t.services.end())
+            continue;
         if (service->second.config.versions.empty()) continue;
-        order_wanted wanted = next_order(gate, service->second.config);
+        order_request wanted = next_order(gate, service->second.config);
         if (!wanted.version.empty()) t.send(home_of(t, lease_key), std::move(wanted));
     }
 }
 
-void give_orders(tables& t, const tick_time& time)
+void issue_orders(tables& t, const tick_time& time)
 {
     handle_order_responses(t);
     apply_requests(t, time.now);
     if (!holds_lease(t.lease, time.now)) return;
-    if (time.now - t.lease.taken_at < initial_holder_delay) return;
+    if (time.now - t.lease.acquired_at < initial_holder_delay) return;
     auto loading = std::ranges::count_if(t.orders, [](const auto& entry) {
         return entry.second.sent && entry.second.wanted.kind == order_kind::load;
     });
--- a/src/engine_orders.h
+++ b/src/engine_orders.h
@@ -25,7 +25,7 @@
 
 /** The versions of its model that an engine reports. */
 struct engine_versions {
-    bool told = false; ///< false if the engine does not report versions
+    bool versions_reported = false; ///< false if the engine does not report versions
     std::vector<std::string> loaded;
     std::vector<std::string> loading;
 
@@ -35,8 +35,8 @@
 
 /** An order requested by a gate, as the holder keeps it. */
 struct order_row {
-    order_wanted wanted;
-    instant asked_at{};
+    order_request wanted;
+    instant requested_at{};
     bool sent = false;
     instant sent_at{};
 };
@@ -44,7 +44,7 @@
 using order_table = std::unordered_map<server_id, order_row>;
 
 /** An engine's response to an order. */
-struct order_ended {
+struct order_result {
     server_id server;
     bool accepted = false;
     std::uint64_t known_fence = 0; ///< the engine's number, if it rejected a lower one; else 0
@@ -68,9 +68,9 @@
                               const std::string& continued);
 
 /** Gate role: requests loads of missing versions and unloads of retired ones. */
-void want_orders(tables& t, instant& next, const tick_time& time);
+void request_orders(tables& t, instant& next, const tick_time& time);
 
 /** Lease holder role: sends the requested orders to engines. */
-void give_orders(tables& t, const tick_time& time);
+void issue_orders(tables& t, const tick_time& time);
 
 } // namespace worksshift
--- a/src/fleet_lease.cpp
+++ b/src/fleet_lease.cpp
@@ -29,8 +29,8 @@
 {
     lease_row& lease = t.lease;
     lease.call = t.next_call++;
-    lease.call_at = now;
-    lease.writing = write;
+    lease.call_started_at = now;
+    lease.call_is_write = write;
     lease.proposed = proposed;
     t.out.emplace_back(object_call{lease.call, lease_object, write, write ? lease.version : 0,
                                    write ? write_lease(proposed) : std::string()});
@@ -45,13 +45,13 @@
     lease.seen_at = now;
     const bool holds = lease.value.holder != 0;
     if (holds && !lease.held) {
-        lease.taken_at = now;
+        lease.acquired_at = now;
         log_event(log_level::info, "lease_taken", {{"fence", lease.value.fence}});
     }
     lease.held = holds;
     lease.renewed_at = sent;
     lease.valid_until = sent + lease_duration - lease_margin;
-    lease.next_at = now + lease_renewal;
+    lease.next_call_at = now + lease_renewal;
 }
 
 void handle_read(lease_row& lease, const object_result& result, instant now)
@@ -62,10 +62,10 @@
     } catch (const peer_error& fault) {
         log_event(log_level::error, "lease_invalid",
                   {{"step", fault.step}, {"peer", fault.peer}, {"why", fault.what()}});
-        lease.next_at = now + poll_period;
+        lease.next_call_at = now + poll_period;
         return;
     }
-    const bool ours = std::exchange(lease.unsettled, false) && value.holder != 0 &&
+    const bool ours = std::exchange(lease.write_outcome_unknown, false) && value.holder != 0 &&
                       value.holder == lease.proposed.holder && value.fence == lease.proposed.fence;
     const bool changed = !lease.known || result.version != lease.version;
     if (ours && changed) {
@@ -75,7 +75,7 @@
         lease.version = result.version;
         lease.value = value;
         lease.seen_at = now;
-        lease.next_at = now;
+        lease.next_call_at = now;
         return;
     }
     if (changed) {
@@ -86,17 +86,17 @@
     }
     lease.known = true;
     lease.highest_fence = std::max(lease.highest_fence, value.fence);
-    lease.next_at = lease.held ? now : now + poll_period;
+    lease.next_call_at = lease.held ? now : now + poll_period;
 }
 
 void handle_result(lease_row& lease, const object_result& result, instant now)
 {
     lease.call = 0;
-    const bool write = lease.writing;
+    const bool write = lease.call_is_write;
     switch (result.status) {
     case object_status::ok:
         if (write) {
-            handle_write_done(lease, result.version, lease.call_at, now);
+            handle_write_done(lease, result.version, lease.call_started_at, now);
         } else {
             handle_read(lease, result, now);
         }
@@ -107,13 +107,13 @@
     case object_status::conflict:
         mark_lost(lease, "conflict with another write");
         lease.known = false;
-        lease.next_at = now;
+        lease.next_call_at = now;
         return;
     case object_status::failed:
         // A write may have taken effect; the next read determines that.
-        lease.unsettled = lease.unsettled || write;
+        lease.write_outcome_unknown = lease.write_outcome_unknown || write;
         lease.known = lease.known && !write;
-        lease.next_at = now + retry_delay;
+        lease.next_call_at = now + retry_delay;
         return;
     }
 }
@@ -146,13 +146,13 @@
     return lease.held && now < lease.valid_until;
 }
 
-void hold_lease(tables& t, const tick_time& time)
+void maintain_lease(tables& t, const tick_time& time)
 {
     lease_row& lease = t.lease;
     for (const object_result& result : t.in.objects) {
         if (result.id == lease.call && lease.call != 0) handle_result(lease, result, time.now);
     }
-    if (lease.call != 0 && time.now - lease.call_at > object_call_timeout) {
+    if (lease.call != 0 && time.now - lease.call_started_at > object_call_timeout) {
         handle_result(lease, {lease.call, object_status::failed, 0, {}}, time.now);
     }
     if (lease.held && time.now >= lease.valid_until) mark_lost(lease, "not renewed in time");
@@ -162,7 +162,7 @@
     // A VM that should no longer hold the lease, such as one that is shutting down, releases it, so
     // that its successor need not wait for expiry.
     const bool release = lease.known && lease.held && !wanted;
-    if (time.now < lease.next_at && !release) return;
+    if (time.now < lease.next_call_at && !release) return;
     if (release) {
         start_platform_call(t, true, {0, lease.value.fence}, time.now);
         return;
--- a/src/fleet_lease.h
+++ b/src/fleet_lease.h
@@ -40,19 +40,19 @@
 /** The state of the lease as this VM knows it, and its call in flight to the platform. */
 struct lease_row {
     bool held = false;
-    lease_value value;         ///< as last read or written
-    std::uint64_t version = 0; ///< of the object at that time
-    bool known = false;        ///< `value` and `version` are current as far as this VM knows
-    instant seen_at{};         ///< when this VM first saw this version
-    instant renewed_at{};      ///< when the write of the latest renewal was sent
-    instant taken_at{};        ///< when this VM acquired the lease
-    instant valid_until{};     ///< from then on the holder sends no orders
-    instant next_at{};         ///< earliest time of the next call
-    std::uint64_t call = 0;    ///< id of the call in flight, 0 if none
-    bool writing = false;      ///< the call in flight is a write
-    lease_value proposed;      ///< value of the write in flight, or of one whose response was lost
-    bool unsettled = false;    ///< it is not known whether the last write took effect
-    instant call_at{};
+    lease_value value;          ///< as last read or written
+    std::uint64_t version = 0;  ///< of the object at that time
+    bool known = false;         ///< `value` and `version` are current as far as this VM knows
+    instant seen_at{};          ///< when this VM first saw this version
+    instant renewed_at{};       ///< when the write of the latest renewal was sent
+    instant acquired_at{};      ///< when this VM acquired the lease
+    instant valid_until{};      ///< from then on the holder sends no orders
+    instant next_call_at{};     ///< earliest time of the next call
+    std::uint64_t call = 0;     ///< id of the call in flight, 0 if none
+    bool call_is_write = false; ///< the call in flight is a write
+    lease_value proposed;       ///< value of the write in flight, or of one whose response was lost
+    bool write_outcome_unknown = false; ///< it is not known whether the last write took effect
+    instant call_started_at{};
     /** The highest fencing number seen by this VM or reported by an engine. A platform restored
      * from a backup shows a lower one, and engines reject orders with a number below the highest
      * that they have seen. */
@@ -66,6 +66,6 @@
 [[nodiscard]] bool holds_lease(const lease_row& lease, instant now);
 
 /** Acquires, renews and releases the lease. */
-void hold_lease(tables& t, const tick_time& time);
+void maintain_lease(tables& t, const tick_time& time);
 
 } // namespace worksshift
--- a/src/messages.h
+++ b/src/messages.h
@@ -227,7 +227,7 @@
 };
 
 /** Entry to the claim's home VM: the outcome of a granted claim. */
-struct claim_settle {
+struct claim_outcome {
     attempt_id id;
     std::string key;
     outcome result = outcome::unknown;
@@ -305,7 +305,7 @@
 enum class order_kind : std::uint8_t { load, unload };
 
 /** Gate to the VM that issues orders: an engine should load or unload a version of its model. */
-struct order_wanted {
+struct order_request {
     server_id server;
     order_kind kind = order_kind::load;
     std::string version;
@@ -348,8 +348,8 @@
 
 using link_message =
     std::variant<hello, open_attempt, attempt_refused, attempt_head, attempt_data, attempt_ended,
-                 cancel_attempt, data_credit, claim_request, claim_reply, claim_settle,
-                 chat_records, config_pull, config_push, order_wanted, quota_request, quota_reply>;
+                 cancel_attempt, data_credit, claim_request, claim_reply, claim_outcome,
+                 chat_records, config_pull, config_push, order_request, quota_request, quota_reply>;
 
 enum class member_state : std::uint8_t { alive, suspect, leaving, dead };
 
--- a/src/node.cpp
+++ b/src/node.cpp
@@ -60,10 +60,10 @@
     run("cancel_attempts", [&] { cancel_attempts(t); });
     run("open_attempts", [&] { open_attempts(t, time); });
     run("run_queues", [&] { run_queues(t, time); });
-    run("hold_lease", [&] { hold_lease(t, time); });
-    run("want_orders", [&] { want_orders(t, this->next_wants, time); });
-    run("give_orders", [&] { give_orders(t, time); });
-    run("settle_claims", [&] { settle_claims(t, time); });
+    run("hold_lease", [&] { maintain_lease(t, time); });
+    run("want_orders", [&] { request_orders(t, this->next_wants, time); });
+    run("give_orders", [&] { issue_orders(t, time); });
+    run("settle_claims", [&] { process_claims(t, time); });
     run("grant_quotas", [&] { grant_quotas(t, time); });
     run("start_requests", [&] { start_requests(t, time); });
     run("follow_accounts", [&] { handle_quota_replies(t, time); });
@@ -102,7 +102,7 @@
     }
     if (homes == this->rows.homes) return;
     this->rows.homes = homes;
-    forget_claims(this->rows);
+    invalidate_claim_buckets(this->rows);
     this->rows.home_hashes.clear();
     std::ranges::transform(homes, std::back_inserter(this->rows.home_hashes),
                            [](const vm_id& vm) { return vm.hash(); });
@@ -122,12 +122,12 @@
                 in.refused.push_back({from, std::move(body)});
             } else if constexpr (std::is_same_v<Message, claim_request>) {
                 in.claim_requests.push_back({from, std::move(body)});
-            } else if constexpr (std::is_same_v<Message, claim_settle>) {
-                in.claim_settles.push_back({from, std::move(body)});
+            } else if constexpr (std::is_same_v<Message, claim_outcome>) {
+                in.claim_outcomes.push_back({from, std::move(body)});
             } else if constexpr (std::is_same_v<Message, claim_reply>) {
                 in.claim_replies.push_back(std::move(body));
-            } else if constexpr (std::is_same_v<Message, order_wanted>) {
-                in.orders_wanted.push_back({from, std::move(body)});
+            } else if constexpr (std::is_same_v<Message, order_request>) {
+                in.order_requests.push_back({from, std::move(body)});
             } else if constexpr (std::is_same_v<Message, quota_request>) {
                 in.quota_requests.push_back({from, std::move(body)});
             } else if constexpr (std::is_same_v<Message, quota_reply>) {
@@ -144,7 +144,7 @@
                     documents.shards[shard.key] = std::move(shard.content);
                 }
                 this->offer(std::move(documents));
-                this->configuration.pulling_from = {};
+                this->configuration.pull_target = {};
             } else if constexpr (std::is_same_v<Message, attempt_head> ||
                                  std::is_same_v<Message, attempt_data>) {
                 if (auto broken = this->relay.take(body)) in.ended.push_back(std::move(*broken));
@@ -158,7 +158,7 @@
 void node::receive(const gossip_message& message, instant now)
 {
     this->member_table.receive(message, now);
-    hear_revision(this->configuration, message.config_revision, message.sender.vm);
+    note_peer_revision(this->configuration, message.config_revision, message.sender.vm);
     std::ranges::copy(message.loads, std::back_inserter(this->rows.in.loads));
 }
 
--- a/src/plans.cpp
+++ b/src/plans.cpp
@@ -121,7 +121,7 @@
     }
     fleet_config next = config_after(config, parse_intent(item.wanted), unix_s);
     next.plans.push_back(item.id);
-    if (next.plans.size() > plans_in_manifest) next.plans.erase(next.plans.begin());
+    if (next.plans.size() > max_plans_in_manifest) next.plans.erase(next.plans.begin());
     return next;
 }
 
--- a/src/plans.h
+++ b/src/plans.h
@@ -21,7 +21,7 @@
 constexpr std::uint64_t plan_lifetime_s = 3600;
 /** Number of plan ids kept in the manifest. When the response to a confirmation was lost, the id in
  * the manifest shows that the plan took effect. */
-constexpr std::size_t plans_in_manifest = 500;
+constexpr std::size_t max_plans_in_manifest = 500;
 
 struct plan {
     std::string id;
--- a/src/platform_client.cpp
+++ b/src/platform_client.cpp
@@ -94,7 +94,7 @@
     this->start(call, std::move(handler));
 }
 
-void platform_client::run_in_turn(object_call call, object_handler handler)
+void platform_client::run_when_budget_allows(object_call call, object_handler handler)
 {
     this->queued.push_back({std::move(call), std::move(handler)});
     this->run_queued();
--- a/src/platform_client.h
+++ b/src/platform_client.h
@@ -34,7 +34,7 @@
     /** Reads or writes an object; fails at once if the budget is used up. */
     void run(const object_call& call, object_handler handler);
     /** Reads or writes an object as bulk work, queued while the budget is low. */
-    void run_in_turn(object_call call, object_handler handler);
+    void run_when_budget_allows(object_call call, object_handler handler);
     /** Waits until the object is newer than \p version; the result is `missing` if it did not
      * change in time. */
     void watch(const std::string& name, std::uint64_t version, object_handler handler);
--- a/src/route_requests.cpp
+++ b/src/route_requests.cpp
@@ -36,7 +36,7 @@
                   const std::string& body)
 {
     if (!request.claimed) return;
-    claim_settle message{request.claim_holder, request.claim_key, result, status, body};
+    claim_outcome message{request.claim_holder, request.claim_key, result, status, body};
     t.send(claim_store_vm(t, request.claim_key), std::move(message));
 }
 
@@ -219,7 +219,7 @@
         // released.
         if (reply.state == claim_state::granted) {
             const std::string& key = pending.message.key;
-            t.send(claim_store_vm(t, key), claim_settle{reply.id, key, outcome::not_run, 0, {}});
+            t.send(claim_store_vm(t, key), claim_outcome{reply.id, key, outcome::not_run, 0, {}});
         }
         return;
     }
--- a/src/shard_fetcher.cpp
+++ b/src/shard_fetcher.cpp
@@ -24,7 +24,7 @@
     handler done;
 };
 
-void shard_fetcher::fetch(const std::string& manifest, const manifest_head& head, handler done)
+void shard_fetcher::fetch(const std::string& manifest, const parsed_manifest& head, handler done)
 {
     auto item = std::make_shared<job>();
     item->manifest = manifest;
@@ -45,10 +45,10 @@
     const std::string name = item->unread.back();
     item->unread.pop_back();
     ++item->reads_in_flight;
-    this->platform.run_in_turn({0, shard_object(name), false, 0, {}},
-                               [this, item, name](const object_result& result) {
-                                   this->handle_shard(item, name, result);
-                               });
+    this->platform.run_when_budget_allows({0, shard_object(name), false, 0, {}},
+                                          [this, item, name](const object_result& result) {
+                                              this->handle_shard(item, name, result);
+                                          });
 }
 
 void shard_fetcher::handle_shard(const std::shared_ptr<job>& item, const std::string& name,
--- a/src/shard_fetcher.h
+++ b/src/shard_fetcher.h
@@ -31,7 +31,7 @@
     }
 
     /** Fetches the documents, except for shards that are already held. */
-    void fetch(const std::string& manifest, const manifest_head& head, handler done);
+    void fetch(const std::string& manifest, const parsed_manifest& head, handler done);
 
 private:
     struct job;
--- a/src/sync_config.cpp
+++ b/src/sync_config.cpp
@@ -14,7 +14,7 @@
 constexpr std::uint64_t watcher_key = 0x636f6e666967ULL;
 
 /** Whether every shard that the manifest names was received or is already held. */
-bool has_all_shards(const manifest_head& head, const shard_map& received, const shard_map& held)
+bool has_all_shards(const parsed_manifest& head, const shard_map& received, const shard_map& held)
 {
     return std::ranges::all_of(head.shards, [&](const std::string& name) {
         return held.contains(name) || received.contains(name);
@@ -23,7 +23,7 @@
 
 /** The documents of the shards that the manifest names. They are moved out of \p held where
  * present, otherwise out of \p received, so that a change copies no shard. */
-shard_map collect_shards(const manifest_head& head, shard_map& held, shard_map& received)
+shard_map collect_shards(const parsed_manifest& head, shard_map& held, shard_map& received)
 {
     shard_map shards;
     for (const std::string& name : head.shards) {
@@ -38,9 +38,9 @@
 offer_result offer_config(config_state& state, config_documents documents)
 {
     try {
-        const manifest_head head = parse_manifest(documents.manifest);
+        const parsed_manifest head = parse_manifest(documents.manifest);
         if (head.revision < state.revision()) {
-            ++state.lower_seen;
+            ++state.lower_revisions_seen;
             return offer_result::lower;
         }
         if (head.revision == state.revision()) return offer_result::same;
@@ -52,37 +52,38 @@
         state.documents = std::move(documents);
         return offer_result::applied;
     } catch (const user_error& fault) {
-        ++state.invalid_seen;
+        ++state.invalid_documents_seen;
         log_event(log_level::error, "config_invalid",
                   {{"step", fault.step}, {"path", fault.peer}, {"why", fault.what()}});
         return offer_result::invalid;
     }
 }
 
-void hear_revision(config_state& state, std::uint64_t revision, const vm_id& from)
+void note_peer_revision(config_state& state, std::uint64_t revision, const vm_id& from)
 {
-    if (revision <= std::max(state.revision(), state.wanted_revision)) {
+    if (revision <= std::max(state.revision(), state.advertised_revision)) {
         // Prefer the latest VM that advertises the same revision, in case the first one has failed.
-        if (revision == state.wanted_revision && revision > state.revision()) {
-            state.wanted_from = from;
+        if (revision == state.advertised_revision && revision > state.revision()) {
+            state.advertised_by = from;
         }
         return;
     }
-    state.wanted_revision = revision;
-    state.wanted_from = from;
+    state.advertised_revision = revision;
+    state.advertised_by = from;
 }
 
 void pull_config(tables& t, config_state& state, const tick_time& time)
 {
-    if (state.wanted_revision <= state.revision()) return;
-    if (!state.pulling_from.empty() && time.now - state.pull_at < config_pull_timeout) return;
-    state.pulling_from = state.wanted_from;
-    state.pull_at = time.now;
+    if (state.advertised_revision <= state.revision()) return;
+    if (!state.pull_target.empty() && time.now - state.pull_started_at < config_pull_timeout)
+        return;
+    state.pull_target = state.advertised_by;
+    state.pull_started_at = time.now;
     config_pull pull;
     pull.have_revision = state.revision();
     std::ranges::transform(state.documents.shards, std::back_inserter(pull.have_shards),
                            [](const auto& entry) { return entry.first; });
-    t.send(state.wanted_from, std::move(pull));
+    t.send(state.advertised_by, std::move(pull));
 }
 
 std::optional<config_push> answer_pull(const config_state& state, const config_pull& pull)
--- a/src/sync_config.h
+++ b/src/sync_config.h
@@ -25,12 +25,13 @@
     config_documents documents;
     std::shared_ptr<const fleet_config> config;
     /** Number of lower revisions offered, such as by a platform restored from a backup. */
-    std::uint64_t lower_seen = 0;
-    std::uint64_t invalid_seen = 0; ///< number of offers with documents that failed to parse
-    vm_id pulling_from;
-    instant pull_at{};
-    std::uint64_t wanted_revision = 0; ///< highest revision advertised by a peer
-    vm_id wanted_from;
+    std::uint64_t lower_revisions_seen = 0;
+    std::uint64_t invalid_documents_seen =
+        0; ///< number of offers with documents that failed to parse
+    vm_id pull_target;
+    instant pull_started_at{};
+    std::uint64_t advertised_revision = 0; ///< highest revision advertised by a peer
+    vm_id advertised_by;
 
     [[nodiscard]] std::uint64_t revision() const
     {
@@ -45,7 +46,7 @@
 offer_result offer_config(config_state& state, config_documents documents);
 
 /** Records a revision that a peer advertised. */
-void hear_revision(config_state& state, std::uint64_t revision, const vm_id& from);
+void note_peer_revision(config_state& state, std::uint64_t revision, const vm_id& from);
 
 /** Requests the newest advertised configuration from the VM that advertised it, if it is newer than
  * the local one. */
--- a/src/tables.h
+++ b/src/tables.h
@@ -203,11 +203,11 @@
     std::vector<attempt_id> undelivered; ///< `open_attempt` messages of which no byte was sent
     std::vector<chat_records> chats;
     std::vector<from_peer<claim_request>> claim_requests;
-    std::vector<from_peer<claim_settle>> claim_settles;
+    std::vector<from_peer<claim_outcome>> claim_outcomes;
     std::vector<claim_reply> claim_replies;
     std::vector<object_result> objects; ///< read by several systems; each recognises its own calls
-    std::vector<from_peer<order_wanted>> orders_wanted;
-    std::vector<order_ended> orders_ended;
+    std::vector<from_peer<order_request>> order_requests;
+    std::vector<order_result> order_results;
     std::vector<from_peer<quota_request>> quota_requests;
     std::vector<from_peer<quota_reply>> quota_replies;
 };
--- a/test/fuzz/claims_grant_once.cpp
+++ b/test/fuzz/claims_grant_once.cpp
@@ -7,7 +7,7 @@
 #include <cppunit/extensions/HelperMacros.h>
 #include <rapidcheck.h>
 
-#include "support/disturb.h"
+#include "support/inject_fault.h"
 
 namespace {
 
@@ -59,10 +59,10 @@
             const int steps = *rc::gen::inRange(2, 30);
             for (int i = 0; i < steps; ++i) {
                 const auto node = *rc::gen::inRange<std::size_t>(0, node_count);
-                const int action = *rc::gen::inRange(0, support::disturbances + 5);
-                if (action < support::disturbances) {
-                    support::disturb(fleet, action, node);
-                } else if (action == support::disturbances) {
+                const int action = *rc::gen::inRange(0, support::fault_kinds + 5);
+                if (action < support::fault_kinds) {
+                    support::inject_fault(fleet, action, node);
+                } else if (action == support::fault_kinds) {
                     for (auto& [id, server] : fleet.servers)
                         server.crash_next = true;
                 } else if (fleet.up(node)) {
--- a/test/fuzz/orders_come_from_one_holder.cpp
+++ b/test/fuzz/orders_come_from_one_holder.cpp
@@ -8,7 +8,7 @@
 #include <cppunit/extensions/HelperMacros.h>
 #include <rapidcheck.h>
 
-#include "support/disturb.h"
+#include "support/inject_fault.h"
 
 namespace {
 
@@ -70,13 +70,13 @@
         return fleet.up(node) && holds_lease(fleet.node_at(node).data().lease, fleet.now());
     }
 
-    static void disturb(support::core_fleet& fleet)
+    static void inject_fault(support::core_fleet& fleet)
     {
         const auto node = *rc::gen::inRange<std::size_t>(0, node_count);
-        const int action = *rc::gen::inRange(0, support::disturbances + 3);
-        if (action < support::disturbances) {
-            support::disturb(fleet, action, node);
-        } else if (action == support::disturbances) {
+        const int action = *rc::gen::inRange(0, support::fault_kinds + 3);
+        if (action < support::fault_kinds) {
+            support::inject_fault(fleet, action, node);
+        } else if (action == support::fault_kinds) {
             fleet.pause(node, seconds(*rc::gen::element(3, 12, 30)));
         } else {
             set_versions(fleet, *rc::gen::elementOf(version_sets));
@@ -109,7 +109,7 @@
             fleet.run_for(seconds(20));
             const int steps = *rc::gen::inRange(1, 16);
             for (int i = 0; i < steps; ++i) {
-                disturb(fleet);
+                inject_fault(fleet);
                 for (int interval = 0; interval < 10; ++interval) {
                     fleet.run_for(milliseconds(*rc::gen::element(20, 300, 1500)));
                     std::size_t holders = 0;
@@ -224,7 +224,7 @@
         support::core_fleet fleet(options);
         const std::size_t holder = partition_two_nodes(fleet);
         const lease_row& lease = fleet.node_at(holder).data().lease;
-        while (lease.call == 0 || !lease.writing)
+        while (lease.call == 0 || !lease.call_is_write)
             fleet.run_for(milliseconds(1));
         fleet.pause(holder, seconds(5));
         fleet.cut_platform(holder);
--- a/test/support/core_fleet.cpp
+++ b/test/support/core_fleet.cpp
@@ -583,7 +583,7 @@
         report.own_running_then = static_cast<std::uint32_t>(gate.running.size());
         const core_server& server = this->servers[id.text];
         if (server.tells_versions) {
-            report.versions.told = true;
+            report.versions.versions_reported = true;
             report.versions.loaded.assign(server.loaded.begin(), server.loaded.end());
             report.versions.loading.assign(server.loading.begin(), server.loading.end());
         }
@@ -610,7 +610,7 @@
 void core_fleet::take_order(std::size_t index, std::uint64_t life, const start_order& order)
 {
     core_server& server = this->servers[order.server.id.text];
-    order_ended ended{order.server.id, true, 0};
+    order_result ended{order.server.id, true, 0};
     if (server.checks_fence && order.fence < server.fence) {
         ended = {order.server.id, false, server.fence};
     } else {
@@ -630,7 +630,7 @@
         this->servers, [](const auto& entry) { return !entry.second.loading.empty(); });
     this->loading_at_most = std::max(this->loading_at_most, static_cast<std::size_t>(loading));
     this->for_vm(index, life, [this, index, ended] {
-        this->vms[index].core->data().in.orders_ended.push_back(ended);
+        this->vms[index].core->data().in.order_results.push_back(ended);
         this->schedule_tick(index);
     });
 }
--- a/test/support/disturb.h
+++ b/test/support/inject_fault.h
@@ -7,11 +7,11 @@
 
 namespace support {
 
-/** Number of the actions of `disturb`. */
-constexpr int disturbances = 6;
+/** Number of the actions of `inject_fault`. */
+constexpr int fault_kinds = 6;
 
-/** Injects a fault or ends present ones, depending on \p which (0 to `disturbances` - 1). */
-inline void disturb(core_fleet& fleet, int which, std::size_t node)
+/** Injects a fault or ends present ones, depending on \p which (0 to `fault_kinds` - 1). */
+inline void inject_fault(core_fleet& fleet, int which, std::size_t node)
 {
     switch (which) {
     case 0:
