--- a/src/account_quota.cpp
+++ b/src/account_quota.cpp
@@ -51,10 +51,10 @@
 {
     balance.requested_at = now;
     ++balance.sends;
-    const std::uint64_t least =
+    const std::uint64_t min_tokens =
         balance.waiting.empty() ? 1 : cost_of_request(t, balance.waiting.front());
     t.send(home_of(t, account.hash()),
-           quota_request{account, balance.number, balance.requested_tokens, least});
+           quota_request{account, balance.number, balance.requested_tokens, min_tokens});
 }
 
 /** Requests the cost of all waiting requests, and prefetches for those expected before the next
@@ -75,7 +75,7 @@
 void pay_request(quota_balance& balance, request_row& request, instant now)
 {
     balance.tokens -= request.cost;
-    request.quota_paid = request.cost;
+    request.quota_tokens_charged = request.cost;
     record_use(balance, request.cost, now);
 }
 
@@ -151,8 +151,8 @@
     quota_reply reply{request.account, request.number, 0, 0};
     if (bucket.tokens > 0) {
         const auto whole_tokens = static_cast<std::uint64_t>(bucket.tokens);
-        reply.tokens = std::min(request.tokens,
-                                std::max(whole_tokens, std::max<std::uint64_t>(1, request.least)));
+        reply.tokens = std::min(
+            request.tokens, std::max(whole_tokens, std::max<std::uint64_t>(1, request.min_tokens)));
         bucket.tokens -= static_cast<double>(reply.tokens);
     }
     const double wait_ms =
@@ -182,9 +182,9 @@
 
 void refund_quota(tables& t, const request_row& request)
 {
-    if (request.quota_paid == 0) return;
+    if (request.quota_tokens_charged == 0) return;
     const auto balance = t.quotas.balances.find(request.account);
-    if (balance != t.quotas.balances.end()) balance->second.tokens += request.quota_paid;
+    if (balance != t.quotas.balances.end()) balance->second.tokens += request.quota_tokens_charged;
 }
 
 void grant_quotas(tables& t, const tick_time& time)
--- a/src/admit_attempts.cpp
+++ b/src/admit_attempts.cpp
@@ -29,14 +29,14 @@
 
 void sync_load(const tables& t, const gate_row& gate, server_row& server, instant now)
 {
-    server.load.running = static_cast<std::uint32_t>(gate.running.size()) + gate.foreign;
+    server.load.running = static_cast<std::uint32_t>(gate.running.size()) + gate.foreign_running;
     server.load.cost = gate.cost;
-    if (gate.foreign > 0) {
+    if (gate.foreign_running > 0) {
         // The cost of requests from another gate is unknown; the mean of this gate's is assumed.
         const double mean = gate.running.empty() ? default_answer_tokens
                                                  : static_cast<double>(gate.cost) /
                                                        static_cast<double>(gate.running.size());
-        server.load.cost += static_cast<std::uint64_t>(std::llround(mean * gate.foreign));
+        server.load.cost += static_cast<std::uint64_t>(std::llround(mean * gate.foreign_running));
     }
     server.load.accepting = !server.config.draining && gate.health.allows(now) && !t.leaving &&
                             version_for(t, gate, {}).available;
@@ -57,7 +57,7 @@
     }
     const std::uint32_t limit = shared_limit(gate, server.config);
     const std::uint32_t spare = heavy ? std::min(limit, spare_slots(server.config.limit)) : 0;
-    if (gate.running.size() + gate.foreign >= limit - spare) {
+    if (gate.running.size() + gate.foreign_running >= limit - spare) {
         return obstacle::limit;
     }
     const service_row& service = t.services.at(server.service);
@@ -105,14 +105,14 @@
                    std::shared_ptr<const open_attempt> open, instant now)
 {
     if (gate.running.empty()) {
-        gate.drained_since = now;
-        gate.drained_cost = 0;
+        gate.busy_since = now;
+        gate.served_cost = 0;
     }
     const std::string version = version_for(t, gate, open->version).version;
     gate.running[open->id] = {open->id, entry, open->account, open->cost, version};
     gate.cost += open->cost;
     gate.health.on_sent(now);
-    t.attempt_server[open->id] = gate.server;
+    t.server_by_attempt[open->id] = gate.server;
     sync_load(t, gate, server, now);
     ++t.counters.admitted;
     t.out.emplace_back(start_call{server.config, entry, std::move(open), version});
@@ -123,15 +123,16 @@
 duration expected_wait(const gate_row& gate, const open_attempt& open, double weight, instant now)
 {
     const double ahead = gate.queue.cost_ahead(open.account, weight, open.cost, now) + open.cost;
-    if (gate.drain_rate <= 0) return duration::zero();
+    if (gate.served_cost_per_s <= 0) return duration::zero();
     return std::chrono::duration_cast<duration>(
-        std::chrono::duration<double>(ahead / gate.drain_rate));
+        std::chrono::duration<double>(ahead / gate.served_cost_per_s));
 }
 
 std::uint32_t retry_after(const gate_row& gate)
 {
-    const double wait =
-        gate.drain_rate <= 0 ? 1000 : 1000 * (gate.queue.total_cost() + 1) / gate.drain_rate;
+    const double wait = gate.served_cost_per_s <= 0
+                            ? 1000
+                            : 1000 * (gate.queue.total_cost() + 1) / gate.served_cost_per_s;
     return static_cast<std::uint32_t>(std::clamp(wait, min_retry_after_ms, max_retry_after_ms));
 }
 
@@ -146,7 +147,7 @@
 {
     gate.opened.erase(id);
     gate.entries.erase(id);
-    t.attempt_server.erase(id);
+    t.server_by_attempt.erase(id);
 }
 
 void enqueue(tables& t, gate_row& gate, const vm_id& entry,
@@ -165,7 +166,7 @@
                                open->urgency, now + max_wait, now};
     gate.opened[open->id] = open;
     gate.entries[open->id] = entry;
-    t.attempt_server[open->id] = gate.server;
+    t.server_by_attempt[open->id] = gate.server;
     ++t.counters.queued;
     if (const auto shed = gate.queue.push(item)) {
         refuse_full(t, gate, gate.entries.at(shed->id), shed->id);
@@ -219,7 +220,7 @@
 bool redirect_chat(tables& t, const service_row& service, const server_row& home, const vm_id& from,
                    const open_attempt& open, instant now)
 {
-    if (open.directed || open.last_try || !t.settings.remember_chats) return false;
+    if (open.directed || open.is_final_attempt || !t.settings.remember_chats) return false;
     if (const auto cached = find_cached_server(t, service, open, now)) {
         record_chat_server(t, open, *cached, now);
         redirect(t, from, open, refusal::warm_elsewhere, *cached);
@@ -273,7 +274,7 @@
     }
     std::vector<server_id> excluded = open->tried;
     excluded.push_back(open->server);
-    if (!open->last_try) {
+    if (!open->is_final_attempt) {
         auto next = find_alternate(t, service, open->cost, excluded, heavy);
         if (!next && blocked_by != obstacle::bound)
             next = find_least_loaded(t, service, excluded, heavy);
@@ -297,14 +298,16 @@
 
 void update_drain_rate(gate_row& gate, std::uint32_t cost, instant now)
 {
-    gate.drained_cost += cost;
-    const duration span = now - gate.drained_since;
+    gate.served_cost += cost;
+    const duration span = now - gate.busy_since;
     if (span < rate_window) return;
-    const double rate = gate.drained_cost / std::chrono::duration<double>(span).count();
-    gate.drain_rate =
-        gate.drain_rate <= 0 ? rate : gate.drain_rate + rate_smoothing * (rate - gate.drain_rate);
-    gate.drained_since = now;
-    gate.drained_cost = 0;
+    const double rate = gate.served_cost / std::chrono::duration<double>(span).count();
+    gate.served_cost_per_s =
+        gate.served_cost_per_s <= 0
+            ? rate
+            : gate.served_cost_per_s + rate_smoothing * (rate - gate.served_cost_per_s);
+    gate.busy_since = now;
+    gate.served_cost = 0;
 }
 
 /** Whether one more server may be ejected. Breakers may eject only a share of a service's servers:
@@ -335,8 +338,8 @@
 
 void finish_call(tables& t, const call_ended& call, instant now)
 {
-    const auto server_found = t.attempt_server.find(call.id);
-    if (server_found == t.attempt_server.end()) return;
+    const auto server_found = t.server_by_attempt.find(call.id);
+    if (server_found == t.server_by_attempt.end()) return;
     const auto gate_found = t.gates.find(server_found->second);
     if (gate_found == t.gates.end()) return;
     gate_row& gate = gate_found->second;
@@ -345,7 +348,7 @@
     const running_attempt attempt = running->second;
     gate.running.erase(running);
     gate.cost -= attempt.cost;
-    t.attempt_server.erase(server_found);
+    t.server_by_attempt.erase(server_found);
     update_drain_rate(gate, attempt.cost, now);
     update_breaker(t, gate, call, now);
     if (const auto row = t.servers.find(gate.server); row != t.servers.end()) {
@@ -360,8 +363,8 @@
 
 void cancel_by_id(tables& t, const attempt_id& id)
 {
-    const auto found = t.attempt_server.find(id);
-    if (found == t.attempt_server.end()) return;
+    const auto found = t.server_by_attempt.find(id);
+    if (found == t.server_by_attempt.end()) return;
     gate_row& gate = t.gates.at(found->second);
     if (gate.queue.erase(id)) {
         remove_waiting(t, gate, id);
@@ -429,8 +432,8 @@
         if (found == t.gates.end()) continue;
         gate_row& gate = found->second;
         if (report.sent < gate.reported_at) continue;
-        const std::uint32_t own = report.own_running_then;
-        gate.foreign = report.running > own ? report.running - own : 0;
+        const std::uint32_t own = report.own_running_at_request;
+        gate.foreign_running = report.running > own ? report.running - own : 0;
         gate.reported_at = report.sent;
         if (report.versions.versions_reported) gate.versions = report.versions;
     }
--- a/src/answer_relay.cpp
+++ b/src/answer_relay.cpp
@@ -63,9 +63,9 @@
 attempt_result answer_relay::finish(row& item, const attempt_ended& ended)
 {
     item.over = true;
-    const bool resumable = item.stream && (!item.head_passed || item.status == status_ok);
-    return {ended,       item.head_passed, resumable,   item.tokens_passed,
-            item.status, item.body,        item.version};
+    const bool resumable = item.stream && (!item.head_forwarded || item.status == status_ok);
+    return {ended,       item.head_forwarded, resumable,   item.tokens_forwarded,
+            item.status, item.body,           item.version};
 }
 
 attempt_result answer_relay::fail_attempt(row& item, const char* detail)
@@ -78,13 +78,13 @@
 {
     row* item = this->find(head.id);
     if (item == nullptr) return std::nullopt;
-    if (item->head_passed) {
+    if (item->head_forwarded) {
         // A resumed response continues under the head that the caller already has.
         const bool same = head.status == item->status && head.version == item->version;
         if (same) return std::nullopt;
         return fail_attempt(*item, "the resumed answer has another status or version");
     }
-    item->head_passed = true;
+    item->head_forwarded = true;
     item->status = head.status;
     item->version = head.version;
     this->on_head.emit(item->request, head.status, head.headers);
@@ -95,11 +95,11 @@
 {
     row* item = this->find(data.id);
     if (item == nullptr) return std::nullopt;
-    if (data.sequence != item->next_sequence || !item->head_passed) {
+    if (data.sequence != item->next_sequence || !item->head_forwarded) {
         return fail_attempt(*item, "a frame of the answer is missing");
     }
     ++item->next_sequence;
-    if (item->stream) item->tokens_passed += count_tokens(data.bytes);
+    if (item->stream) item->tokens_forwarded += count_tokens(data.bytes);
     if (item->body.size() <= max_recorded_body_bytes) item->body += data.bytes;
     this->on_data.emit(item->request, data.bytes);
     return std::nullopt;
@@ -110,7 +110,7 @@
     row* item = this->find(ended.id);
     if (item == nullptr) return std::nullopt;
     if (ended.result == outcome::done &&
-        (ended.sequence != item->next_sequence || !item->head_passed)) {
+        (ended.sequence != item->next_sequence || !item->head_forwarded)) {
         return fail_attempt(*item, "the end came before the whole answer");
     }
     return finish(*item, ended);
--- a/src/answer_relay.h
+++ b/src/answer_relay.h
@@ -52,9 +52,9 @@
         attempt_id attempt;
         vm_id vm;
         bool stream = false;
-        bool head_passed = false;
+        bool head_forwarded = false;
         std::uint32_t next_sequence = 0;
-        std::uint32_t tokens_passed = 0;
+        std::uint32_t tokens_forwarded = 0;
         std::uint16_t status = 0;
         std::string body;    ///< beginning of the response, to be recorded with a claim
         std::string version; ///< of the model that generates the response
--- a/src/codec.cpp
+++ b/src/codec.cpp
@@ -134,7 +134,7 @@
 {
     const std::string body = encode(message);
     const std::size_t length = tag_size + body.size();
-    if (length + length_size > frame_at_most) {
+    if (length + length_size > max_frame_bytes) {
         throw internal_error("write frame", "", "frame exceeds the maximum length");
     }
     const frame_tag tag = this->keys.tag(frame_context(this->peer_nonce, this->number++), body);
@@ -153,7 +153,7 @@
     std::size_t length = 0;
     for (const std::uint8_t byte : head.first(length_size))
         length = length << 8U | byte;
-    if (length < tag_size || length + length_size > frame_at_most) {
+    if (length < tag_size || length + length_size > max_frame_bytes) {
         throw peer_error("read frame", "",
                          "invalid frame length: " + std::to_string(length) + " bytes");
     }
@@ -164,7 +164,7 @@
 {
     frame_tag tag{};
     std::ranges::copy(frame.subspan(length_size, tag_size), tag.begin());
-    const std::string_view body = as_text(frame.subspan(frame_head_size));
+    const std::string_view body = as_text(frame.subspan(frame_header_size));
     if (!this->keys.check(tag, frame_context(this->own_nonce, this->number++), body)) {
         throw peer_error("read frame", "",
                          "authentication failed: wrong fleet key, or frame out of order");
@@ -175,7 +175,7 @@
 std::optional<std::string> write_datagram(authenticator& keys, const gossip_message& message)
 {
     const std::string body = encode(message);
-    if (body.size() + tag_size > datagram_at_most) return std::nullopt;
+    if (body.size() + tag_size > max_datagram_bytes) return std::nullopt;
     const frame_tag tag = keys.tag(datagram_context, body);
     std::string datagram(reinterpret_cast<const char*>(tag.data()), tag.size());
     return datagram + body;
--- a/src/codec.h
+++ b/src/codec.h
@@ -22,10 +22,10 @@
 
 namespace worksshift {
 
-constexpr std::size_t tag_size = 16;                         ///< bytes
-constexpr std::size_t frame_head_size = 4 + tag_size;        ///< bytes
-constexpr std::size_t frame_at_most = std::size_t{8} << 20U; ///< bytes, length and tag included
-constexpr std::size_t datagram_at_most = 1400;               ///< bytes, tag included
+constexpr std::size_t tag_size = 16;                           ///< bytes
+constexpr std::size_t frame_header_size = 4 + tag_size;        ///< bytes
+constexpr std::size_t max_frame_bytes = std::size_t{8} << 20U; ///< bytes, length and tag included
+constexpr std::size_t max_datagram_bytes = 1400;               ///< bytes, tag included
 
 using nonce = std::array<std::uint8_t, 16>;
 using frame_tag = std::array<std::uint8_t, tag_size>;
@@ -74,7 +74,7 @@
     void set_nonce(const nonce& value) { this->own_nonce = value; }
 
     /** Length of the frame that starts with \p head, head included.
-     * \throws peer_error when it exceeds `frame_at_most`. */
+     * \throws peer_error when it exceeds `max_frame_bytes`. */
     static std::size_t frame_length(std::span<const std::uint8_t> head);
     /** Reads one complete frame.
      * \throws peer_error on a wrong tag or a malformed body. */
@@ -86,7 +86,7 @@
     std::uint64_t number = 0;
 };
 
-/** One datagram; std::nullopt if the message exceeds `datagram_at_most`. */
+/** One datagram; std::nullopt if the message exceeds `max_datagram_bytes`. */
 std::optional<std::string> write_datagram(authenticator& keys, const gossip_message& message);
 /** \throws peer_error on a wrong tag or a malformed body. */
 gossip_message read_datagram(authenticator& keys, std::span<const std::uint8_t> datagram);
--- a/src/daemon.cpp
+++ b/src/daemon.cpp
@@ -385,7 +385,7 @@
     load_report report;
     report.server = gate.server;
     report.sent = now();
-    report.own_running_then = static_cast<std::uint32_t>(gate.running.size());
+    report.own_running_at_request = static_cast<std::uint32_t>(gate.running.size());
     this->engines.ask_load(server->second.config, report, [this](load_report taken) {
         this->core.data().in.load_reports.push_back(std::move(taken));
         this->schedule_tick();
--- a/src/engine_orders.cpp
+++ b/src/engine_orders.cpp
@@ -58,7 +58,7 @@
         row.requested_at = now;
         // An engine that is already loading received the order earlier, perhaps from the previous
         // holder.
-        if (wanted.under_way && !row.sent) {
+        if (wanted.already_loading && !row.sent) {
             row.sent = true;
             row.sent_at = now;
         }
@@ -155,7 +155,8 @@
     for (auto& [server, row] : t.orders) {
         if (row.sent && time.now - row.sent_at < order_retry_delay) continue;
         const bool load = row.wanted.kind == order_kind::load;
-        if (load && !row.sent && loading >= static_cast<std::ptrdiff_t>(t.settings.loads_at_once)) {
+        if (load && !row.sent &&
+            loading >= static_cast<std::ptrdiff_t>(t.settings.max_concurrent_loads)) {
             continue;
         }
         if (load && !row.sent) ++loading;
--- a/src/fleet_gossip.cpp
+++ b/src/fleet_gossip.cpp
@@ -15,7 +15,7 @@
 
 namespace {
 
-constexpr std::size_t datagram_at_most = std::size_t{4} * 1024;
+constexpr std::size_t max_datagram_bytes = std::size_t{4} * 1024;
 
 instant now()
 {
@@ -98,7 +98,7 @@
 
 void fleet_gossip::receive()
 {
-    std::array<char, datagram_at_most> bytes{};
+    std::array<char, max_datagram_bytes> bytes{};
     constexpr int max_datagrams_per_call = 32;
     for (int i = 0; i < max_datagrams_per_call; ++i) {
         sockaddr_in from{};
--- a/src/gossip_socket.cpp
+++ b/src/gossip_socket.cpp
@@ -76,7 +76,7 @@
 
 void gossip_socket::read()
 {
-    std::array<std::uint8_t, 2 * datagram_at_most> bytes{};
+    std::array<std::uint8_t, 2 * max_datagram_bytes> bytes{};
     for (;;) {
         const ssize_t length = recv(this->socket, bytes.data(), bytes.size(), MSG_DONTWAIT);
         if (length < 0) return;
--- a/src/http_frontend.cpp
+++ b/src/http_frontend.cpp
@@ -114,7 +114,8 @@
     evhttp_set_max_headers_size(this->server.get(), max_request_header_bytes);
     // evhttp's own error lacks the headers of send_error, so its limit is above the one that
     // handle_http_request checks.
-    evhttp_set_max_body_size(this->server.get(), 2 * static_cast<ev_ssize_t>(options.body_at_most));
+    evhttp_set_max_body_size(this->server.get(),
+                             2 * static_cast<ev_ssize_t>(options.max_request_body_bytes));
     evhttp_set_timeout(this->server.get(), static_cast<int>(options.idle_timeout_s));
     evhttp_set_allowed_methods(this->server.get(), EVHTTP_REQ_GET | EVHTTP_REQ_HEAD |
                                                        EVHTTP_REQ_PUT | EVHTTP_REQ_DELETE |
@@ -171,7 +172,7 @@
         // HTTP/1.0 has no chunked encoding, so a broken response would look complete.
         send_bad_request(request, {505, "http_version", "HTTP/1.1 is needed"});
     } else if (evbuffer_get_length(evhttp_request_get_input_buffer(request)) >
-               this->options.body_at_most) {
+               this->options.max_request_body_bytes) {
         send_bad_request(request, {413, "body_too_large", "the body is over the limit"});
     } else if (this->config == nullptr) {
         fail_request failure;
--- a/src/link_hub.cpp
+++ b/src/link_hub.cpp
@@ -151,9 +151,9 @@
 {
     evbuffer* input = bufferevent_get_input(item.socket.get());
     try {
-        while (!item.closed && evbuffer_get_length(input) >= frame_head_size) {
-            const unsigned char* head = evbuffer_pullup(input, frame_head_size);
-            const std::size_t length = frame_reader::frame_length({head, frame_head_size});
+        while (!item.closed && evbuffer_get_length(input) >= frame_header_size) {
+            const unsigned char* head = evbuffer_pullup(input, frame_header_size);
+            const std::size_t length = frame_reader::frame_length({head, frame_header_size});
             if (evbuffer_get_length(input) < length) return;
             const unsigned char* frame = evbuffer_pullup(input, static_cast<ev_ssize_t>(length));
             link_message message = item.reader.read({frame, length});
--- a/src/membership.cpp
+++ b/src/membership.cpp
@@ -186,28 +186,29 @@
     }
 }
 
-void membership::hear(const vm_id& vm)
+void membership::note_link_message(const vm_id& vm)
 {
     const auto found = this->table.find(vm);
-    if (found != this->table.end()) found->second.heard = true;
+    if (found != this->table.end()) found->second.link_message_received = true;
 }
 
 bool membership::seems_live(const member& row, instant now) const
 {
-    return row.heard ||
-           (row.heard_at != instant{} && now - row.heard_at < 2 * this->settings.period);
+    return row.link_message_received ||
+           (row.last_link_message_at != instant{} &&
+            now - row.last_link_message_at < 2 * this->settings.period);
 }
 
 void membership::apply_link_messages(instant now)
 {
     for (auto& [vm, row] : this->table) {
-        if (!std::exchange(row.heard, false)) continue;
-        row.heard_at = now;
+        if (!std::exchange(row.link_message_received, false)) continue;
+        row.last_link_message_at = now;
         if (row.info.state == member_state::suspect) this->set_state(row, member_state::alive, now);
     }
 }
 
-void membership::doubt(const vm_id& vm)
+void membership::probe_early(const vm_id& vm)
 {
     if (std::ranges::find(this->early_probes, vm) == this->early_probes.end())
         this->early_probes.push_back(vm);
@@ -216,7 +217,7 @@
 void membership::tick(instant now)
 {
     const bool stalled =
-        this->last_tick != instant{} && now - this->last_tick > this->settings.stall;
+        this->last_tick != instant{} && now - this->last_tick > this->settings.stall_threshold;
     this->last_tick = now;
     if (stalled) this->probes.clear();
     this->apply_link_messages(now);
@@ -316,7 +317,7 @@
         if (row.live()) return false;
         const duration age = now - row.changed_at;
         const bool unlisted = !row.listed && row.info.state == member_state::dead;
-        return unlisted || age >= this->settings.gone_after;
+        return unlisted || age >= this->settings.dead_member_retention;
     });
     if (erased > 0) ++this->view_version;
 }
@@ -372,7 +373,7 @@
     }
     std::vector<const member*> chosen;
     std::ranges::sample(live, std::back_inserter(chosen),
-                        static_cast<std::ptrdiff_t>(this->settings.announce_to), this->random);
+                        static_cast<std::ptrdiff_t>(this->settings.revision_fanout), this->random);
     for (const member* row : chosen) {
         const member_update& to = row->info;
         this->outbox.push_back({to.vm, to.address, to.port, this->make_notice()});
--- a/src/membership.h
+++ b/src/membership.h
@@ -23,14 +23,14 @@
 namespace worksshift {
 
 struct membership_settings {
-    duration period = milliseconds(1000);     ///< between probes
-    duration ack_timeout = milliseconds(400); ///< before asking others to probe
-    duration suspicion = milliseconds(3000);  ///< from suspect to dead
-    duration gone_after = seconds(60);        ///< from dead to removed, even if in the VM list
-    duration stall = milliseconds(1500);      ///< a longer gap between ticks counts as a stall
+    duration period = milliseconds(1000);          ///< between probes
+    duration ack_timeout = milliseconds(400);      ///< before asking others to probe
+    duration suspicion = milliseconds(3000);       ///< from suspect to dead
+    duration dead_member_retention = seconds(60);  ///< from dead to removed, even if in the VM list
+    duration stall_threshold = milliseconds(1500); ///< a longer gap between ticks counts as a stall
     std::size_t indirect_probes = 2;
     std::size_t updates_per_datagram = 6;
-    std::size_t announce_to = 8; ///< members notified of a new revision at once
+    std::size_t revision_fanout = 8; ///< members notified of a new revision at once
 };
 
 /** One row of the member table. */
@@ -40,10 +40,10 @@
     instant acked_at{};   ///< send time of the newest ping that it acked
     instant granted_at{}; ///< when this VM last granted it a lease by acking its ping
     bool ever_acked = false;
-    bool heard = false;                ///< a link message arrived since the last tick
-    instant heard_at{};                ///< tick after the latest link message; the epoch: never
-    std::uint64_t config_revision = 0; ///< in force there, as last received
-    bool listed = true;                ///< in the platform's VM list, as last read
+    bool link_message_received = false; ///< a link message arrived since the last tick
+    instant last_link_message_at{};     ///< tick after the latest link message; the epoch: never
+    std::uint64_t config_revision = 0;  ///< in force there, as last received
+    bool listed = true;                 ///< in the platform's VM list, as last read
 
     [[nodiscard]] bool live() const
     {
@@ -80,10 +80,10 @@
      * `leaving`. */
     void announce_leave();
     /** Records a link message from the member, which is evidence of life without a probe. */
-    void hear(const vm_id& vm);
+    void note_link_message(const vm_id& vm);
     /** Has the member probed at the next tick rather than in its turn, after a connection to it
      * failed. */
-    void doubt(const vm_id& vm);
+    void probe_early(const vm_id& vm);
 
     /** Sends probes that are due, expires suspects and removes dead members. */
     void tick(instant now);
--- a/src/messages.h
+++ b/src/messages.h
@@ -67,9 +67,9 @@
     server_id server;
     client_account_id account;
     chat_key chat{};
-    bool returning = false; ///< the chat had an earlier turn
-    bool directed = false;  ///< a gate chose this server: no further redirect for affinity
-    bool last_try = false;  ///< the entry will try no other server: queue rather than refuse
+    bool returning = false;        ///< the chat had an earlier turn
+    bool directed = false;         ///< a gate chose this server: no further redirect for affinity
+    bool is_final_attempt = false; ///< the entry will try no other server: queue rather than refuse
     priority urgency = priority::interactive;
     std::uint32_t deadline_ms = 0; ///< remaining time when sent
     std::uint32_t cost = 0;        ///< tokens of work expected, see placement.h
@@ -85,9 +85,9 @@
     void serialize(Archive& archive)
     {
         archive(this->id, this->request_id, this->service, this->server, this->account, this->chat,
-                this->returning, this->directed, this->last_try, this->urgency, this->deadline_ms,
-                this->cost, this->resume_from, this->version, this->tried, this->method, this->path,
-                this->headers, this->body);
+                this->returning, this->directed, this->is_final_attempt, this->urgency,
+                this->deadline_ms, this->cost, this->resume_from, this->version, this->tried,
+                this->method, this->path, this->headers, this->body);
     }
 };
 
@@ -309,26 +309,26 @@
     server_id server;
     order_kind kind = order_kind::load;
     std::string version;
-    bool under_way = false; ///< the engine reports that it is loading the version
+    bool already_loading = false; ///< the engine reports that it is loading the version
 
     template <class Archive>
     void serialize(Archive& archive)
     {
-        archive(this->server, this->kind, this->version, this->under_way);
+        archive(this->server, this->kind, this->version, this->already_loading);
     }
 };
 
 /** Entry to an account's home VM: requests tokens of the account's rate, see account_quota.h. */
 struct quota_request {
     client_account_id account;
-    std::uint64_t number = 0; ///< sequence number at the entry, to recognise late replies
-    std::uint64_t tokens = 0; ///< requested
-    std::uint64_t least = 0;  ///< smallest grant that is of use
+    std::uint64_t number = 0;     ///< sequence number at the entry, to recognise late replies
+    std::uint64_t tokens = 0;     ///< requested
+    std::uint64_t min_tokens = 0; ///< smallest grant that is of use
 
     template <class Archive>
     void serialize(Archive& archive)
     {
-        archive(this->account, this->number, this->tokens, this->least);
+        archive(this->account, this->number, this->tokens, this->min_tokens);
     }
 };
 
--- a/src/node.cpp
+++ b/src/node.cpp
@@ -38,7 +38,7 @@
     this->rows.origin = origin;
     this->rows.settings = settings;
     this->rows.random.seed(seed + 1);
-    this->rows.chats = chat_directory(settings.chat_capacity, settings.chat_age);
+    this->rows.chats = chat_directory(settings.chat_capacity, settings.max_chat_age);
     this->rows.config = std::make_shared<const fleet_config>();
 }
 
@@ -111,7 +111,7 @@
 void node::receive(const vm_id& from, link_message message)
 {
     inbox& in = this->rows.in;
-    this->member_table.hear(from);
+    this->member_table.note_link_message(from);
     std::visit(
         [&]<class Message>(Message& body) {
             if constexpr (std::is_same_v<Message, open_attempt>) {
@@ -165,7 +165,7 @@
 void node::handle_peer_loss(const vm_id& vm)
 {
     this->rows.in.lost_peers.push_back(vm);
-    this->member_table.doubt(vm);
+    this->member_table.probe_early(vm);
     for (attempt_result& result : this->relay.handle_peer_loss(vm)) {
         this->rows.in.ended.push_back(std::move(result));
     }
--- a/src/platform_client.cpp
+++ b/src/platform_client.cpp
@@ -103,7 +103,7 @@
 void platform_client::run_queued()
 {
     this->refill();
-    while (!this->queued.empty() && this->budget >= platform_calls_spared + 1) {
+    while (!this->queued.empty() && this->budget >= reserved_platform_calls + 1) {
         queued_call next = std::move(this->queued.front());
         this->queued.pop_front();
         this->take_budget();
--- a/src/platform_client.h
+++ b/src/platform_client.h
@@ -18,8 +18,8 @@
 
 namespace worksshift {
 
-constexpr double platform_call_burst = 100;  ///< calls; size of the token bucket
-constexpr double platform_calls_spared = 50; ///< of the burst, reserved for urgent calls
+constexpr double platform_call_burst = 100;    ///< calls; size of the token bucket
+constexpr double reserved_platform_calls = 50; ///< of the burst, reserved for urgent calls
 
 class platform_client {
 public:
--- a/src/route_requests.cpp
+++ b/src/route_requests.cpp
@@ -20,8 +20,8 @@
 
 request_row* find_by_attempt(tables& t, const attempt_id& id)
 {
-    const auto found = t.request_of.find(id);
-    if (found == t.request_of.end()) return nullptr;
+    const auto found = t.request_by_attempt.find(id);
+    if (found == t.request_by_attempt.end()) return nullptr;
     const auto request = t.requests.find(found->second);
     return request == t.requests.end() ? nullptr : &request->second;
 }
@@ -43,7 +43,7 @@
 /** Removes the row of a request that has had its final response, or whose caller is gone. */
 void erase_request(tables& t, const request_row& request)
 {
-    t.request_of.erase(request.attempt);
+    t.request_by_attempt.erase(request.attempt);
     const auto running = t.account_running.find(request.account);
     if (running != t.account_running.end() && --running->second == 0) {
         t.account_running.erase(running);
@@ -77,11 +77,11 @@
 void send_attempt(tables& t, request_row& request, const server_id& server, const vm_id& gate,
                   std::uint32_t resume_from, instant now)
 {
-    t.request_of.erase(request.attempt);
+    t.request_by_attempt.erase(request.attempt);
     request.attempt = t.next_attempt();
     request.server = server;
     request.gate = gate;
-    t.request_of[request.attempt] = request.id;
+    t.request_by_attempt[request.attempt] = request.id;
 
     open_attempt open;
     open.id = request.attempt;
@@ -92,7 +92,7 @@
     open.chat = request.chat;
     open.returning = request.returning;
     open.directed = request.directed;
-    open.last_try = request.hops >= t.settings.max_hops;
+    open.is_final_attempt = request.hops >= t.settings.max_hops;
     open.urgency = request.urgency;
     const auto time_left = std::chrono::duration_cast<milliseconds>(request.deadline - now);
     open.deadline_ms = static_cast<std::uint32_t>(std::max<std::int64_t>(1, time_left.count()));
@@ -360,7 +360,7 @@
     if (step == next_step::resume) {
         ++t.counters.resumed;
         request.resumed = true;
-        request.resume_from = result.tokens_passed;
+        request.resume_from = result.tokens_forwarded;
         request.version = result.version;
     } else {
         ++t.counters.retried;
@@ -381,7 +381,7 @@
     if (!request.idempotent || request.tries + 1 >= settings.max_tries) {
         return next_step::give_up;
     }
-    const bool resume = result.head_passed || request.resumed;
+    const bool resume = result.head_forwarded || request.resumed;
     if (resume && !result.resumable) return next_step::give_up;
     if (!budget.withdraw()) return next_step::give_up;
     return resume ? next_step::resume : next_step::retry;
--- a/src/tables.h
+++ b/src/tables.h
@@ -39,17 +39,17 @@
 
 /** Limits and tuning parameters of a node; see docs/operate/settings.md. */
 struct node_settings {
-    std::size_t queue_capacity = 256;           ///< requests waiting at one gate, at most
-    duration max_queue_wait = seconds(10);      ///< in a gate's queue
-    std::size_t chat_capacity = 100'000;        ///< entries of the chat directory
-    duration chat_age = std::chrono::hours(12); ///< entries without a newer turn expire
-    std::uint64_t ramp_time_s = 600;            ///< see `server_config::added_at_s`
-    duration load_interval = milliseconds(250); ///< between load summaries
-    std::size_t max_hops = 4;                   ///< redirects of one request, at most
-    std::size_t max_tries = 3;                  ///< attempts of one request, not counting redirects
-    double max_ejected_share = 0.34;    ///< of a service's servers, that breakers may exclude
-    std::size_t claims_per_slice = 256; ///< see claim_slices.h
-    std::size_t loads_at_once = 4;      ///< model versions loading at a time, over all engines
+    std::size_t queue_capacity = 256;               ///< requests waiting at one gate, at most
+    duration max_queue_wait = seconds(10);          ///< in a gate's queue
+    std::size_t chat_capacity = 100'000;            ///< entries of the chat directory
+    duration max_chat_age = std::chrono::hours(12); ///< entries without a newer turn expire
+    std::uint64_t ramp_time_s = 600;                ///< see `server_config::added_at_s`
+    duration load_interval = milliseconds(250);     ///< between load summaries
+    std::size_t max_hops = 4;                       ///< redirects of one request, at most
+    std::size_t max_tries = 3;            ///< attempts of one request, not counting redirects
+    double max_ejected_share = 0.34;      ///< of a service's servers, that breakers may exclude
+    std::size_t claims_per_slice = 256;   ///< see claim_slices.h
+    std::size_t max_concurrent_loads = 4; ///< model versions loading at a time, over all engines
     bool balance_new_chats = true;
     bool remember_chats = true;
 };
@@ -90,9 +90,9 @@
     bool may_have_run = false; ///< an earlier attempt ended with outcome `unknown`
     bool resumed = false;      ///< the caller has received the first `resume_from` tokens
     std::uint32_t resume_from = 0;
-    std::string version;          ///< of the model that generated the response so far
-    std::uint64_t quota_paid = 0; ///< tokens charged to the account's rate
-    std::string last_step;        ///< of the latest refusal, reported in the final response
+    std::string version;                    ///< of the model that generated the response so far
+    std::uint64_t quota_tokens_charged = 0; ///< tokens charged to the account's rate
+    std::string last_step; ///< of the latest refusal, reported in the final response
     std::string last_peer;
 };
 
@@ -110,7 +110,7 @@
     server_id server;
     std::uint32_t running = 0;
     instant sent{}; ///< when the report was requested
-    std::uint32_t own_running_then = 0;
+    std::uint32_t own_running_at_request = 0;
     engine_versions versions;
 };
 
@@ -124,16 +124,16 @@
     instant leased_since{}; ///< start of the current lease; the epoch: no lease is held
     instant reported_at{};  ///< when the latest load report was requested
     std::unordered_map<attempt_id, running_attempt> running;
-    std::uint64_t cost = 0;    ///< of `running`
-    std::uint32_t foreign = 0; ///< requests in flight at the server that other gates sent
+    std::uint64_t cost = 0;            ///< of `running`
+    std::uint32_t foreign_running = 0; ///< requests in flight at the server that other gates sent
     fair_queue queue{0};
     std::unordered_map<attempt_id, std::shared_ptr<const open_attempt>> opened; ///< queued attempts
     std::unordered_map<attempt_id, vm_id> entries; ///< entry VMs of the queued attempts
     breaker health;
-    engine_versions versions; ///< as last reported
-    double drain_rate = 0;    ///< service rate while busy, smoothed; cost tokens per second
-    instant drained_since{};
-    double drained_cost = 0;
+    engine_versions versions;     ///< as last reported
+    double served_cost_per_s = 0; ///< service rate while busy, smoothed; cost tokens per second
+    instant busy_since{};
+    double served_cost = 0;
 };
 
 /** A configured server, as every VM knows it. */
@@ -171,9 +171,9 @@
 /** The end of an attempt of this entry, and what had been forwarded to the caller by then. */
 struct attempt_result {
     attempt_ended end;
-    bool head_passed = false; ///< the response head was sent to the caller
-    bool resumable = false;   ///< the forwarded part ends on a token boundary and can be continued
-    std::uint32_t tokens_passed = 0;
+    bool head_forwarded = false; ///< the response head was sent to the caller
+    bool resumable = false; ///< the forwarded part ends on a token boundary and can be continued
+    std::uint32_t tokens_forwarded = 0;
     std::uint16_t status = 0;
     std::string body;    ///< of a short response, to be recorded with a claim
     std::string version; ///< of the model that generated the forwarded part; may be empty
@@ -293,9 +293,10 @@
     std::map<service_id, service_row> services;
     std::unordered_map<server_id, server_row> servers;
     std::unordered_map<server_id, gate_row> gates;
-    std::unordered_map<attempt_id, server_id> attempt_server; ///< in flight or queued here
+    std::unordered_map<attempt_id, server_id> server_by_attempt; ///< in flight or queued here
     std::unordered_map<std::uint64_t, request_row> requests;
-    std::unordered_map<attempt_id, std::uint64_t> request_of; ///< request of each current attempt
+    std::unordered_map<attempt_id, std::uint64_t>
+        request_by_attempt; ///< request of each current attempt
     std::unordered_map<client_account_id, std::uint32_t> account_running; ///< at this entry
     std::unordered_map<attempt_id, pending_claim> claim_requests;
     std::vector<vm_id> homes; ///< live VMs, this one included unless it is leaving; see home.h
--- a/test/correctness/model_version_rolls_out.cpp
+++ b/test/correctness/model_version_rolls_out.cpp
@@ -98,8 +98,8 @@
         check_served(fleet, "while loading ");
         kill_holder(fleet);
         wait_until_all_have(fleet, {"v1", "v2"});
-        CPPUNIT_ASSERT(support::fleet::wait_for([&] { return fleet.settled(fleet.routers.size()); },
-                                                timeout_ms));
+        CPPUNIT_ASSERT(support::fleet::wait_for(
+            [&] { return fleet.converged(fleet.routers.size()); }, timeout_ms));
         CPPUNIT_ASSERT_EQUAL(0.0, runs_of_version(fleet, "v2"));
         change(fleet, version_intent("serve", "v2"));
         check_served(fleet, "after the switch ");
--- a/test/correctness/whole_fleet_restarts.cpp
+++ b/test/correctness/whole_fleet_restarts.cpp
@@ -64,7 +64,7 @@
         CPPUNIT_ASSERT_EQUAL(std::string("not_run"), waiting.header("X-Worksshift-Outcome"));
         fleet.set_faults({{"down", false}});
         CPPUNIT_ASSERT(
-            support::fleet::wait_for([&] { return fleet.settled(fleet.routers.size()); }, 30000));
+            support::fleet::wait_for([&] { return fleet.converged(fleet.routers.size()); }, 30000));
         for (std::size_t i = 0; i < fleet.routers.size(); ++i) {
             const support::reply repeated = file_ticket(fleet, i);
             CPPUNIT_ASSERT_EQUAL(201, repeated.status);
--- a/test/error/bad_servers_are_survived.cpp
+++ b/test/error/bad_servers_are_survived.cpp
@@ -72,7 +72,7 @@
             CPPUNIT_ASSERT_MESSAGE(mode, served);
         }
         // One engine breaks off after some tokens: another one resumes the stream.
-        support::fleet::wait_for([&] { return fleet.settled(2); }, 15000);
+        support::fleet::wait_for([&] { return fleet.converged(2); }, 15000);
         std::size_t resumed = 0;
         for (int i = 0; i < 6; ++i) {
             for (const support::endpoint& engine : fleet.engines) {
--- a/test/fuzz/orders_come_from_one_holder.cpp
+++ b/test/fuzz/orders_come_from_one_holder.cpp
@@ -37,7 +37,7 @@
         options.nodes = node_count;
         options.servers = server_count;
         options.data_centres = 2;
-        options.settings.loads_at_once = 2;
+        options.settings.max_concurrent_loads = 2;
         options.seed = seed;
         return options;
     }
@@ -46,7 +46,7 @@
     static void begin(support::core_fleet& fleet, bool fenced)
     {
         for (auto& [id, server] : fleet.servers) {
-            server.tells_versions = true;
+            server.reports_versions = true;
             server.checks_fence = fenced;
             server.loaded = {"v1"};
         }
@@ -89,13 +89,13 @@
         std::map<std::uint64_t, std::pair<std::size_t, std::uint64_t>> sender_by_fence;
         std::uint64_t highest_fence = 0;
         for (const support::order_given& order : fleet.orders_given) {
-            const std::pair sender{order.node, order.life};
+            const std::pair sender{order.node, order.vm_incarnation};
             RC_ASSERT(sender_by_fence.try_emplace(order.fence, sender).first->second == sender);
             RC_ASSERT(order.fence >= highest_fence);
             highest_fence = order.fence;
         }
         for (const auto& [id, server] : fleet.servers) {
-            RC_ASSERT(std::ranges::is_sorted(server.accepted_from));
+            RC_ASSERT(std::ranges::is_sorted(server.accepted_fences));
         }
     }
 
@@ -121,7 +121,7 @@
             }
             fleet.heal();
             fleet.set_platform(true);
-            fleet.lose_next_write_answers(0);
+            fleet.lose_next_write_responses(0);
             set_versions(fleet, {"v3", "v4"});
             fleet.run_for(seconds(150));
             check_orders(fleet);
@@ -132,8 +132,8 @@
         CPPUNIT_ASSERT(passed);
     }
 
-    /** Concurrent loads must not exceed `loads_at_once`, nor orders be repeated without need;
-     * engines must be reconciled also after the platform is restored from a backup. */
+    /** Concurrent loads must not exceed `max_concurrent_loads`, nor orders be repeated without
+     * need; engines must be reconciled also after the platform is restored from a backup. */
     void a_calm_fleet_keeps_to_the_weight_stores_rate()
     {
         support::core_fleet fleet(make_options(5));
@@ -141,7 +141,7 @@
         fleet.run_for(seconds(20));
         set_versions(fleet, {"v1", "v2"});
         fleet.run_for(seconds(40));
-        CPPUNIT_ASSERT_EQUAL(std::size_t{2}, fleet.loading_at_most);
+        CPPUNIT_ASSERT_EQUAL(std::size_t{2}, fleet.max_loading_engines);
         for (const auto& [id, server] : fleet.servers)
             CPPUNIT_ASSERT(server.loaded.contains("v2"));
         CPPUNIT_ASSERT_EQUAL(server_count, fleet.orders_given.size());
@@ -159,7 +159,7 @@
         fleet.run_for(seconds(90));
         for (const auto& [id, server] : fleet.servers) {
             CPPUNIT_ASSERT(server.loaded == std::set<std::string>{"v4"});
-            CPPUNIT_ASSERT(std::ranges::is_sorted(server.accepted_from));
+            CPPUNIT_ASSERT(std::ranges::is_sorted(server.accepted_fences));
         }
     }
 
@@ -250,7 +250,7 @@
         fleet.run_for(seconds(30));
         CPPUNIT_ASSERT(fleet.results[request].end == support::ending::whole);
         CPPUNIT_ASSERT(!server.loaded.contains("v1"));
-        CPPUNIT_ASSERT((server.ran_on == std::set<std::string>{"v1"}));
+        CPPUNIT_ASSERT((server.versions_run == std::set<std::string>{"v1"}));
     }
 
     /** A resumed stream must not combine the output of two versions in one response. */
@@ -281,7 +281,7 @@
         CPPUNIT_ASSERT_EQUAL(2U, result.runs);
         CPPUNIT_ASSERT_EQUAL(result.expected, result.text);
         for (const auto& [id, server] : fleet.servers)
-            CPPUNIT_ASSERT(!server.ran_on.contains("v2"));
+            CPPUNIT_ASSERT(!server.versions_run.contains("v2"));
     }
 };
 
--- a/test/fuzz/relay_takes_frames_in_order.cpp
+++ b/test/fuzz/relay_takes_frames_in_order.cpp
@@ -94,8 +94,8 @@
                 }
                 // The end frame was lost; in a node, the deadline would end the request.
                 if (!result) return;
-                RC_ASSERT(result->tokens_passed == count_tokens(passed));
-                resume_from = result->tokens_passed;
+                RC_ASSERT(result->tokens_forwarded == count_tokens(passed));
+                resume_from = result->tokens_forwarded;
                 abandoned_frames = make_frames(id, 0, tokens);
             }
         });
--- a/test/fuzz/requests_keep_promises.cpp
+++ b/test/fuzz/requests_keep_promises.cpp
@@ -191,7 +191,7 @@
     {
         if (this->fault == 0) system.fleet.set_platform(false);
         if (this->fault == 1) system.fleet.set_platform(true);
-        if (this->fault == 2) system.fleet.lose_next_write_answers(2);
+        if (this->fault == 2) system.fleet.lose_next_write_responses(2);
     }
     void show(std::ostream& out) const override { out << "platform(" << this->fault << ")"; }
 };
@@ -233,7 +233,7 @@
         if (!system.fleet.up(i)) continue;
         node& core = system.fleet.node_at(i);
         RC_ASSERT(core.data().requests.empty());
-        RC_ASSERT(core.data().attempt_server.empty());
+        RC_ASSERT(core.data().server_by_attempt.empty());
         RC_ASSERT(core.data().claim_requests.empty());
         RC_ASSERT(core.answers().size() == 0U);
     }
--- a/test/performance/config.cpp
+++ b/test/performance/config.cpp
@@ -109,7 +109,7 @@
 
 void measure_large(support::benchmark_report& out)
 {
-    support::core_options options = support::target_size();
+    support::core_options options = support::target_fleet_options();
     options.heartbeat = worksshift::milliseconds(250);
     support::core_fleet fleet(options);
     fleet.run_for(worksshift::seconds(15));
--- a/test/performance/drain.cpp
+++ b/test/performance/drain.cpp
@@ -45,7 +45,7 @@
         const std::chrono::duration<double> elapsed = std::chrono::steady_clock::now() - start;
         longest_stop_s = std::max(longest_stop_s, elapsed.count());
         fleet.start_router(i);
-        support::fleet::wait_for([&] { return fleet.settled(fleet.routers.size()); }, 8000);
+        support::fleet::wait_for([&] { return fleet.converged(fleet.routers.size()); }, 8000);
     }
     load.wait();
     std::ifstream file(report);
--- a/test/performance/placement.cpp
+++ b/test/performance/placement.cpp
@@ -449,7 +449,7 @@
     std::map<std::uint64_t, std::string> memory;
     std::multimap<double, std::pair<std::string, std::uint32_t>> ends;
     std::mt19937_64 random{9};
-    support::admission_tally admissions;
+    support::admission_stats admissions;
 };
 
 void print(support::benchmark_report& out, const std::string& name, const run_result& shown)
@@ -504,7 +504,7 @@
 /** A fleet of the target size, for some seconds: 480 nodes and 1,400 servers. */
 void measure_large(support::benchmark_report& out)
 {
-    support::core_options options = support::target_size();
+    support::core_options options = support::target_fleet_options();
     options.limit = 300;
     options.heartbeat = milliseconds(500);
     options.ms_per_cost = 60;
--- a/test/support/core_fleet.cpp
+++ b/test/support/core_fleet.cpp
@@ -28,7 +28,7 @@
     return "data: " + request_id + "." + std::to_string(piece) + "\n\n";
 }
 
-core_options target_size()
+core_options target_fleet_options()
 {
     core_options options;
     options.nodes = 480;
@@ -99,7 +99,7 @@
 void core_fleet::build_node(std::size_t index)
 {
     vm& item = this->vms[index];
-    ++item.life;
+    ++item.vm_incarnation;
     ++item.self.incarnation;
     item.up = true;
     item.requests.clear();
@@ -118,10 +118,12 @@
         const auto found = this->vms[index].requests.find(id);
         if (found != this->vms[index].requests.end()) this->results[found->second].text += bytes;
     });
-    const std::uint64_t life = item.life;
+    const std::uint64_t vm_incarnation = item.vm_incarnation;
     const auto jitter = milliseconds(this->random() % 250);
-    this->at(this->clock + jitter, [this, index, life] { this->heartbeat(index, life); });
-    this->at(this->clock + jitter, [this, index, life] { this->report_loads(index, life); });
+    this->at(this->clock + jitter,
+             [this, index, vm_incarnation] { this->heartbeat(index, vm_incarnation); });
+    this->at(this->clock + jitter,
+             [this, index, vm_incarnation] { this->report_loads(index, vm_incarnation); });
 }
 
 void core_fleet::at(instant when, std::function<void()> action)
@@ -130,10 +132,11 @@
 }
 
 /** Runs an action of a node, now or after its pause, unless the node has been killed since. */
-void core_fleet::for_vm(std::size_t index, std::uint64_t life, const std::function<void()>& action)
+void core_fleet::for_vm(std::size_t index, std::uint64_t vm_incarnation,
+                        const std::function<void()>& action)
 {
     vm& item = this->vms[index];
-    if (!item.up || item.life != life) return;
+    if (!item.up || item.vm_incarnation != vm_incarnation) return;
     if (item.paused_until > this->clock) {
         item.held.push_back(action);
         return;
@@ -169,11 +172,11 @@
     return !this->cuts.contains({std::min(a, b), std::max(a, b)});
 }
 
-void core_fleet::heartbeat(std::size_t index, std::uint64_t life)
+void core_fleet::heartbeat(std::size_t index, std::uint64_t vm_incarnation)
 {
-    if (!this->vms[index].up || this->vms[index].life != life) return;
+    if (!this->vms[index].up || this->vms[index].vm_incarnation != vm_incarnation) return;
     this->at(this->clock + this->options.heartbeat,
-             [this, index, life] { this->heartbeat(index, life); });
+             [this, index, vm_incarnation] { this->heartbeat(index, vm_incarnation); });
     if (this->vms[index].paused_until <= this->clock) this->tick(index);
 }
 
@@ -182,9 +185,9 @@
     vm& item = this->vms[index];
     if (item.tick_due) return;
     item.tick_due = true;
-    const std::uint64_t life = item.life;
-    this->at(this->clock, [this, index, life] {
-        this->for_vm(index, life, [this, index] { this->tick(index); });
+    const std::uint64_t vm_incarnation = item.vm_incarnation;
+    this->at(this->clock, [this, index, vm_incarnation] {
+        this->for_vm(index, vm_incarnation, [this, index] { this->tick(index); });
     });
 }
 
@@ -256,7 +259,7 @@
         this->schedule_tick(from);
         return;
     }
-    const std::uint64_t own_life = this->vms[from].life;
+    const std::uint64_t own_life = this->vms[from].vm_incarnation;
     const auto refused = [this, from, own_life](const link_message& lost) {
         const auto* open = std::get_if<open_attempt>(&lost);
         if (open == nullptr) return;
@@ -272,20 +275,20 @@
         refused(message);
         return;
     }
-    const std::uint64_t life = this->vms[target].life;
+    const std::uint64_t vm_incarnation = this->vms[target].vm_incarnation;
     const auto jitter = std::chrono::microseconds(this->random() % 500);
     instant& last = this->last_arrival[{from, target}];
     last = std::max(last, this->clock + this->options.link_delay + jitter);
     const vm_id sender = this->vms[from].self.vm;
     const std::uint64_t epoch = this->link_epochs[{std::min(from, target), std::max(from, target)}];
-    this->at(last, [this, from, target, life, sender, own_life, epoch,
+    this->at(last, [this, from, target, vm_incarnation, sender, own_life, epoch,
                     message = std::move(message)] {
         // Messages in flight are lost if the sender was killed or the link was cut.
         const auto pair = std::pair{std::min(from, target), std::max(from, target)};
         const bool arrives = epoch == this->link_epochs[pair] && this->reachable(from, target) &&
-                             this->vms[from].life == own_life && this->vms[from].up;
+                             this->vms[from].vm_incarnation == own_life && this->vms[from].up;
         if (!arrives) return;
-        this->for_vm(target, life, [this, target, sender, message] {
+        this->for_vm(target, vm_incarnation, [this, target, sender, message] {
             this->vms[target].core->receive(sender, message);
             this->schedule_tick(target);
         });
@@ -309,13 +312,14 @@
     const bool dropped =
         this->gossip_cuts.contains({std::min(from, target), std::max(from, target)});
     if (lost || dropped || !this->vms[target].up || !this->reachable(from, target)) return;
-    const std::uint64_t life = this->vms[target].life;
-    this->at(this->clock + this->options.link_delay, [this, target, life, message = item.message] {
-        this->for_vm(target, life, [this, target, message] {
-            this->vms[target].core->receive(message, this->clock);
-            this->schedule_tick(target);
-        });
-    });
+    const std::uint64_t vm_incarnation = this->vms[target].vm_incarnation;
+    this->at(this->clock + this->options.link_delay,
+             [this, target, vm_incarnation, message = item.message] {
+                 this->for_vm(target, vm_incarnation, [this, target, message] {
+                     this->vms[target].core->receive(message, this->clock);
+                     this->schedule_tick(target);
+                 });
+             });
 }
 
 std::size_t core_fleet::submit(std::size_t node_index, const core_request& request)
@@ -345,8 +349,8 @@
     const std::size_t index = this->results.size() - 1;
     this->by_request_id[row.request_id] = index;
     item.requests[row.id] = index;
-    const std::uint64_t life = item.life;
-    this->for_vm(node_index, life, [this, node_index, row] {
+    const std::uint64_t vm_incarnation = item.vm_incarnation;
+    this->for_vm(node_index, vm_incarnation, [this, node_index, row] {
         this->vms[node_index].core->data().in.arrivals.push_back(row);
         this->schedule_tick(node_index);
     });
@@ -361,7 +365,7 @@
         if (found == this->vms[i].requests.end() || !this->vms[i].up) continue;
         const std::uint64_t request = found->first;
         this->finish(i, request, ending::gone);
-        this->for_vm(i, this->vms[i].life, [this, i, request] {
+        this->for_vm(i, this->vms[i].vm_incarnation, [this, i, request] {
             this->vms[i].core->data().in.departures.push_back(request);
             this->schedule_tick(i);
         });
@@ -391,7 +395,7 @@
     }
 }
 
-void admission_tally::add(double load_before, double mean_after, double bound)
+void admission_stats::add(double load_before, double mean_after, double bound)
 {
     ++this->admissions;
     if (load_before >= bound * mean_after) ++this->over_bound;
@@ -418,12 +422,12 @@
 {
     core_server& server = this->servers[order.server.id.text];
     const attempt_id id = order.request->id;
-    const std::uint64_t life = this->vms[gate].life;
+    const std::uint64_t vm_incarnation = this->vms[gate].vm_incarnation;
     const bool refuses = std::exchange(server.refuse_next, false);
     if (!server.up || refuses) {
         const bool up = server.up;
-        this->at(this->clock + refused_after, [this, gate, life, id, up] {
-            this->for_vm(gate, life, [this, gate, id, up] {
+        this->at(this->clock + refused_after, [this, gate, vm_incarnation, id, up] {
+            this->for_vm(gate, vm_incarnation, [this, gate, id, up] {
                 this->vms[gate].core->data().in.calls_ended.push_back(
                     {id, outcome::not_run, !up, up ? "server" : "connect", ""});
                 this->schedule_tick(gate);
@@ -431,7 +435,7 @@
         });
         return;
     }
-    if (!order.version.empty()) server.ran_on.insert(order.version);
+    if (!order.version.empty()) server.versions_run.insert(order.version);
     const std::size_t result_index = this->by_request_id.at(order.request->request_id);
     core_result& result = this->results[result_index];
     ++result.runs;
@@ -440,7 +444,7 @@
     auto item = std::make_shared<run>();
     item->server = server.id;
     item->gate = gate;
-    item->gate_life = life;
+    item->gate_incarnation = vm_incarnation;
     item->cost = order.request->cost;
     item->result = result_index;
     this->runs[id] = item;
@@ -478,7 +482,7 @@
                             std::uint32_t piece)
 {
     if (item->over) return;
-    this->for_vm(item->gate, item->gate_life, [this, item, order, piece] {
+    this->for_vm(item->gate, item->gate_incarnation, [this, item, order, piece] {
         attempt_data data;
         data.id = order.request->id;
         data.sequence = item->pieces_sent++;
@@ -496,7 +500,7 @@
     --server.running;
     server.cost -= item->cost;
     this->runs.erase(id);
-    this->for_vm(item->gate, item->gate_life, [this, item, id, result, fault] {
+    this->for_vm(item->gate, item->gate_incarnation, [this, item, id, result, fault] {
         tables& t = this->vms[item->gate].core->data();
         const auto gate = t.gates.find({item->server});
         if (gate != t.gates.end()) {
@@ -537,7 +541,7 @@
         ++this->platform_writes;
         this->platform_bytes_written += call.value.size();
     }
-    const std::uint64_t life = this->vms[index].life;
+    const std::uint64_t vm_incarnation = this->vms[index].vm_incarnation;
     object_result result;
     result.id = call.id;
     if (this->platform_up && !this->platform_cuts.contains(index)) {
@@ -548,8 +552,8 @@
             item = {++this->last_version, call.value};
             result.status = object_status::ok;
             result.version = item.version;
-            if (this->lost_answers > 0) {
-                --this->lost_answers;
+            if (this->lost_responses > 0) {
+                --this->lost_responses;
                 result.status = object_status::failed;
             }
         } else if (item.version == 0) {
@@ -560,19 +564,19 @@
             result.value = item.value;
         }
     }
-    this->at(this->clock + platform_delay, [this, index, life, result] {
-        this->for_vm(index, life, [this, index, result] {
+    this->at(this->clock + platform_delay, [this, index, vm_incarnation, result] {
+        this->for_vm(index, vm_incarnation, [this, index, result] {
             this->vms[index].core->data().in.objects.push_back(result);
             this->schedule_tick(index);
         });
     });
 }
 
-void core_fleet::report_loads(std::size_t index, std::uint64_t life)
+void core_fleet::report_loads(std::size_t index, std::uint64_t vm_incarnation)
 {
-    if (!this->vms[index].up || this->vms[index].life != life) return;
+    if (!this->vms[index].up || this->vms[index].vm_incarnation != vm_incarnation) return;
     this->at(this->clock + this->options.report_period,
-             [this, index, life] { this->report_loads(index, life); });
+             [this, index, vm_incarnation] { this->report_loads(index, vm_incarnation); });
     if (this->vms[index].paused_until > this->clock) return;
     for (const auto& [id, gate] : this->vms[index].core->data().gates) {
         if (!gate.first) continue;
@@ -580,15 +584,15 @@
         report.server = id;
         report.running = this->servers[id.text].running;
         report.sent = this->clock;
-        report.own_running_then = static_cast<std::uint32_t>(gate.running.size());
+        report.own_running_at_request = static_cast<std::uint32_t>(gate.running.size());
         const core_server& server = this->servers[id.text];
-        if (server.tells_versions) {
+        if (server.reports_versions) {
             report.versions.versions_reported = true;
             report.versions.loaded.assign(server.loaded.begin(), server.loaded.end());
             report.versions.loading.assign(server.loading.begin(), server.loading.end());
         }
-        this->at(this->clock + this->options.report_delay, [this, index, life, report] {
-            this->for_vm(index, life, [this, index, report] {
+        this->at(this->clock + this->options.report_delay, [this, index, vm_incarnation, report] {
+            this->for_vm(index, vm_incarnation, [this, index, report] {
                 this->vms[index].core->data().in.load_reports.push_back(report);
                 this->schedule_tick(index);
             });
@@ -599,15 +603,17 @@
 /** An order that was sent arrives even if its node is killed. */
 void core_fleet::send_order(std::size_t index, const start_order& order)
 {
-    const std::uint64_t life = this->vms[index].life;
-    this->orders_given.push_back({this->clock, index, life, order.fence, order.kind});
+    const std::uint64_t vm_incarnation = this->vms[index].vm_incarnation;
+    this->orders_given.push_back({this->clock, index, vm_incarnation, order.fence, order.kind});
     const auto most = static_cast<std::uint64_t>(this->order_delay.count());
     const duration delay(static_cast<duration::rep>(this->random() % (most + 1)));
-    this->at(this->clock + delay,
-             [this, index, life, order] { this->take_order(index, life, order); });
+    this->at(this->clock + delay, [this, index, vm_incarnation, order] {
+        this->take_order(index, vm_incarnation, order);
+    });
 }
 
-void core_fleet::take_order(std::size_t index, std::uint64_t life, const start_order& order)
+void core_fleet::take_order(std::size_t index, std::uint64_t vm_incarnation,
+                            const start_order& order)
 {
     core_server& server = this->servers[order.server.id.text];
     order_result ended{order.server.id, true, 0};
@@ -615,7 +621,7 @@
         ended = {order.server.id, false, server.fence};
     } else {
         server.fence = std::max(server.fence, order.fence);
-        server.accepted_from.push_back(order.fence);
+        server.accepted_fences.push_back(order.fence);
         if (order.kind == order_kind::unload) {
             server.loaded.erase(order.version);
         } else if (!server.loaded.contains(order.version)) {
@@ -628,8 +634,9 @@
     }
     const auto loading = std::ranges::count_if(
         this->servers, [](const auto& entry) { return !entry.second.loading.empty(); });
-    this->loading_at_most = std::max(this->loading_at_most, static_cast<std::size_t>(loading));
-    this->for_vm(index, life, [this, index, ended] {
+    this->max_loading_engines =
+        std::max(this->max_loading_engines, static_cast<std::size_t>(loading));
+    this->for_vm(index, vm_incarnation, [this, index, ended] {
         this->vms[index].core->data().in.order_results.push_back(ended);
         this->schedule_tick(index);
     });
@@ -666,10 +673,10 @@
     }
     for (std::size_t other = 0; other < this->vms.size(); ++other) {
         if (other == index) continue;
-        const std::uint64_t life = this->vms[other].life;
+        const std::uint64_t vm_incarnation = this->vms[other].vm_incarnation;
         const vm_id dead = item.self.vm;
-        this->at(this->clock + this->options.link_delay, [this, other, life, dead] {
-            this->for_vm(other, life, [this, other, dead] {
+        this->at(this->clock + this->options.link_delay, [this, other, vm_incarnation, dead] {
+            this->for_vm(other, vm_incarnation, [this, other, dead] {
                 this->vms[other].core->handle_peer_loss(dead);
                 this->schedule_tick(other);
             });
@@ -693,10 +700,11 @@
 {
     vm& item = this->vms[index];
     item.paused_until = this->clock + span;
-    const std::uint64_t life = item.life;
-    this->at(item.paused_until, [this, index, life] {
+    const std::uint64_t vm_incarnation = item.vm_incarnation;
+    this->at(item.paused_until, [this, index, vm_incarnation] {
         vm& woken = this->vms[index];
-        if (!woken.up || woken.life != life || woken.paused_until > this->clock) return;
+        if (!woken.up || woken.vm_incarnation != vm_incarnation || woken.paused_until > this->clock)
+            return;
         for (const auto& action : std::exchange(woken.held, {}))
             action();
         this->schedule_tick(index);
@@ -728,10 +736,10 @@
     ++this->link_epochs[{std::min(a, b), std::max(a, b)}];
     for (const auto& [one, other] : {std::pair{a, b}, std::pair{b, a}}) {
         if (!this->vms[one].up) continue;
-        const std::uint64_t life = this->vms[one].life;
+        const std::uint64_t vm_incarnation = this->vms[one].vm_incarnation;
         const vm_id peer = this->vms[other].self.vm;
         const std::size_t self = one;
-        this->for_vm(self, life, [this, self, peer] {
+        this->for_vm(self, vm_incarnation, [this, self, peer] {
             this->vms[self].core->handle_peer_loss(peer);
             this->schedule_tick(self);
         });
--- a/test/support/core_fleet.h
+++ b/test/support/core_fleet.h
@@ -45,7 +45,7 @@
 };
 
 /** The target fleet: 480 nodes, 1,400 servers and 110 services, one per model and region. */
-core_options target_size();
+core_options target_fleet_options();
 
 /** A request as a caller makes it. */
 struct core_request {
@@ -88,13 +88,13 @@
     bool up = true;
     bool crash_next = false;  ///< the next response breaks off after its first piece
     bool refuse_next = false; ///< the next request is refused without being run
-    bool tells_versions = false;
+    bool reports_versions = false;
     bool checks_fence = true;
     std::set<std::string> loaded;
     std::set<std::string> loading;
-    std::uint64_t fence = 0;                  ///< highest seen
-    std::vector<std::uint64_t> accepted_from; ///< fencing numbers of accepted orders, in order
-    std::set<std::string> ran_on;             ///< versions that requests asked for
+    std::uint64_t fence = 0;                    ///< highest seen
+    std::vector<std::uint64_t> accepted_fences; ///< fencing numbers of accepted orders, in order
+    std::set<std::string> versions_run;         ///< versions that requests asked for
     std::uint64_t prompt_tokens = 0;
     std::uint64_t reused_tokens = 0;
     std::uint64_t cache_used = 0;
@@ -111,13 +111,13 @@
 struct order_given {
     instant at{};
     std::size_t node = 0;
-    std::uint64_t life = 0;
+    std::uint64_t vm_incarnation = 0;
     std::uint64_t fence = 0;
     worksshift::order_kind kind = worksshift::order_kind::load;
 };
 
 /** Loads of servers when they start a request, relative to the true mean at that time. */
-struct admission_tally {
+struct admission_stats {
     std::uint64_t admissions = 0;
     std::uint64_t over_bound = 0; ///< load before it at or above the bound times the mean after it
     double worst_ratio = 0;       ///< load before it over that mean
@@ -150,7 +150,7 @@
     void set_platform(bool up) { this->platform_up = up; }
     /** Partitions one node from the platform until `heal`. */
     void cut_platform(std::size_t node_index) { this->platform_cuts.insert(node_index); }
-    void lose_next_write_answers(std::uint32_t count) { this->lost_answers = count; }
+    void lose_next_write_responses(std::uint32_t count) { this->lost_responses = count; }
 
     /** Changes the configuration and offers it to one node. */
     void change_config(const std::function<void(worksshift::fleet_config&)>& change,
@@ -171,13 +171,13 @@
     std::uint64_t platform_writes = 0;
     std::uint64_t platform_bytes_written = 0;
     std::uint64_t hops = 0; ///< attempts opened
-    admission_tally admissions;
+    admission_stats admissions;
     bool tally_admissions = false;
     std::vector<order_given> orders_given;
     worksshift::duration order_delay =
         milliseconds(5);                         ///< longest delay between a node and an engine
     worksshift::duration load_time = seconds(3); ///< of a version
-    std::size_t loading_at_most = 0;             ///< engines at once, as counted
+    std::size_t max_loading_engines = 0;         ///< engines at once, as counted
     /** Saves the platform's objects for a later `restore_backup`. */
     void back_up() { this->backup = this->objects; }
     /** Restores the saved objects under new versions, as a platform does from its backup. */
@@ -189,7 +189,7 @@
         std::unique_ptr<worksshift::node> core;
         worksshift::member_update self;
         bool up = true;
-        std::uint64_t life = 0;
+        std::uint64_t vm_incarnation = 0;
         instant paused_until{};
         bool tick_due = false;
         std::vector<std::function<void()>> held;       ///< events deferred until a pause ends
@@ -207,7 +207,7 @@
     struct run {
         std::string server;
         std::size_t gate = 0;
-        std::uint64_t gate_life = 0;
+        std::uint64_t gate_incarnation = 0;
         std::uint32_t cost = 0;
         std::size_t result = 0;
         std::uint32_t pieces_sent = 0;
@@ -219,12 +219,13 @@
     };
 
     void at(instant when, std::function<void()> action);
-    void for_vm(std::size_t index, std::uint64_t life, const std::function<void()>& action);
+    void for_vm(std::size_t index, std::uint64_t vm_incarnation,
+                const std::function<void()>& action);
     void build_node(std::size_t index);
     [[nodiscard]] std::string data_centre_of(std::size_t server) const;
     void note_admission(const core_server& server, const worksshift::service_id& service,
                         std::uint32_t cost);
-    void heartbeat(std::size_t index, std::uint64_t life);
+    void heartbeat(std::size_t index, std::uint64_t vm_incarnation);
     void schedule_tick(std::size_t index);
     void tick(std::size_t index);
     void carry_out(std::size_t index, const worksshift::action& item);
@@ -237,9 +238,10 @@
                  worksshift::outcome result, bool fault);
     void cancel_run(std::size_t gate, const worksshift::attempt_id& id);
     void run_object_call(std::size_t index, const worksshift::object_call& call);
-    void report_loads(std::size_t index, std::uint64_t life);
+    void report_loads(std::size_t index, std::uint64_t vm_incarnation);
     void send_order(std::size_t index, const worksshift::start_order& order);
-    void take_order(std::size_t index, std::uint64_t life, const worksshift::start_order& order);
+    void take_order(std::size_t index, std::uint64_t vm_incarnation,
+                    const worksshift::start_order& order);
     [[nodiscard]] bool reachable(std::size_t a, std::size_t b) const;
     [[nodiscard]] std::size_t index_of(const worksshift::vm_id& vm) const;
     [[nodiscard]] std::uint64_t unix_now() const;
@@ -259,7 +261,7 @@
     std::map<std::string, object> backup;
     std::uint64_t last_version = 0;
     bool platform_up = true;
-    std::uint32_t lost_answers = 0;
+    std::uint32_t lost_responses = 0;
     worksshift::fleet_config current;
     std::mt19937_64 random;
     std::uint64_t next_request = 1;
--- a/test/support/fleet.cpp
+++ b/test/support/fleet.cpp
@@ -373,7 +373,7 @@
     return condition();
 }
 
-bool fleet::settled(std::size_t expected_routers) const
+bool fleet::converged(std::size_t expected_routers) const
 {
     for (const router& item : this->routers) {
         if (!item.process.running()) continue;
@@ -415,7 +415,7 @@
                  start_timeout_ms);
     if (!accepted) throw std::runtime_error("the first configuration was not accepted");
     const bool ready =
-        wait_for([this] { return this->settled(this->routers.size()); }, start_timeout_ms);
+        wait_for([this] { return this->converged(this->routers.size()); }, start_timeout_ms);
     if (!ready) throw std::runtime_error("the fleet did not settle");
 }
 
--- a/test/support/fleet.h
+++ b/test/support/fleet.h
@@ -112,7 +112,7 @@
     void start_platform();
     /** Waits for a condition, checked every 50 ms. */
     static bool wait_for(const std::function<bool()>& condition, int timeout_ms);
-    [[nodiscard]] bool settled(std::size_t expected_routers) const;
+    [[nodiscard]] bool converged(std::size_t expected_routers) const;
 
     reply chat(std::size_t router_index, const std::string& chat_id, const std::string& text,
                std::uint32_t tokens, bool stream = true,
--- a/test/support/inject_fault.h
+++ b/test/support/inject_fault.h
@@ -21,7 +21,7 @@
         fleet.set_platform(true);
         break;
     case 2:
-        fleet.lose_next_write_answers(2);
+        fleet.lose_next_write_responses(2);
         break;
     case 3:
         fleet.restart(node);
