--- a/apps/worksshift_experiment.cpp
+++ b/apps/worksshift_experiment.cpp
@@ -55,7 +55,7 @@
     add("help", "prints this help");
     add("pattern", options::value(&made.patterns), "TOML files of patterns");
     add("policy", options::value(&policies)->default_value("product,admit-all,all-knowing"),
-        ("comma-separated: " + joined(lab::decision_maker_names())).c_str());
+        ("comma-separated: " + joined(lab::named_policy_names())).c_str());
     add("seeds", options::value(&made.seeds)->default_value(1),
         "number of runs of each pattern and policy, 1 to 100");
     add("out", options::value(&made.folder), "folder for an HTML report with plots");
@@ -100,13 +100,14 @@
 {
     try {
         const request asked = read_command_line(count, arguments);
-        std::vector<lab::played> all;
+        std::vector<lab::run_result> all;
         for (const std::string& file : asked.patterns) {
             const lab::pattern given = lab::read_pattern(file);
             for (const std::string& policy : asked.policies) {
-                const lab::decision_maker chosen_policy = lab::make_decision_maker(policy);
+                const lab::named_policy chosen_policy = lab::make_named_policy(policy);
                 for (unsigned seed = 1; seed <= asked.seeds; ++seed) {
-                    all.push_back({given.name, policy, lab::play(given, chosen_policy, seed)});
+                    all.push_back(
+                        {given.name, policy, lab::run_simulation(given, chosen_policy, seed)});
                     print(all.back().result, given, policy, seed);
                 }
             }
--- a/lab/emulated_engine.cpp
+++ b/lab/emulated_engine.cpp
@@ -16,7 +16,7 @@
 
 } // namespace
 
-bool emulated_engine::take(const engine_request& request)
+bool emulated_engine::try_enqueue(const engine_request& request)
 {
     if (this->waiting.size() >= this->figures.queue) return false;
     const auto place =
@@ -93,12 +93,12 @@
     const double step_ms_total =
         this->figures.step_ms + prefill_ms +
         this->figures.step_ms_per_request * static_cast<double>(this->running.size());
-    this->busy_until = now + in_ms(step_ms_total * this->slowness);
+    this->busy_until = now + in_ms(step_ms_total * this->slowdown_factor);
     std::vector<std::uint64_t> ended;
     for (run& item : this->running) {
         if (item.unread_tokens > 0) continue;
         const instant first =
-            this->busy_until + in_ms(this->figures.first_event_ms * this->slowness);
+            this->busy_until + in_ms(this->figures.first_event_ms * this->slowdown_factor);
         if (item.produced_tokens++ == 0) this->on_first_event(item.request.id, first);
         if (item.produced_tokens >= item.request.answer_tokens) ended.push_back(item.request.id);
     }
@@ -106,7 +106,8 @@
         return item.unread_tokens == 0 && item.produced_tokens >= item.request.answer_tokens;
     });
     for (const std::uint64_t id : ended)
-        this->on_end(id, this->busy_until + in_ms(this->figures.first_event_ms * this->slowness));
+        this->on_end(id, this->busy_until +
+                             in_ms(this->figures.first_event_ms * this->slowdown_factor));
 }
 
 } // namespace lab
--- a/lab/emulated_engine.h
+++ b/lab/emulated_engine.h
@@ -19,7 +19,7 @@
 /** Capacity and speed of an engine. The defaults are those that users state for an engine of 48
  * slots: a step takes 3.23 ms plus 0.05 ms for each request, and 112 prompt tokens are prefilled in
  * a millisecond. */
-struct engine_figures {
+struct engine_parameters {
     std::uint32_t slots = 48;
     std::uint32_t queue = 144; ///< maximum number of waiting requests; further ones are rejected
     double step_ms = 3.23;
@@ -51,10 +51,10 @@
 
 class emulated_engine {
 public:
-    explicit emulated_engine(const engine_figures& figures) : figures(figures) {}
+    explicit emulated_engine(const engine_parameters& figures) : figures(figures) {}
 
     /** False if the queue is full. */
-    bool take(const engine_request& request);
+    bool try_enqueue(const engine_request& request);
     /** Drops the request because its caller has left. */
     void cancel(std::uint64_t id);
     /** Runs one iteration if the last one has ended by \p now. */
@@ -69,8 +69,8 @@
     [[nodiscard]] bool holds(std::uint64_t shared) const { return this->cache.contains(shared); }
 
     engine_totals totals;
-    double slowness = 1; ///< factor on the time of each iteration
-    bool dark = false;   ///< accepts requests and never responds
+    double slowdown_factor = 1; ///< factor on the time of each iteration
+    bool dark = false;          ///< accepts requests and never responds
 
     std::function<void(std::uint64_t id, worksshift::instant at)> on_first_event;
     std::function<void(std::uint64_t id, worksshift::instant at)> on_end;
@@ -90,7 +90,7 @@
     double prefill_chunk();
     void add_to_cache(const engine_request& request);
 
-    engine_figures figures;
+    engine_parameters figures;
     std::list<run> running;
     std::vector<engine_request> waiting; ///< by priority, then by arrival
     std::unordered_map<std::uint64_t, cache_entry> cache;
--- a/lab/experiment.cpp
+++ b/lab/experiment.cpp
@@ -74,7 +74,7 @@
 
 class simulation {
 public:
-    simulation(const pattern& given, const decision_maker& chosen_policy, std::uint64_t seed);
+    simulation(const pattern& given, const named_policy& chosen_policy, std::uint64_t seed);
     outcome run();
 
 private:
@@ -112,7 +112,7 @@
     server_entry& row(const caller_request& item);
 
     const pattern& given;
-    bool all_knowing;
+    bool sees_true_loads;
     std::mt19937_64 random;
     instant now{seconds(1000)};
     instant start{this->now};
@@ -130,9 +130,8 @@
     outcome result;
 };
 
-simulation::simulation(const pattern& given, const decision_maker& chosen_policy,
-                       std::uint64_t seed)
-    : given(given), all_knowing(chosen_policy.all_knowing), random(seed)
+simulation::simulation(const pattern& given, const named_policy& chosen_policy, std::uint64_t seed)
+    : given(given), sees_true_loads(chosen_policy.sees_true_loads), random(seed)
 {
     this->make_engines();
     this->make_vms(chosen_policy.policy);
@@ -170,7 +169,7 @@
 
 void simulation::make_vms(const placement_policy& policy)
 {
-    const std::size_t count = this->all_knowing ? 1 : this->given.vms;
+    const std::size_t count = this->sees_true_loads ? 1 : this->given.vms;
     milliseconds min_objective = this->given.kinds.front().objective;
     for (const request_kind& kind : this->given.kinds)
         min_objective = std::min(min_objective, kind.objective);
@@ -216,7 +215,7 @@
         if (begins) item.restart();
         break;
     case engine_fault::effect::slow:
-        item.slowness = begins ? fault.times : 1;
+        item.slowdown_factor = begins ? fault.times : 1;
         break;
     case engine_fault::effect::leave:
         for (const auto& vm : this->vms)
@@ -276,7 +275,7 @@
     item->work.answer_tokens = 1 + static_cast<std::uint32_t>(draw_answer(this->random));
     kind_outcome& kind_totals = this->result.kinds[from.name];
     ++kind_totals.asked;
-    kind_totals.owed += from.worth;
+    kind_totals.attainable_value += from.worth;
     const auto second = static_cast<std::size_t>((this->now - this->start) / seconds(1));
     this->asked_by_second[std::min(second, this->asked_by_second.size() - 1)] += 1;
     this->dispatch(item);
@@ -335,7 +334,7 @@
         const auto at = static_cast<std::size_t>(source - this->engine_ids.begin());
         item->work.copied = this->engines[at]->holds(item->work.shared);
     }
-    if (!engine.dark && !engine.take(item->work)) {
+    if (!engine.dark && !engine.try_enqueue(item->work)) {
         this->schedule_retry(item, overload_tracker::min_overload_retry_after);
         return;
     }
@@ -422,7 +421,7 @@
 
 duration simulation::load_sums_age() const
 {
-    if (this->all_knowing) return {};
+    if (this->sees_true_loads) return {};
     const int rounds = this->vms.size() > max_vms_in_one_data_centre ? load_sum_rounds : 1;
     return in_seconds(this->given.digest_ms * rounds / 1000);
 }
@@ -441,7 +440,7 @@
         for (std::size_t i = 0; i < this->engines.size(); ++i) {
             server_entry& row = *vm->rows[i];
             row.peers_in_flight = known_loads[i] - std::min(known_loads[i], row.in_flight);
-            if (this->all_knowing) row.state(this->engines[i]->load(), this->now);
+            if (this->sees_true_loads) row.state(this->engines[i]->load(), this->now);
         }
         vm->table.expire_reported_loads(this->now);
         vm->table.mark_slow(this->now);
@@ -525,7 +524,7 @@
 double outcome::earned_share() const
 {
     return ratio(sum_of(*this, [](const kind_outcome& kind) { return kind.earned; }),
-                 sum_of(*this, [](const kind_outcome& kind) { return kind.owed; }));
+                 sum_of(*this, [](const kind_outcome& kind) { return kind.attainable_value; }));
 }
 
 double outcome::on_time_share() const
@@ -568,18 +567,18 @@
 
 } // namespace
 
-decision_maker make_decision_maker(std::string_view name)
+named_policy make_named_policy(std::string_view name)
 {
     const auto found = changes().find(name);
     if (found == changes().end()) {
         throw user_error("experiment", std::string(name), "unknown policy");
     }
-    decision_maker made{std::string(name), {}, name == "all-knowing"};
+    named_policy made{std::string(name), {}, name == "all-knowing"};
     found->second(made.policy);
     return made;
 }
 
-std::vector<std::string> decision_maker_names()
+std::vector<std::string> named_policy_names()
 {
     std::vector<std::string> names;
     for (const auto& [name, change] : changes())
@@ -587,7 +586,7 @@
     return names;
 }
 
-outcome play(const pattern& given, const decision_maker& chosen_policy, std::uint64_t seed)
+outcome run_simulation(const pattern& given, const named_policy& chosen_policy, std::uint64_t seed)
 {
     return simulation(given, chosen_policy, seed).run();
 }
--- a/lab/experiment.h
+++ b/lab/experiment.h
@@ -22,10 +22,10 @@
     std::size_t asked = 0;
     std::size_t on_time = 0;
     std::size_t late = 0;
-    std::size_t refused = 0; ///< at the first attempt, and at the retry if there was one
-    std::size_t left = 0;    ///< the caller left before the first event
-    double owed = 0;         ///< sum of the worth of all requests
-    double earned = 0;       ///< sum of the worth, or of the worth when late, of those served
+    std::size_t refused = 0;     ///< at the first attempt, and at the retry if there was one
+    std::size_t left = 0;        ///< the caller left before the first event
+    double attainable_value = 0; ///< sum of the worth of all requests
+    double earned = 0;           ///< sum of the worth, or of the worth when late, of those served
     std::vector<double> first_event_ms; ///< of those that were served, since the first attempt
 };
 
@@ -43,18 +43,18 @@
 };
 
 /** A placement policy under its name. */
-struct decision_maker {
+struct named_policy {
     std::string name;
     worksshift::placement_policy policy;
-    bool all_knowing = false; ///< one VM that sees every load without delay: an upper reference
+    bool sees_true_loads = false; ///< one VM that sees every load without delay: an upper reference
 };
 
 /** The policy with that name: the product's, the product's with one mechanism off, one that admits
  * every request, or one that sees all loads. \throws worksshift::user_error for an unknown name. */
-decision_maker make_decision_maker(std::string_view name);
-std::vector<std::string> decision_maker_names();
+named_policy make_named_policy(std::string_view name);
+std::vector<std::string> named_policy_names();
 
 /** Runs the pattern once. */
-outcome play(const pattern& given, const decision_maker& chosen_policy, std::uint64_t seed);
+outcome run_simulation(const pattern& given, const named_policy& chosen_policy, std::uint64_t seed);
 
 } // namespace lab
--- a/lab/experiment_page.cpp
+++ b/lab/experiment_page.cpp
@@ -22,12 +22,12 @@
     return text.str();
 }
 
-void write_table(std::ostream& out, std::span<const played> all)
+void write_table(std::ostream& out, std::span<const run_result> all)
 {
     out << "<table><tr><th>pattern</th><th>policy</th><th>earned</th><th>on time</th>"
            "<th>refused</th><th>sends over the load bound</th><th>shared tokens read</th>"
            "<th>copied</th></tr>\n";
-    for (const played& item : all) {
+    for (const run_result& item : all) {
         out << "<tr><td>" << item.pattern << "</td><td>" << item.policy << "</td><td>"
             << percent(item.result.earned_share()) << "</td><td>"
             << percent(item.result.on_time_share()) << "</td><td>"
@@ -50,7 +50,7 @@
     out << "'/>\n";
 }
 
-void write_plot(std::ostream& out, std::span<const played> all, const std::string& pattern)
+void write_plot(std::ostream& out, std::span<const run_result> all, const std::string& pattern)
 {
     out << "<h2>" << pattern
         << "</h2><p>Share on time by second of the first attempt.</p>\n<svg width='"
@@ -58,7 +58,7 @@
         << plot_width + 220 << ' ' << plot_height + 10 << "'>\n<rect width='" << plot_width
         << "' height='" << plot_height << "' fill='none' stroke='#999'/>\n";
     std::set<std::string> drawn_policies;
-    for (const played& item : all) {
+    for (const run_result& item : all) {
         // Only the first seed of each policy is drawn.
         if (item.pattern != pattern || !drawn_policies.insert(item.policy).second) continue;
         const char* colour = colours[(drawn_policies.size() - 1) % colours.size()];
@@ -73,7 +73,7 @@
 
 } // namespace
 
-std::string write_page(std::span<const played> all)
+std::string write_page(std::span<const run_result> all)
 {
     std::ostringstream out;
     out << "<!doctype html><html lang='en'><meta charset='utf-8'><title>Experiment</title>"
@@ -81,7 +81,7 @@
            "<h1>Experiment</h1>\n";
     write_table(out, all);
     std::set<std::string> patterns;
-    for (const played& item : all)
+    for (const run_result& item : all)
         patterns.insert(item.pattern);
     for (const std::string& pattern : patterns)
         write_plot(out, all, pattern);
--- a/lab/experiment_page.h
+++ b/lab/experiment_page.h
@@ -12,13 +12,13 @@
 namespace lab {
 
 /** Result of one run. */
-struct played {
+struct run_result {
     std::string pattern;
     std::string policy;
     outcome result;
 };
 
 /** A self-contained HTML document with inline SVG plots. */
-std::string write_page(std::span<const played> all);
+std::string write_page(std::span<const run_result> all);
 
 } // namespace lab
--- a/lab/pattern.cpp
+++ b/lab/pattern.cpp
@@ -147,9 +147,9 @@
     return made;
 }
 
-engine_figures read_engine(fields from)
+engine_parameters read_engine(fields from)
 {
-    engine_figures made;
+    engine_parameters made;
     made.slots = from.count("slots", made.slots);
     made.queue = from.count("queue", made.queue);
     made.step_ms = from.number("step_ms", made.step_ms, 0.01, max_factor);
--- a/lab/pattern.h
+++ b/lab/pattern.h
@@ -54,7 +54,7 @@
     double seconds = 30;
     std::size_t vms = 8;
     std::size_t engines = 18;
-    engine_figures engine;
+    engine_parameters engine;
     double digest_ms = 150; ///< interval between the digests of a VM
     std::vector<request_kind> kinds;
     std::vector<wave> waves;
--- a/lab/plain_service.cpp
+++ b/lab/plain_service.cpp
@@ -69,7 +69,7 @@
 
 class simulation {
 public:
-    simulation(const plain_pattern& given, plain_chooser chooser, std::uint64_t seed);
+    simulation(const plain_pattern& given, server_selection chooser, std::uint64_t seed);
     plain_outcome run();
 
 private:
@@ -99,7 +99,7 @@
     [[nodiscard]] bool is_faulty(std::size_t server) const;
 
     const plain_pattern& given;
-    plain_chooser chooser;
+    server_selection chooser;
     std::mt19937_64 random;
     std::priority_queue<scheduled_event, std::vector<scheduled_event>, std::greater<>> events;
     std::uint64_t order = 0;
@@ -107,13 +107,13 @@
     std::vector<std::unique_ptr<router>> routers;
     std::vector<double> weights; ///< share of each VM in the requests, not normalised
     std::vector<server> servers;
-    std::deque<std::size_t> queue; ///< common to all servers, for plain_chooser::single_queue
+    std::deque<std::size_t> queue; ///< common to all servers, for server_selection::single_queue
     std::vector<request> requests;
     std::vector<double> response_times_ms;
     plain_outcome result;
 };
 
-simulation::simulation(const plain_pattern& given, plain_chooser chooser, std::uint64_t seed)
+simulation::simulation(const plain_pattern& given, server_selection chooser, std::uint64_t seed)
     : given(given), chooser(chooser), random(seed), servers(given.servers)
 {
     std::uniform_real_distribution<double> weight(0.5, 1.5);
@@ -121,7 +121,8 @@
         const std::size_t centre = vm % given.data_centres;
         this->routers.push_back(
             std::make_unique<router>(centre, static_cast<unsigned>(this->random())));
-        this->weights.push_back(weight(this->random) * (centre == 0 ? given.uneven : 1));
+        this->weights.push_back(weight(this->random) *
+                                (centre == 0 ? given.first_centre_rate_multiple : 1));
         for (std::size_t i = 0; i < given.servers; ++i) {
             server_record record;
             record.id = name_of(i);
@@ -143,7 +144,7 @@
     this->after(0, [this] { this->arrive(); });
     this->after(0, [this] { this->sum_loads(); });
     for (std::size_t vm = 0; vm < this->routers.size(); ++vm) {
-        std::uniform_real_distribution<double> initial_delay(0, this->given.told_after_s);
+        std::uniform_real_distribution<double> initial_delay(0, this->given.propagation_delay_s);
         this->after(initial_delay(this->random), [this, vm] { this->send_outcomes(vm); });
     }
     while (!this->events.empty() && this->events.top().at <= this->given.seconds) {
@@ -164,8 +165,8 @@
 {
     std::discrete_distribution<std::size_t> vms(this->weights.begin(), this->weights.end());
     const double work_s = this->given.work_ms / 1000;
-    const double per_s =
-        this->given.used * static_cast<double>(this->given.servers) * this->given.slots / work_s;
+    const double per_s = this->given.utilisation * static_cast<double>(this->given.servers) *
+                         this->given.slots / work_s;
     request item;
     item.vm = vms(this->random);
     item.arrived = this->now;
@@ -177,7 +178,7 @@
 
 std::size_t simulation::choose(request& item)
 {
-    if (this->chooser == plain_chooser::product) {
+    if (this->chooser == server_selection::product) {
         const placement_request wanted{service, false, 0, item.tried};
         const placement_result where =
             this->routers[item.vm]->table.choose(wanted, to_instant(this->now));
@@ -212,7 +213,7 @@
     if (std::uniform_real_distribution<>()(this->random) < long_work_share) {
         span_s *= long_work_multiple;
     }
-    return this->is_faulty(at) ? span_s * this->given.slow_times : span_s;
+    return this->is_faulty(at) ? span_s * this->given.slow_server_multiple : span_s;
 }
 
 void simulation::send(std::size_t id)
@@ -232,7 +233,7 @@
 void simulation::handle_at_server(std::size_t id)
 {
     const std::size_t at = this->requests[id].server;
-    if (this->chooser == plain_chooser::single_queue) {
+    if (this->chooser == server_selection::single_queue) {
         const auto free = std::ranges::find_if(
             this->servers, [this](const server& item) { return item.running < this->given.slots; });
         if (free == this->servers.end()) {
@@ -267,7 +268,7 @@
     --item.running;
     this->after(this->network_delay_s(this->requests[id]), [this, id] { this->answer(id, true); });
     std::deque<std::size_t>& waiting =
-        this->chooser == plain_chooser::single_queue ? this->queue : item.waiting;
+        this->chooser == server_selection::single_queue ? this->queue : item.waiting;
     if (waiting.empty()) return;
     const std::size_t next = waiting.front();
     waiting.pop_front();
@@ -277,7 +278,7 @@
 void simulation::answer(std::size_t id, bool served)
 {
     request& item = this->requests[id];
-    if (this->chooser == plain_chooser::product) {
+    if (this->chooser == server_selection::product) {
         server_entry& row = *this->routers[item.vm]->table.find(name_of(item.server));
         --row.in_flight;
         server_table::on_answered(row, to_duration(this->now - item.sent), !served,
@@ -289,14 +290,14 @@
     }
     const double span_ms = (this->now - item.arrived) * 1000;
     this->response_times_ms.push_back(span_ms);
-    if (span_ms > this->given.late_ms) ++this->result.late;
+    if (span_ms > this->given.late_threshold_ms) ++this->result.late;
 }
 
 /** Sends the outcomes of the VM's attempts to the other VMs of its data centre. */
 void simulation::send_outcomes(std::size_t vm)
 {
     const std::vector<outcome_counts> outcomes = this->routers[vm]->table.drain_outcomes();
-    this->after(this->given.told_after_s, [this, vm, outcomes] {
+    this->after(this->given.propagation_delay_s, [this, vm, outcomes] {
         for (std::size_t other = 0; other < this->routers.size(); ++other) {
             const bool same_data_centre = this->routers[other]->centre == this->routers[vm]->centre;
             if (other == vm || !same_data_centre) continue;
@@ -304,7 +305,7 @@
                 this->routers[other]->table.apply_outcomes(item, to_instant(this->now));
         }
     });
-    this->after(this->given.told_after_s, [this, vm] { this->send_outcomes(vm); });
+    this->after(this->given.propagation_delay_s, [this, vm] { this->send_outcomes(vm); });
 }
 
 /** Sends every VM the sums of all VMs' requests in flight, with the same delay. */
@@ -315,7 +316,7 @@
         for (std::size_t i = 0; i < sums.size(); ++i)
             sums[i] += item->table.find(name_of(i))->in_flight;
     }
-    this->after(this->given.told_after_s, [this, sums] {
+    this->after(this->given.propagation_delay_s, [this, sums] {
         for (const auto& item : this->routers) {
             for (std::size_t i = 0; i < sums.size(); ++i)
                 item->table.find(name_of(i))->peers_in_flight = sums[i];
@@ -327,7 +328,8 @@
 
 } // namespace
 
-plain_outcome play(const plain_pattern& given, plain_chooser chooser, std::uint64_t seed)
+plain_outcome run_simulation(const plain_pattern& given, server_selection chooser,
+                             std::uint64_t seed)
 {
     return simulation(given, chooser, seed).run();
 }
--- a/lab/plain_service.h
+++ b/lab/plain_service.h
@@ -22,22 +22,22 @@
     std::size_t data_centres = 4; ///< servers and VMs are spread over them round robin
     std::size_t servers = 4;
     std::uint32_t slots = 6;
-    std::size_t queue = 24; ///< requests that may wait at a server; it sheds further ones
-    double work_ms = 30;    ///< mean service time of a request
-    double used = 0.6;      ///< offered load as a share of the capacity of all slots
+    std::size_t queue = 24;   ///< requests that may wait at a server; it sheds further ones
+    double work_ms = 30;      ///< mean service time of a request
+    double utilisation = 0.6; ///< offered load as a share of the capacity of all slots
     /** Factor on the request rate of the VMs of the first data centre. */
-    double uneven = 1;
+    double first_centre_rate_multiple = 1;
     /** Factor on the service time of the first server after a third of the run. */
-    double slow_times = 1;
+    double slow_server_multiple = 1;
     /** The first server sheds all requests after a third of the run. */
     bool sheds_all = false;
-    double told_after_s = 0.15; ///< delay until other VMs learn of an event
+    double propagation_delay_s = 0.15; ///< delay until other VMs learn of an event
     double seconds = 20;
-    double late_ms = 150; ///< a response that takes longer than this counts as late
+    double late_threshold_ms = 150; ///< a response that takes longer than this counts as late
 };
 
 /** Method of choosing a server. */
-enum class plain_chooser : std::uint8_t {
+enum class server_selection : std::uint8_t {
     product,      ///< the product's server table
     uniform,      ///< at random
     single_queue, ///< one queue in front of all slots: the optimum, out of reach of any router
@@ -57,6 +57,7 @@
 };
 
 /** Runs the pattern once. */
-plain_outcome play(const plain_pattern& given, plain_chooser chooser, std::uint64_t seed);
+plain_outcome run_simulation(const plain_pattern& given, server_selection chooser,
+                             std::uint64_t seed);
 
 } // namespace lab
--- a/test/correctness/heavy_days_are_served.cpp
+++ b/test/correctness/heavy_days_are_served.cpp
@@ -38,7 +38,7 @@
 
     static outcome run(const std::string& name, std::string_view policy, std::uint64_t seed = 1)
     {
-        return play(read(name), make_decision_maker(policy), seed);
+        return run_simulation(read(name), make_named_policy(policy), seed);
     }
 
     /** Mean earned share over seeds 1 to \p seeds. */
--- a/test/correctness/plain_services_at_size.cpp
+++ b/test/correctness/plain_services_at_size.cpp
@@ -24,7 +24,7 @@
     made.vms = vms;
     made.data_centres = vms <= 8 ? 4 : 6;
     made.servers = vms <= 8 ? 4 : 6;
-    made.told_after_s = vms <= 8 ? 0.15 : vms <= 87 ? 0.7 : vms <= 295 ? 1.2 : 1.5;
+    made.propagation_delay_s = vms <= 8 ? 0.15 : vms <= 87 ? 0.7 : vms <= 295 ? 1.2 : 1.5;
     return made;
 }
 
@@ -53,8 +53,8 @@
      * most \p times that of one queue in front of all slots. */
     static void assert_close_to_one_queue(const plain_pattern& given, double times)
     {
-        const plain_outcome result = play(given, plain_chooser::product, 1);
-        const plain_outcome optimum = play(given, plain_chooser::single_queue, 1);
+        const plain_outcome result = run_simulation(given, server_selection::product, 1);
+        const plain_outcome optimum = run_simulation(given, server_selection::single_queue, 1);
         const std::string text = describe(given, result) + "; " + describe(given, optimum);
         CPPUNIT_ASSERT_MESSAGE(text, result.share(result.shed) <= 0.002);
         CPPUNIT_ASSERT_MESSAGE(text, result.p99_ms <= times * optimum.p99_ms);
@@ -74,7 +74,7 @@
     {
         for (const std::size_t vms : sizes) {
             plain_pattern given = fleet_of(vms);
-            given.used = 0.8;
+            given.utilisation = 0.8;
             assert_close_to_one_queue(given, 1.6);
         }
     }
@@ -84,7 +84,7 @@
     {
         for (const std::size_t vms : sizes) {
             plain_pattern given = fleet_of(vms);
-            given.uneven = 3;
+            given.first_centre_rate_multiple = 3;
             assert_close_to_one_queue(given, 1.35);
         }
     }
@@ -94,9 +94,9 @@
     {
         for (const std::size_t vms : sizes) {
             plain_pattern given = fleet_of(vms);
-            given.slow_times = 4;
-            const plain_outcome result = play(given, plain_chooser::product, 1);
-            const plain_outcome uniform = play(given, plain_chooser::uniform, 1);
+            given.slow_server_multiple = 4;
+            const plain_outcome result = run_simulation(given, server_selection::product, 1);
+            const plain_outcome uniform = run_simulation(given, server_selection::uniform, 1);
             const std::string text = describe(given, result) + "; " + describe(given, uniform);
             CPPUNIT_ASSERT_MESSAGE(text, result.share(result.late) <= 0.04);
             CPPUNIT_ASSERT_MESSAGE(text, result.late * 2 <= uniform.late);
@@ -109,7 +109,7 @@
         for (const std::size_t vms : sizes) {
             plain_pattern given = fleet_of(vms);
             given.sheds_all = true;
-            const plain_outcome result = play(given, plain_chooser::product, 1);
+            const plain_outcome result = run_simulation(given, server_selection::product, 1);
             const std::string text = describe(given, result);
             CPPUNIT_ASSERT_MESSAGE(text, result.unserved == 0);
             CPPUNIT_ASSERT_MESSAGE(text, result.share(result.shed) <= 0.06);
@@ -123,9 +123,9 @@
     {
         for (const std::size_t vms : sizes) {
             plain_pattern given = fleet_of(vms);
-            given.used = 1.2;
-            const plain_outcome result = play(given, plain_chooser::product, 1);
-            const plain_outcome uniform = play(given, plain_chooser::uniform, 1);
+            given.utilisation = 1.2;
+            const plain_outcome result = run_simulation(given, server_selection::product, 1);
+            const plain_outcome uniform = run_simulation(given, server_selection::uniform, 1);
             const std::string text = describe(given, result) + "; " + describe(given, uniform);
             CPPUNIT_ASSERT_MESSAGE(text, result.share(result.unserved) <=
                                              uniform.share(uniform.unserved) + 0.01);
--- a/test/fakes/fake_engine.cpp
+++ b/test/fakes/fake_engine.cpp
@@ -195,7 +195,7 @@
     }
     const std::uint64_t key = answer_key(parsed);
     if (this->fail_on_demand(request, key)) return;
-    if (this->options.stop_when_full && this->running >= this->options.slots) {
+    if (this->options.reject_when_full && this->running >= this->options.slots) {
         evhttp_add_header(evhttp_request_get_output_headers(request), "X-Not-Run", "true");
         reply_json(request, 503, "{}");
         return;
--- a/test/fakes/fake_engine.h
+++ b/test/fakes/fake_engine.h
@@ -27,9 +27,9 @@
     std::uint32_t token_interval_ms = 5;  ///< between the tokens of a stream
     double prefill_us_per_token = 20;     ///< for prompt tokens that are not cached
     std::size_t cache_tokens = 1'000'000; ///< capacity of the prefix cache
-    bool stop_when_full = false; ///< rejects requests with X-Not-Run instead of queueing them
-    std::string version = "v1";  ///< model version that is loaded at the start
-    std::uint32_t load_ms = 500; ///< time to load another version
+    bool reject_when_full = false; ///< rejects requests with X-Not-Run instead of queueing them
+    std::string version = "v1";    ///< model version that is loaded at the start
+    std::uint32_t load_ms = 500;   ///< time to load another version
 };
 
 class fake_engine {
--- a/test/fakes/main_fake_engine.cpp
+++ b/test/fakes/main_fake_engine.cpp
@@ -13,7 +13,7 @@
     options.token_interval_ms = given.number("token-interval-ms", options.token_interval_ms);
     options.prefill_us_per_token = given.real("prefill-us", options.prefill_us_per_token);
     options.cache_tokens = given.number("cache-tokens", 1'000'000);
-    options.stop_when_full = given.number("stop-when-full", 0) != 0;
+    options.reject_when_full = given.number("stop-when-full", 0) != 0;
     const worksshift::event_ptr<event_base> base(event_base_new());
     options.version = given.text("version", options.version);
     options.load_ms = given.number("load-ms", options.load_ms);
--- a/test/soak/promise_ledger.cpp
+++ b/test/soak/guarantee_checker.cpp
@@ -1,4 +1,4 @@
-#include "promise_ledger.h"
+#include "guarantee_checker.h"
 
 #include <algorithm>
 #include <array>
@@ -31,9 +31,9 @@
 
 } // namespace
 
-const std::vector<route_facts>& routes()
+const std::vector<route_properties>& routes()
 {
-    static const std::vector<route_facts> all{
+    static const std::vector<route_properties> all{
         {"/safe/x", "GET", "desk", 2, false, true},
         {"/unsafe/x", "POST", "desk", 1, false, false},
         {"/stream/x", "POST", "llm", 2, true, true},
@@ -42,88 +42,90 @@
     return all;
 }
 
-std::string whole_body(const route_facts& route, const std::string& id)
+std::string whole_body(const route_properties& route, const std::string& id)
 {
     if (!route.stream) return "answer to " + id;
     std::string body;
-    for (unsigned event = 1; event <= events_in_stream; ++event)
+    for (unsigned event = 1; event <= events_in_full_stream; ++event)
         body += "id: " + std::to_string(event) + "\ndata: " + id + "\n\n";
     return body;
 }
 
-asked_request& promise_ledger::ask(const asked_request& given)
+asked_request& guarantee_checker::ask(const asked_request& given)
 {
     ++this->asked;
     asked_request item = given;
-    item.router_life = this->incarnations[item.router].number;
+    item.router_incarnation = this->incarnations[item.router].number;
     this->recent.push_back(item.id);
     this->arrivals_by_service[item.route->service].first_attempts.push_back(item.sent);
     return this->requests[item.id] = item;
 }
 
-asked_request* promise_ledger::find(const std::string& id)
+asked_request* guarantee_checker::find(const std::string& id)
 {
     const auto found = this->requests.find(id);
     return found == this->requests.end() ? nullptr : &found->second;
 }
 
-void promise_ledger::report(const std::string& what, const asked_request& item)
+void guarantee_checker::report(const std::string& what, const asked_request& item)
 {
-    this->broken.push_back(
-        what + ": " + std::string(item.route->path) + " " + item.id +
-        " router=" + std::to_string(item.router) + " life=" + std::to_string(item.router_life) +
-        " status=" + std::to_string(item.status) + " runs=" + std::to_string(item.runs));
+    this->broken.push_back(what + ": " + std::string(item.route->path) + " " + item.id +
+                           " router=" + std::to_string(item.router) +
+                           " life=" + std::to_string(item.router_incarnation) + " status=" +
+                           std::to_string(item.status) + " runs=" + std::to_string(item.runs));
 }
 
-void promise_ledger::disturb(std::size_t router, instant now)
+void guarantee_checker::note_disturbance(std::size_t router, instant now)
 {
     this->incarnations[router].disturbed = now;
 }
 
-void promise_ledger::disturb_all(instant now)
+void guarantee_checker::note_disturbance_of_all(instant now)
 {
     for (std::size_t router = 0; router < this->incarnations.size(); ++router)
-        this->disturb(router, now);
+        this->note_disturbance(router, now);
 }
 
-void promise_ledger::start_life(std::size_t router, instant now)
+void guarantee_checker::start_incarnation(std::size_t router, instant now)
 {
-    router_life& life = this->incarnations[router];
-    life = {life.number + 1, 0, {}, now, {}};
+    router_incarnation& incarnation = this->incarnations[router];
+    incarnation = {incarnation.number + 1, 0, {}, now, {}};
 }
 
-bool promise_ledger::is_undisturbed(const asked_request& item, bool must_be_running) const
+bool guarantee_checker::is_undisturbed(const asked_request& item, bool must_be_running) const
 {
-    const router_life& life = this->incarnations[item.router];
-    if (life.number != item.router_life || item.sent - life.disturbed < calm_after) return false;
-    return !must_be_running || life.stopped == instant{};
+    const router_incarnation& incarnation = this->incarnations[item.router];
+    if (incarnation.number != item.router_incarnation ||
+        item.sent - incarnation.disturbed < min_undisturbed_time)
+        return false;
+    return !must_be_running || incarnation.stopped == instant{};
 }
 
-instant promise_ledger::confirmed_at(std::uint64_t version) const
+instant guarantee_checker::confirmed_at(std::uint64_t version) const
 {
     const auto found = std::ranges::find(this->configs, version, &confirmed_config::version);
     return found == this->configs.end() ? instant::max() : found->at;
 }
 
-instant promise_ledger::replaced_at(std::uint64_t version) const
+instant guarantee_checker::replaced_at(std::uint64_t version) const
 {
     const auto found = std::ranges::find_if(
         this->configs, [version](const auto& item) { return item.version > version; });
     return found == this->configs.end() ? instant::max() : found->at;
 }
 
-void promise_ledger::take_config(std::uint64_t version, instant now)
+void guarantee_checker::record_config(std::uint64_t version, instant now)
 {
     this->configs.push_back({version, now});
 }
 
-void promise_ledger::take_leaving(const std::string& server, instant now)
+void guarantee_checker::record_leaving(const std::string& server, instant now)
 {
     this->leaving_since.try_emplace(server, now);
 }
 
 /** The server must receive the caller's request, with the account instead of the API key. */
-void promise_ledger::check_forwarded(const asked_request& item, const std::string& request)
+void guarantee_checker::check_forwarded(const asked_request& item, const std::string& request)
 {
     const std::string line =
         std::string(item.route->method) + " " + std::string(item.route->path) + " HTTP/1.1";
@@ -137,18 +139,20 @@
     if (has_body && body_in(request) != "{}") this->report("another body", item);
 }
 
-void promise_ledger::check_leaving(const std::string& server, const asked_request& item,
-                                   instant now)
+void guarantee_checker::check_leaving(const std::string& server, const asked_request& item,
+                                      instant now)
 {
     const auto left = this->leaving_since.find(server);
-    if (left == this->leaving_since.end() || now - left->second <= in_force_within) return;
+    if (left == this->leaving_since.end() || now - left->second <= max_propagation_time) return;
     // The router must have had no fault since the server left, not only since the request was sent.
-    const router_life& life = this->incarnations[item.router];
-    if (!this->is_undisturbed(item, true) || left->second - life.disturbed < calm_after) return;
+    const router_incarnation& incarnation = this->incarnations[item.router];
+    if (!this->is_undisturbed(item, true) ||
+        left->second - incarnation.disturbed < min_undisturbed_time)
+        return;
     this->report("new work for " + server + " after it had left", item);
 }
 
-void promise_ledger::check_retries(const route_facts& route, instant now, bool is_retry)
+void guarantee_checker::check_retries(const route_properties& route, instant now, bool is_retry)
 {
     arrivals& all = this->arrivals_by_service[route.service];
     if (is_retry) all.retries.push_back(now);
@@ -163,8 +167,8 @@
                            std::to_string(all.retries.size()));
 }
 
-void promise_ledger::take_run(const std::string& server, const std::string& request, bool sound,
-                              instant now)
+void guarantee_checker::record_run(const std::string& server, const std::string& request,
+                                   bool sound, instant now)
 {
     asked_request* item = this->find(header_in(request, "x-request-id"));
     if (item == nullptr) {
@@ -175,42 +179,43 @@
     this->check_leaving(server, *item, now);
     this->check_retries(*item->route, now, item->runs > 0);
     ++item->runs;
-    ++item->at_work;
-    item->sound_runs += sound ? 1 : 0;
+    ++item->active_runs;
+    item->successful_runs += sound ? 1 : 0;
     item->servers.push_back(server);
     if (item->runs > item->route->attempts) this->report("ran too often", *item);
     if (guarantees_not_run(item->status)) this->report("refused as not run, and ran", *item);
-    const bool caller_left = item->left != instant{} && now - item->left > cancelled_within;
+    const bool caller_left = item->left != instant{} && now - item->left > max_cancel_delay;
     if (caller_left && this->is_undisturbed(*item, true))
         this->report("sent on after its caller left", *item);
-    if (item->key == 0) return;
-    const bool key_was_revoked = item->sent - this->replaced_at(item->key) > in_force_within;
+    if (item->key_config_version == 0) return;
+    const bool key_was_revoked =
+        item->sent - this->replaced_at(item->key_config_version) > max_propagation_time;
     if (key_was_revoked && this->is_undisturbed(*item, true))
         this->report("ran by a key taken back", *item);
-    router_life& life = this->incarnations[item->router];
-    const bool config_regressed =
-        life.newest_key > item->key && item->sent - life.newest_key_seen_at > rollback_slack;
-    if (life.number != item->router_life) return;
+    router_incarnation& incarnation = this->incarnations[item->router];
+    const bool config_regressed = incarnation.newest_key > item->key_config_version &&
+                                  item->sent - incarnation.newest_key_seen_at > rollback_slack;
+    if (incarnation.number != item->router_incarnation) return;
     if (config_regressed) this->report("an older configuration came back", *item);
-    if (item->key > life.newest_key) {
-        life.newest_key = item->key;
-        life.newest_key_seen_at = now;
+    if (item->key_config_version > incarnation.newest_key) {
+        incarnation.newest_key = item->key_config_version;
+        incarnation.newest_key_seen_at = now;
     }
 }
 
-void promise_ledger::take_refusal(const std::string& request, instant now)
+void guarantee_checker::record_refusal(const std::string& request, instant now)
 {
     const asked_request* item = this->find(header_in(request, "x-request-id"));
     if (item != nullptr) this->check_retries(*item->route, now, item->runs > 0);
 }
 
-void promise_ledger::end_run(const std::string& request)
+void guarantee_checker::record_run_end(const std::string& request)
 {
     asked_request* item = this->find(header_in(request, "x-request-id"));
-    if (item != nullptr && item->at_work > 0) --item->at_work;
+    if (item != nullptr && item->active_runs > 0) --item->active_runs;
 }
 
-void promise_ledger::check_body(const asked_request& item, const std::string& received)
+void guarantee_checker::check_body(const asked_request& item, const std::string& received)
 {
     const std::string expected = whole_body(*item.route, item.id);
     const std::string body = body_in(received);
@@ -218,37 +223,39 @@
     if (item.whole && body != expected) this->report("broken, and looks whole", item);
 }
 
-bool promise_ledger::had_server_fault(const asked_request& item, instant now) const
+bool guarantee_checker::had_server_fault(const asked_request& item, instant now) const
 {
     return std::ranges::any_of(item.servers, [&](const std::string& server) {
         const auto found = this->faulty_since.find(server);
-        return found != this->faulty_since.end() && now - found->second < calm_after;
+        return found != this->faulty_since.end() && now - found->second < min_undisturbed_time;
     });
 }
 
 /** A correct server ran the request, and the caller got no complete response. */
-void promise_ledger::check_lost(const asked_request& item, instant now)
+void guarantee_checker::check_lost(const asked_request& item, instant now)
 {
-    if (item.whole || item.left != instant{} || item.sound_runs == 0) return;
+    if (item.whole || item.left != instant{} || item.successful_runs == 0) return;
     if (now - item.sent >= timeout || !this->is_undisturbed(item, false)) return;
-    if (!this->had_server_fault(item, now) && item.runs == item.sound_runs)
+    if (!this->had_server_fault(item, now) && item.runs == item.successful_runs)
         this->report("cut off", item);
 }
 
-void promise_ledger::check_key(const asked_request& item)
+void guarantee_checker::check_key(const asked_request& item)
 {
     if (item.status != unauthorized) return;
-    if (item.key == 0) {
+    if (item.key_config_version == 0) {
         this->report("a key of all configurations was refused", item);
         return;
     }
-    const bool in_force = item.sent - this->confirmed_at(item.key) > in_force_within &&
-                          item.answered < this->replaced_at(item.key);
+    const bool in_force =
+        item.sent - this->confirmed_at(item.key_config_version) > max_propagation_time &&
+        item.answered < this->replaced_at(item.key_config_version);
     if (in_force && this->is_undisturbed(item, true))
         this->report("a key in force was refused", item);
 }
 
-void promise_ledger::take_answer(asked_request& item, const std::string& received, instant now)
+void guarantee_checker::record_response(asked_request& item, const std::string& received,
+                                        instant now)
 {
     item.answered = now;
     item.status = support::status_in(received);
@@ -261,11 +268,11 @@
     if (item.status == ok && item.whole) ++this->served;
     this->check_lost(item, now);
     this->check_key(item);
-    const bool late = now - item.sent > timeout + answer_slack;
+    const bool late = now - item.sent > timeout + response_slack;
     if (late && this->is_undisturbed(item, true)) this->report("held past its time", item);
 }
 
-void promise_ledger::check(instant now)
+void guarantee_checker::check(instant now)
 {
     while (!this->recent.empty()) {
         const auto found = this->requests.find(this->recent.front());
@@ -274,14 +281,14 @@
         this->recent.pop_front();
     }
     for (auto& [id, item] : this->requests) {
-        const bool caller_left = item.left != instant{} && now - item.left > cancelled_within;
-        if (!caller_left || item.at_work == 0) continue;
+        const bool caller_left = item.left != instant{} && now - item.left > max_cancel_delay;
+        if (!caller_left || item.active_runs == 0) continue;
         const bool can_be_cancelled = item.route->stream || item.route->repeatable;
         if (can_be_cancelled && this->is_undisturbed(item, true) &&
             !this->had_server_fault(item, now)) {
             this->report("a server works on after the caller left", item);
         }
-        item.at_work = 0;
+        item.active_runs = 0;
     }
 }
 
--- a/test/soak/promise_ledger.h
+++ b/test/soak/guarantee_checker.h
@@ -16,7 +16,7 @@
 namespace soak {
 
 /** A route of the soak's configuration. */
-struct route_facts {
+struct route_properties {
     std::string_view path;
     std::string_view method;
     std::string_view service;
@@ -25,29 +25,30 @@
     bool repeatable; ///< may be run again at another server
 };
 
-const std::vector<route_facts>& routes();
+const std::vector<route_properties>& routes();
 
 /** Number of events of a complete stream. */
-constexpr unsigned events_in_stream = 4;
+constexpr unsigned events_in_full_stream = 4;
 
 /** The body of a complete response to a request. */
-std::string whole_body(const route_facts& route, const std::string& id);
+std::string whole_body(const route_properties& route, const std::string& id);
 
 /** One request, as seen by its caller and by the servers. */
 struct asked_request {
     std::string id;
-    const route_facts* route = nullptr;
+    const route_properties* route = nullptr;
     std::size_t router = 0;
-    unsigned router_life = 0;
-    std::uint64_t key = 0; ///< configuration version that added its API key; 0: in all versions
+    unsigned router_incarnation = 0;
+    std::uint64_t key_config_version =
+        0; ///< configuration version that added its API key; 0: in all versions
     worksshift::instant sent{};
     worksshift::instant left{};     ///< when the caller left; the epoch: it did not
     worksshift::instant answered{}; ///< response or end of connection; the epoch: none yet
     int status = 0;
     bool whole = false;               ///< the response is complete
     unsigned runs = 0;                ///< number of runs at servers that began
-    unsigned sound_runs = 0;          ///< runs whose server responds correctly, unless cancelled
-    unsigned at_work = 0;             ///< runs that have not ended
+    unsigned successful_runs = 0;     ///< runs whose server responds correctly, unless cancelled
+    unsigned active_runs = 0;         ///< runs that have not ended
     std::vector<std::string> servers; ///< ids of the servers that ran it
 };
 
@@ -58,41 +59,41 @@
 };
 
 /** Checks the guarantees while a run goes on; violations are collected in `broken`. */
-class promise_ledger {
+class guarantee_checker {
 public:
     /** Time after which a confirmed configuration must be in force, and a leaving server must get
      * no new requests. */
-    static constexpr worksshift::duration in_force_within = worksshift::milliseconds(2000);
+    static constexpr worksshift::duration max_propagation_time = worksshift::milliseconds(2000);
     /** A router must keep guarantees with a time limit once it had no fault for this time. */
-    static constexpr worksshift::duration calm_after = worksshift::milliseconds(3000);
+    static constexpr worksshift::duration min_undisturbed_time = worksshift::milliseconds(3000);
     /** Timeout of the routes, and the further time in which the response must reach the caller. */
     static constexpr worksshift::duration timeout = worksshift::milliseconds(1500);
-    static constexpr worksshift::duration answer_slack = worksshift::milliseconds(700);
+    static constexpr worksshift::duration response_slack = worksshift::milliseconds(700);
     /** Time after a caller leaves in which the run of its request must be cancelled. */
-    static constexpr worksshift::duration cancelled_within = worksshift::milliseconds(800);
+    static constexpr worksshift::duration max_cancel_delay = worksshift::milliseconds(800);
     /** Bound on retries to a service: ratio of the requests in two windows, plus the slack. */
     static constexpr double retry_ratio = 0.2;
     static constexpr double retry_slack = 50;
     static constexpr worksshift::duration retry_window = worksshift::seconds(10);
 
-    explicit promise_ledger(std::size_t routers) : incarnations(routers) {}
+    explicit guarantee_checker(std::size_t routers) : incarnations(routers) {}
 
     asked_request& ask(const asked_request& given);
     [[nodiscard]] asked_request* find(const std::string& id);
-    void take_run(const std::string& server, const std::string& request, bool sound,
-                  worksshift::instant now);
-    void take_refusal(const std::string& request, worksshift::instant now);
-    void end_run(const std::string& request);
+    void record_run(const std::string& server, const std::string& request, bool sound,
+                    worksshift::instant now);
+    void record_refusal(const std::string& request, worksshift::instant now);
+    void record_run_end(const std::string& request);
     /** Called when the response is complete or the caller's connection has ended. */
-    void take_answer(asked_request& item, const std::string& received, worksshift::instant now);
+    void record_response(asked_request& item, const std::string& received, worksshift::instant now);
     /** Checks the guarantees whose time limit has passed, and forgets old requests. */
     void check(worksshift::instant now);
 
-    void take_config(std::uint64_t version, worksshift::instant now);
-    void take_leaving(const std::string& server, worksshift::instant now);
+    void record_config(std::uint64_t version, worksshift::instant now);
+    void record_leaving(const std::string& server, worksshift::instant now);
     /** A router was killed, paused, or a connection of it failed. */
-    void disturb(std::size_t router, worksshift::instant now);
-    void disturb_all(worksshift::instant now);
+    void note_disturbance(std::size_t router, worksshift::instant now);
+    void note_disturbance_of_all(worksshift::instant now);
     /** A router was asked to stop. Guarantees with a time limit are off, but it must still answer
      * the requests that it accepted. */
     void stop(std::size_t router, worksshift::instant now)
@@ -100,12 +101,12 @@
         this->incarnations[router].stopped = now;
     }
     /** A server or the connections to it have a fault. */
-    void harm(const std::string& server, worksshift::instant now)
+    void note_server_fault(const std::string& server, worksshift::instant now)
     {
         this->faulty_since[server] = now;
     }
-    void start_life(std::size_t router, worksshift::instant now);
-    [[nodiscard]] unsigned life(std::size_t router) const
+    void start_incarnation(std::size_t router, worksshift::instant now);
+    [[nodiscard]] unsigned incarnation(std::size_t router) const
     {
         return this->incarnations[router].number;
     }
@@ -116,7 +117,7 @@
     std::map<int, std::size_t> by_status; ///< responses to callers that did not leave; 0: none
 
 private:
-    struct router_life {
+    struct router_incarnation {
         unsigned number = 0;
         std::uint64_t newest_key = 0;             ///< newest configuration whose key was accepted
         worksshift::instant newest_key_seen_at{}; ///< when it was first accepted
@@ -128,14 +129,14 @@
     void check_forwarded(const asked_request& item, const std::string& request);
     void check_leaving(const std::string& server, const asked_request& item,
                        worksshift::instant now);
-    void check_retries(const route_facts& route, worksshift::instant now, bool is_retry);
+    void check_retries(const route_properties& route, worksshift::instant now, bool is_retry);
     void check_body(const asked_request& item, const std::string& received);
     /** Whether a server that ran it, or the connections to that server, had a fault recently. */
     [[nodiscard]] bool had_server_fault(const asked_request& item, worksshift::instant now) const;
     void check_lost(const asked_request& item, worksshift::instant now);
     void check_key(const asked_request& item);
-    /** Whether the router had no fault from calm_after before the request until now; with \p
-     * bounds, whether it was not asked to stop either. */
+    /** Whether the router had no fault from min_undisturbed_time before the request until now; with
+     * \p bounds, whether it was not asked to stop either. */
     [[nodiscard]] bool is_undisturbed(const asked_request& item, bool must_be_running) const;
     [[nodiscard]] worksshift::instant replaced_at(std::uint64_t version) const;
     [[nodiscard]] worksshift::instant confirmed_at(std::uint64_t version) const;
@@ -145,7 +146,7 @@
     std::vector<confirmed_config> configs;
     std::map<std::string, worksshift::instant> leaving_since;
     std::map<std::string, worksshift::instant> faulty_since;
-    std::vector<router_life> incarnations;
+    std::vector<router_incarnation> incarnations;
     struct arrivals {
         std::deque<worksshift::instant> first_attempts;
         std::deque<worksshift::instant> retries;
--- a/test/soak/loopback_proxy.cpp
+++ b/test/soak/loopback_proxy.cpp
@@ -24,7 +24,7 @@
     loopback_proxy* owner = nullptr;
     connection_side caller;
     connection_side target;
-    wire_fault kind = wire_fault::none;
+    link_fault kind = link_fault::none;
     bool drops_bytes = false;  ///< all bytes are discarded, without closing
     bool ended = false;        ///< one side has closed
     bool is_removable = false; ///< to be freed
@@ -38,7 +38,7 @@
 
 loopback_proxy::~loopback_proxy()
 {
-    this->reset_open();
+    this->reset_open_connections();
 }
 
 void loopback_proxy::accept(evutil_socket_t socket)
@@ -78,11 +78,11 @@
     std::string bytes = read_all(input);
     evbuffer_drain(input, evbuffer_get_length(input));
     proxied_connection& item = *from.owner;
-    const bool is_held = item.kind == wire_fault::silent ||
-                         (item.kind == wire_fault::to_target && !from.is_target) ||
-                         (item.kind == wire_fault::from_target && from.is_target);
+    const bool is_held = item.kind == link_fault::silent ||
+                         (item.kind == link_fault::to_target && !from.is_target) ||
+                         (item.kind == link_fault::from_target && from.is_target);
     if (item.drops_bytes || item.is_removable) return;
-    if (is_held || item.kind == wire_fault::delayed || !from.late.empty()) {
+    if (is_held || item.kind == link_fault::delayed || !from.late.empty()) {
         const instant due =
             is_held ? instant::max() : std::chrono::steady_clock::now() + this->delay;
         from.late.push_back({due, std::move(bytes)});
@@ -97,19 +97,19 @@
 {
     item.ended = true;
     const bool nothing_delayed = item.caller.late.empty() && item.target.late.empty();
-    if (item.kind == wire_fault::none && !item.drops_bytes && nothing_delayed) {
+    if (item.kind == link_fault::none && !item.drops_bytes && nothing_delayed) {
         item.is_removable = true;
     }
 }
 
-void loopback_proxy::set_fault(wire_fault given, duration new_delay)
+void loopback_proxy::set_fault(link_fault given, duration new_delay)
 {
     this->kind = given;
     this->delay = new_delay;
     const instant now = std::chrono::steady_clock::now();
     for (const auto& item : this->connections) {
         item->kind = given;
-        if (given != wire_fault::none && given != wire_fault::delayed) continue;
+        if (given != link_fault::none && given != link_fault::delayed) continue;
         for (connection_side* side : {&item->caller, &item->target}) {
             for (auto& bytes : side->late)
                 bytes.due = std::min(bytes.due, now);
@@ -117,13 +117,13 @@
     }
 }
 
-void loopback_proxy::silence_open()
+void loopback_proxy::silence_open_connections()
 {
     for (const auto& item : this->connections)
         item->drops_bytes = true;
 }
 
-void loopback_proxy::reset_open()
+void loopback_proxy::reset_open_connections()
 {
     for (const auto& item : this->connections) {
         support::close_by_reset(bufferevent_getfd(item->caller.socket.get()));
@@ -145,7 +145,7 @@
         }
         const bool nothing_delayed = item->caller.late.empty() && item->target.late.empty();
         const bool passes_end_on =
-            item->kind == wire_fault::none || item->kind == wire_fault::delayed;
+            item->kind == link_fault::none || item->kind == link_fault::delayed;
         if (item->ended && !item->drops_bytes && passes_end_on && nothing_delayed)
             item->is_removable = true;
     }
--- a/test/soak/loopback_proxy.h
+++ b/test/soak/loopback_proxy.h
@@ -16,7 +16,7 @@
 namespace soak {
 
 /** Fault of all connections of a proxy. */
-enum class wire_fault : std::uint8_t {
+enum class link_fault : std::uint8_t {
     none,
     delayed,    ///< bytes are delayed, in order
     silent,     ///< bytes and the end of connections are held until the fault is over
@@ -36,15 +36,15 @@
     [[nodiscard]] worksshift::link_address address() const { return this->listener.address(); }
 
     /** Applies to open and new connections until the next call. \p delay is used by
-     * wire_fault::delayed. */
-    void set_fault(wire_fault kind, worksshift::duration delay = {});
+     * link_fault::delayed. */
+    void set_fault(link_fault kind, worksshift::duration delay = {});
     /** Open connections drop all bytes from now on; new ones work. */
-    void silence_open();
-    void reset_open();
+    void silence_open_connections();
+    void reset_open_connections();
     /** Forwards delayed bytes that are due and frees ended connections. */
     void tick(worksshift::instant now);
 
-    [[nodiscard]] wire_fault fault() const { return this->kind; }
+    [[nodiscard]] link_fault fault() const { return this->kind; }
 
 private:
     struct proxied_connection;
@@ -57,7 +57,7 @@
     event_base* base;
     worksshift::link_address target;
     support::loopback_listener listener;
-    wire_fault kind = wire_fault::none;
+    link_fault kind = link_fault::none;
     worksshift::duration delay{};
     std::list<std::unique_ptr<proxied_connection>> connections;
 };
--- a/test/soak/soak.cpp
+++ b/test/soak/soak.cpp
@@ -1,6 +1,6 @@
 /** \file
- * Fault-injection soak test of router processes; see soak_run.h for the faults and promise_ledger.h
- * for the guarantees that are checked.
+ * Fault-injection soak test of router processes; see soak_run.h for the faults and
+ * guarantee_checker.h for the guarantees that are checked.
  *
  *     soak [--first SEED] [--seeds N] [--seconds S] [--routers N] [--regressions FILE]
  *
@@ -68,7 +68,7 @@
     for (const std::uint64_t seed : seeds) {
         soak::soak_run item(seed, routers, span);
         item.run();
-        const soak::promise_ledger& ledger = item.ledger();
+        const soak::guarantee_checker& ledger = item.ledger();
         for (const std::string& what : ledger.broken)
             std::cout << "seed=" << seed << " broken=\"" << what << "\"\n";
         std::cout << "seed=" << seed << " requests=" << ledger.asked << " served=" << ledger.served
--- a/test/soak/soak_run.cpp
+++ b/test/soak/soak_run.cpp
@@ -64,7 +64,7 @@
     }
     for (std::size_t i = 0; i < this->fleet.routers.size(); ++i) {
         this->fleet.start(i);
-        this->guarantees.start_life(i, this->now);
+        this->guarantees.start_incarnation(i, this->now);
     }
     if (!this->fleet.wait_until_all_ready())
         this->guarantees.broken.emplace_back("not ready after the start");
@@ -79,7 +79,7 @@
     made.server = std::make_unique<soak_server>(
         this->fleet.base.get(),
         [this, id = made.id](const std::string& request) { return this->plan(id, request); },
-        [this](const std::string& request) { this->guarantees.end_run(request); });
+        [this](const std::string& request) { this->guarantees.record_run_end(request); });
     made.proxy = std::make_unique<loopback_proxy>(this->fleet.base.get(), made.server->address());
     this->fleet.register_server(made.id, service, made.proxy->address());
     this->active_servers.push_back(made.id);
@@ -87,20 +87,20 @@
 }
 
 /** A correct response spread over time, or a faulty one while servers fail. */
-answer_plan soak_run::plan(const std::string& server, const std::string& request)
+response_plan soak_run::plan(const std::string& server, const std::string& request)
 {
     const bool failing = std::chrono::steady_clock::now() < this->servers_fail_until;
     const std::size_t behaviour = failing ? this->draw(10) : 9;
     const instant time = std::chrono::steady_clock::now();
     if (behaviour == 0) {
-        this->guarantees.take_refusal(request, time);
-        return {{{{}, answer_text(503, request, "", "X-Not-Executed: 1\r\n")}}, answer_end::keep};
+        this->guarantees.record_refusal(request, time);
+        return {{{{}, answer_text(503, request, "", "X-Not-Executed: 1\r\n")}}, response_end::keep};
     }
     const asked_request* item = this->guarantees.find(header_in(request, "x-request-id"));
     constexpr std::size_t first_correct_behaviour = 7;
-    this->guarantees.take_run(server, request, behaviour >= first_correct_behaviour, time);
+    this->guarantees.record_run(server, request, behaviour >= first_correct_behaviour, time);
     if (item == nullptr) return {};
-    answer_plan whole;
+    response_plan whole;
     if (!item->route->stream) {
         whole.pieces.push_back({this->draw_span(0, 40),
                                 answer_text(200, request, whole_body(*item->route, item->id))});
@@ -109,7 +109,7 @@
     const std::string last = header_in(request, "last-event-id");
     whole.pieces.push_back({{}, stream_head(request)});
     duration at{};
-    for (unsigned event = last.empty() ? 1 : std::stoul(last) + 1; event <= events_in_stream;
+    for (unsigned event = last.empty() ? 1 : std::stoul(last) + 1; event <= events_in_full_stream;
          ++event) {
         at += this->draw_span(5, 60);
         whole.pieces.push_back({at, event_chunk(event, item->id)});
@@ -118,28 +118,28 @@
     return this->apply_failure(behaviour, request, whole);
 }
 
-answer_plan soak_run::apply_failure(std::size_t behaviour, const std::string& request,
-                                    answer_plan whole)
+response_plan soak_run::apply_failure(std::size_t behaviour, const std::string& request,
+                                      response_plan whole)
 {
     std::string& last = whole.pieces.back().bytes;
     switch (behaviour) {
     case 1:
         last.resize(last.size() / 2);
-        whole.end = answer_end::close;
+        whole.end = response_end::close;
         break;
     case 2:
         whole.pieces.front().bytes = "rubbish\r\n\r\n";
         break;
     case 3:
         last.resize(last.size() / 2);
-        whole.end = answer_end::reset;
+        whole.end = response_end::reset;
         break;
     case 4:
         whole.pieces.push_back({whole.pieces.back().after, answer_text(200, request, "again")});
         break;
     case 5:
         whole.pieces.clear();
-        whole.end = answer_end::say_nothing;
+        whole.end = response_end::send_nothing;
         break;
     case 6:
         whole.pieces = {{{}, answer_text(500, request, "failed")}};
@@ -154,7 +154,7 @@
 {
     this->prepare();
     const instant end = this->now + this->span;
-    instant next_fault = this->now + promise_ledger::calm_after;
+    instant next_fault = this->now + guarantee_checker::min_undisturbed_time;
     while (this->now < end) {
         if (this->now >= next_fault) {
             this->inject_random_fault();
@@ -174,7 +174,7 @@
     const instant before = std::exchange(this->now, std::chrono::steady_clock::now());
     if (this->now - before > max_step_time) {
         ++this->stalls;
-        this->guarantees.disturb_all(this->now);
+        this->guarantees.note_disturbance_of_all(this->now);
     }
     for (const proxied_server& item : this->servers) {
         item.server->tick(this->now);
@@ -191,7 +191,7 @@
     for (std::size_t i = 0; i < this->fleet.routers.size(); ++i) {
         const auto wake = this->paused.find(i);
         if (wake != this->paused.end()) {
-            this->guarantees.disturb(i, this->now);
+            this->guarantees.note_disturbance(i, this->now);
             if (this->now > wake->second) {
                 this->fleet.routers[i].signal(SIGCONT);
                 this->paused.erase(wake);
@@ -199,7 +199,7 @@
         }
         if (!this->fleet.routers[i].ended()) continue;
         this->fleet.start(i);
-        this->guarantees.start_life(i, this->now);
+        this->guarantees.start_incarnation(i, this->now);
     }
 }
 
@@ -207,19 +207,19 @@
 {
     for (std::size_t i = 0; i < this->store_proxies.size(); ++i) {
         const bool store = this->fleet.store->fault != fakes::store_fault::none;
-        if (store || this->store_proxies[i]->fault() != wire_fault::none) {
-            this->guarantees.disturb(i, this->now);
+        if (store || this->store_proxies[i]->fault() != link_fault::none) {
+            this->guarantees.note_disturbance(i, this->now);
         }
     }
     for (const proxied_server& item : this->servers) {
         const bool failing = this->now < this->servers_fail_until;
-        if (failing || item.proxy->fault() != wire_fault::none) {
-            this->guarantees.harm(item.id, this->now);
+        if (failing || item.proxy->fault() != link_fault::none) {
+            this->guarantees.note_server_fault(item.id, this->now);
         }
     }
     std::erase_if(this->faulty_proxies, [this](const auto& entry) {
         if (this->now < entry.second) return false;
-        entry.first->set_fault(wire_fault::none);
+        entry.first->set_fault(link_fault::none);
         return true;
     });
     if (this->now >= this->store_fails_until) this->fleet.store->fault = fakes::store_fault::none;
@@ -251,7 +251,7 @@
     item.sent = this->now;
     // One request in four uses the API key of one of the newest three configurations.
     const std::size_t age = this->draw(12);
-    if (age < 3 && this->version > age) item.key = this->version - age;
+    if (age < 3 && this->version > age) item.key_config_version = this->version - age;
     from.request_id = item.id;
     from.leave_at = this->draw(12) == 0 ? this->now + this->draw_span(1, 150) : instant{};
     this->guarantees.ask(item);
@@ -259,7 +259,8 @@
     std::string text =
         support::request_text(std::string(item.route->method), std::string(item.route->path),
                               item.id, is_post ? "{}" : "");
-    const std::string api_key = item.key == 0 ? "k1" : "r" + std::to_string(item.key);
+    const std::string api_key =
+        item.key_config_version == 0 ? "k1" : "r" + std::to_string(item.key_config_version);
     from.connection->send(text.replace(text.find(": k1") + 2, 2, api_key));
 }
 
@@ -268,14 +269,14 @@
     asked_request* item = this->guarantees.find(from.request_id);
     const std::string& got = from.connection->received;
     const bool ended = from.connection->closed || support::is_complete_response(got);
-    if (item != nullptr && ended) this->guarantees.take_answer(*item, got, this->now);
+    if (item != nullptr && ended) this->guarantees.record_response(*item, got, this->now);
     const bool caller_leaves = from.leave_at != instant{} && this->now >= from.leave_at;
     constexpr duration max_wait = seconds(4);
     const bool gave_up = item == nullptr || this->now - item->sent > max_wait;
     if (!ended && !caller_leaves && !gave_up) return;
     if (!ended && item != nullptr) {
         item->left = this->now;
-        if (gave_up) this->guarantees.take_answer(*item, got, this->now);
+        if (gave_up) this->guarantees.record_response(*item, got, this->now);
     }
     if (!ended) from.connection.reset();
     from.request_id.clear();
@@ -318,12 +319,12 @@
     case 0:
         process.signal(SIGCONT);
         process.signal(SIGKILL);
-        this->guarantees.disturb(router, this->now);
+        this->guarantees.note_disturbance(router, this->now);
         break;
     case 1:
         process.signal(SIGSTOP);
         this->paused[router] = this->now + this->draw_span(100, 1500);
-        this->guarantees.disturb(router, this->now);
+        this->guarantees.note_disturbance(router, this->now);
         break;
     default:
         process.signal(SIGTERM);
@@ -340,27 +341,27 @@
     case 0:
         this->fleet.store->fault = static_cast<fakes::store_fault>(1 + this->draw(3));
         this->store_fails_until = this->now + this->draw_span(300, 2500);
-        this->guarantees.disturb_all(this->now);
+        this->guarantees.note_disturbance_of_all(this->now);
         break;
     case 1:
         this->fleet.store->lose_waiting();
-        this->guarantees.disturb_all(this->now);
+        this->guarantees.note_disturbance_of_all(this->now);
         break;
     case 2:
         this->fleet.store->forget_history();
         break;
     case 3:
-        proxy.reset_open();
-        this->guarantees.disturb(router, this->now);
+        proxy.reset_open_connections();
+        this->guarantees.note_disturbance(router, this->now);
         break;
     case 4:
-        proxy.silence_open();
-        this->guarantees.disturb(router, this->now);
+        proxy.silence_open_connections();
+        this->guarantees.note_disturbance(router, this->now);
         break;
     default:
-        proxy.set_fault(static_cast<wire_fault>(1 + this->draw(4)), this->draw_span(20, 400));
+        proxy.set_fault(static_cast<link_fault>(1 + this->draw(4)), this->draw_span(20, 400));
         this->faulty_proxies[&proxy] = this->now + this->draw_span(300, 2500);
-        this->guarantees.disturb(router, this->now);
+        this->guarantees.note_disturbance(router, this->now);
         break;
     }
 }
@@ -369,16 +370,16 @@
 void soak_run::inject_server_link_fault()
 {
     const proxied_server& item = this->servers[this->draw(this->servers.size())];
-    this->guarantees.harm(item.id, this->now);
+    this->guarantees.note_server_fault(item.id, this->now);
     switch (this->draw(4)) {
     case 0:
-        item.proxy->reset_open();
+        item.proxy->reset_open_connections();
         break;
     case 1:
-        item.proxy->silence_open();
+        item.proxy->silence_open_connections();
         break;
     default:
-        item.proxy->set_fault(static_cast<wire_fault>(1 + this->draw(4)), this->draw_span(20, 400));
+        item.proxy->set_fault(static_cast<link_fault>(1 + this->draw(4)), this->draw_span(20, 400));
         this->faulty_proxies[item.proxy.get()] = this->now + this->draw_span(300, 2000);
         break;
     }
@@ -398,13 +399,13 @@
         this->fleet.remove_server(id);
     }
     std::erase(this->active_servers, id);
-    this->guarantees.take_leaving(id, this->now);
+    this->guarantees.record_leaving(id, this->now);
 }
 
 void soak_run::change_config()
 {
     this->fleet.set_config(config_text(++this->version));
-    this->guarantees.take_config(this->version, this->now);
+    this->guarantees.record_config(this->version, this->now);
 }
 
 /** Ends all faults; every router must then serve requests by the newest configuration within
--- a/test/soak/soak_run.h
+++ b/test/soak/soak_run.h
@@ -10,8 +10,8 @@
 #include <string>
 #include <vector>
 
+#include "guarantee_checker.h"
 #include "loopback_proxy.h"
-#include "promise_ledger.h"
 #include "soak_server.h"
 #include "support/router_fleet.h"
 
@@ -23,7 +23,7 @@
 
     void run();
 
-    [[nodiscard]] const promise_ledger& ledger() const { return this->guarantees; }
+    [[nodiscard]] const guarantee_checker& ledger() const { return this->guarantees; }
     /** Number of steps in which this process itself was delayed; guarantees with a time limit are
      * not checked then. */
     std::size_t stalls = 0;
@@ -48,8 +48,9 @@
     [[nodiscard]] worksshift::duration draw_span(int min_ms, int max_ms);
     void prepare();
     void add_server(const std::string& service);
-    answer_plan plan(const std::string& server, const std::string& request);
-    answer_plan apply_failure(std::size_t behaviour, const std::string& request, answer_plan whole);
+    response_plan plan(const std::string& server, const std::string& request);
+    response_plan apply_failure(std::size_t behaviour, const std::string& request,
+                                response_plan whole);
     void step();
     void update_routers();
     void update_callers();
@@ -67,7 +68,7 @@
     std::mt19937_64 random;
     worksshift::duration span;
     support::router_fleet fleet;
-    promise_ledger guarantees;
+    guarantee_checker guarantees;
     std::vector<std::unique_ptr<loopback_proxy>> store_proxies; ///< one for each router
     std::vector<proxied_server> servers;
     std::vector<std::string> active_servers; ///< ids of the servers that accept new requests
--- a/test/soak/soak_server.cpp
+++ b/test/soak/soak_server.cpp
@@ -13,7 +13,7 @@
     event_ptr<bufferevent> socket;
     std::string bytes;
     std::string request; ///< that is being answered; empty: none
-    answer_plan plan;
+    response_plan plan;
     std::size_t next = 0; ///< index of the next part of the plan
     instant since{};
     bool over = false;
@@ -67,14 +67,14 @@
 
 void soak_server::finish(connection& item)
 {
-    if (item.plan.end == answer_end::say_nothing) return;
+    if (item.plan.end == response_end::send_nothing) return;
     this->ended(std::exchange(item.request, {}));
-    if (item.plan.end == answer_end::keep) {
+    if (item.plan.end == response_end::keep) {
         this->read(item);
         return;
     }
     item.over = true;
-    if (item.plan.end == answer_end::reset) {
+    if (item.plan.end == response_end::reset) {
         support::close_by_reset(bufferevent_getfd(item.socket.get()));
     }
 }
@@ -83,7 +83,7 @@
 {
     for (const auto& item : this->open) {
         if (item->over || item->request.empty()) continue;
-        const std::vector<answer_piece>& pieces = item->plan.pieces;
+        const std::vector<response_chunk>& pieces = item->plan.pieces;
         while (item->next < pieces.size() && now - item->since >= pieces[item->next].after) {
             const std::string& bytes = pieces[item->next++].bytes;
             bufferevent_write(item->socket.get(), bytes.data(), bytes.size());
--- a/test/soak/soak_server.h
+++ b/test/soak/soak_server.h
@@ -17,23 +17,23 @@
 namespace soak {
 
 /** What happens to the connection after a response. */
-enum class answer_end : std::uint8_t { keep, close, reset, say_nothing };
+enum class response_end : std::uint8_t { keep, close, reset, send_nothing };
 
 /** A part of a response. */
-struct answer_piece {
+struct response_chunk {
     worksshift::duration after{}; ///< since the request was received
     std::string bytes;
 };
 
-struct answer_plan {
-    std::vector<answer_piece> pieces;
-    answer_end end = answer_end::keep;
+struct response_plan {
+    std::vector<response_chunk> pieces;
+    response_end end = response_end::keep;
 };
 
 class soak_server {
 public:
     /** Plans the response to a request. */
-    using script = std::function<answer_plan(const std::string& request)>;
+    using script = std::function<response_plan(const std::string& request)>;
     /** Called with a request's text when its response or its connection has ended. */
     using listener = std::function<void(const std::string& request)>;
 
