--- a/lab/experiment.cpp
+++ b/lab/experiment.cpp
@@ -309,7 +309,7 @@
     double total = 0;
     double count = 0;
     for (std::size_t i = 0; i < this->engines.size(); ++i) {
-        if (!this->vms.front()->rows[i]->takes_work()) continue;
+        if (!this->vms.front()->rows[i]->accepts_requests()) continue;
         total += this->engines[i]->load();
         ++count;
     }
@@ -384,7 +384,7 @@
 {
     item.first_event = this->now;
     server_entry& row = this->row(item);
-    row.heard_at = this->now;
+    row.last_received_at = this->now;
     row.first_delay.add(this->now - item.sent, this->now);
     row.state(this->engines[item.engine]->load(), this->now);
     row.reported_here = true;
@@ -394,7 +394,7 @@
 {
     server_entry& row = this->row(item);
     --row.in_flight;
-    row.heard_at = this->now;
+    row.last_received_at = this->now;
     row.health.on_success(this->now);
     this->vms[item.vm]->table.on_finished(row, this->now - item.first_event);
     this->record_outcome(item, true);
--- a/src/admission.cpp
+++ b/src/admission.cpp
@@ -15,8 +15,8 @@
 /** Age of the known engine loads, in seconds. */
 double load_age_s(const service_load& load)
 {
-    const bool stated_by_most = load.stated * 2 >= load.engines;
-    return stated_by_most ? load.age_s : as_seconds(load_sums_staleness);
+    const bool reported_by_most = load.reporting_engines * 2 >= load.engines;
+    return reported_by_most ? load.age_s : as_seconds(load_sums_staleness);
 }
 
 } // namespace
--- a/src/caller_connections.cpp
+++ b/src/caller_connections.cpp
@@ -327,7 +327,7 @@
     const std::uint64_t request = std::exchange(item.request, 0);
     bufferevent_disable(item.socket.get(), EV_READ | EV_WRITE);
     this->dropped.push_back(item.id);
-    if (request != 0 && this->in_progress.erase(request) > 0) this->on_gone.emit(request);
+    if (request != 0 && this->in_progress.erase(request) > 0) this->on_disconnect.emit(request);
 }
 
 void caller_connections::check(link& item, instant time)
--- a/src/caller_connections.h
+++ b/src/caller_connections.h
@@ -71,7 +71,7 @@
 
     sigc::signal<void(caller_request)> on_request;
     /** The caller disconnected before its response was complete. */
-    sigc::signal<void(std::uint64_t)> on_gone;
+    sigc::signal<void(std::uint64_t)> on_disconnect;
 
 private:
     struct link;
--- a/src/cold_servers.cpp
+++ b/src/cold_servers.cpp
@@ -23,10 +23,10 @@
 }
 
 /** Even share of every VM of the fleet, if all data centres have as many VMs as this one. */
-cold_share even_share(const cold_bound& bound, const fleet_members& members)
+cold_share even_share(const cold_request_limit& bound, const fleet_members& members)
 {
     const double mean = std::min(bound.per_s, max_poisson_mean(bound.max_in_any_second));
-    const auto vms = static_cast<double>(members.near.size() * members.data_centres.size());
+    const auto vms = static_cast<double>(members.local_vms.size() * members.data_centres.size());
     return {in_seconds(vms / mean), true};
 }
 
@@ -43,7 +43,7 @@
 
 } // namespace
 
-cold_share compute_cold_share(const cold_bound& bound, std::uint64_t server,
+cold_share compute_cold_share(const cold_request_limit& bound, std::uint64_t server,
                               const fleet_members& members, double senders)
 {
     if (!members.complete || bound.per_s <= 0) return {};
@@ -55,8 +55,8 @@
     // The remainder of the division goes to the highest-ranked data centres.
     const std::size_t local_total =
         total / data_centre_count + (data_centre_rank < total % data_centre_count ? 1 : 0);
-    const std::size_t count = std::min(local_total, members.near.size());
-    if (count_above(server, members.self, members.near) >= count) return {};
+    const std::size_t count = std::min(local_total, members.local_vms.size());
+    if (count_above(server, members.self, members.local_vms) >= count) return {};
     const duration pause =
         in_seconds(static_cast<double>(total) / bound.per_s * static_cast<double>(count) /
                    static_cast<double>(local_total));
@@ -67,10 +67,10 @@
 bool is_first_in_fleet(const fleet_members& members, std::uint64_t key)
 {
     return members.complete && count_above(key, members.data_centre, members.data_centres) == 0 &&
-           count_above(key, members.self, members.near) == 0;
+           count_above(key, members.self, members.local_vms) == 0;
 }
 
-void cold_gate::set_share(const cold_share& given, instant now, std::minstd_rand& random)
+void cold_request_limiter::set_share(const cold_share& given, instant now, std::minstd_rand& random)
 {
     const bool begins = !this->share.pause && given.pause;
     this->share = given;
--- a/src/cold_servers.h
+++ b/src/cold_servers.h
@@ -31,11 +31,11 @@
 };
 
 /** Limits on the requests that all VMs together send to one cold server. */
-struct cold_bound {
+struct cold_request_limit {
     double per_s = 0;             ///< mean rate, requests per second
     double max_in_any_second = 0; ///< maximum number of requests in any second
 
-    cold_bound(double per_s, const cold_tolerance& allowed)
+    cold_request_limit(double per_s, const cold_tolerance& allowed)
         : per_s(per_s), max_in_any_second(per_s * allowed.over + allowed.slack)
     {
     }
@@ -47,7 +47,7 @@
 struct fleet_members {
     std::uint32_t self = 0;                  ///< this VM's address
     std::uint32_t data_centre = 0;           ///< this VM's own: low 32 bits of the hash of its name
-    std::vector<std::uint32_t> near;         ///< VMs of this data centre, this one included
+    std::vector<std::uint32_t> local_vms;    ///< VMs of this data centre, this one included
     std::vector<std::uint32_t> data_centres; ///< all known, this VM's own included
     bool complete = false;                   ///< this VM has run for long enough to know the others
 
@@ -71,7 +71,7 @@
 /** Computes the share of one VM. \p senders: share of `max_in_any_second` that is given out; the
  * rest is a reserve for VMs that disagree on which VMs are alive. This is also the number of VMs
  * that may send, if the fleet has that many. 0: every VM may send an even share. */
-cold_share compute_cold_share(const cold_bound& bound, std::uint64_t server,
+cold_share compute_cold_share(const cold_request_limit& bound, std::uint64_t server,
                               const fleet_members& members, double senders);
 
 /** Whether this VM is the highest-ranked of the fleet for \p key, and so has to do the task that
@@ -80,7 +80,7 @@
 bool is_first_in_fleet(const fleet_members& members, std::uint64_t key);
 
 /** Limits the requests of one VM to one server while the server is cold. */
-class cold_gate {
+class cold_request_limiter {
 public:
     [[nodiscard]] bool cold(instant now) const { return now < this->until; }
     /** Whether a request may be sent now. */
--- a/src/config_follower.cpp
+++ b/src/config_follower.cpp
@@ -19,12 +19,12 @@
                               std::uint64_t own,
                               const std::function<std::uint64_t(const fleet_vm&)>& revision_of)
 {
-    std::vector<const fleet_vm*> ahead = fleet.heard(now);
+    std::vector<const fleet_vm*> ahead = fleet.responsive_vms(now);
     std::erase_if(ahead, [&](const fleet_vm* item) { return revision_of(*item) <= own; });
-    const auto near_end = std::ranges::partition(ahead, [&](const fleet_vm* item) {
-                              return fleet.is_near(*item);
-                          }).begin();
-    if (near_end != ahead.begin()) ahead.erase(near_end, ahead.end());
+    const auto local_end = std::ranges::partition(ahead, [&](const fleet_vm* item) {
+                               return fleet.is_local(*item);
+                           }).begin();
+    if (local_end != ahead.begin()) ahead.erase(local_end, ahead.end());
     std::ranges::shuffle(ahead, random);
     const auto newest = std::ranges::max_element(
         ahead, {}, [&](const fleet_vm* item) { return revision_of(*item); });
@@ -79,20 +79,21 @@
     }
 }
 
-void config_follower::take_digest(const fleet_vm& from)
+void config_follower::handle_digest(const fleet_vm& from)
 {
-    this->newest_version_heard = std::max(this->newest_version_heard, from.last.config_version);
+    this->newest_version_reported =
+        std::max(this->newest_version_reported, from.last.config_version);
 }
 
 void config_follower::tick(instant now, std::optional<read_mode> watched)
 {
-    const bool behind = this->newest_version_heard > this->version();
+    const bool behind = this->newest_version_reported > this->version();
     this->follow.update(watched, this->current != nullptr, behind, now);
     this->calls.proceed();
-    if (this->follow.fetching.due(now)) this->ask_peer(now);
+    if (this->follow.fetching.due(now)) this->request_from_peer(now);
 }
 
-void config_follower::ask_peer(instant now)
+void config_follower::request_from_peer(instant now)
 {
     const fleet_vm* peer =
         choose_newest(this->gossip.fleet(), now, this->random, this->version(),
--- a/src/config_follower.h
+++ b/src/config_follower.h
@@ -34,7 +34,7 @@
     /** \p watched: how this VM reads the store; std::nullopt if it does not watch it. */
     void tick(instant now, std::optional<read_mode> watched);
     /** Takes the version of another VM's configuration from its digest. */
-    void take_digest(const fleet_vm& from);
+    void handle_digest(const fleet_vm& from);
     /** Answers another VM's request for the configuration. */
     void serve(evhttp_request* request) const;
 
@@ -51,7 +51,7 @@
 
 private:
     void take(const std::string& document, std::string_view source);
-    void ask_peer(instant now);
+    void request_from_peer(instant now);
 
     http_client& caller;
     const protocol& adapter;
@@ -60,7 +60,7 @@
     store_watch_client calls;
     router_config_ptr current;
     std::string packed; ///< the document, compressed for other VMs
-    std::uint64_t newest_version_heard = 0;
+    std::uint64_t newest_version_reported = 0;
     std::minstd_rand random{std::random_device{}()};
 };
 
--- a/src/crash_suspects.cpp
+++ b/src/crash_suspects.cpp
@@ -57,8 +57,8 @@
     for (const crash_report& report : reports) {
         if (!this->add(report, now)) continue;
         added = true;
-        this->queue(this->for_near, report);
-        this->queue(this->for_distant, report);
+        this->queue(this->for_local_vms, report);
+        this->queue(this->for_remote_vms, report);
     }
     if (added) this->block_suspects(now);
 }
@@ -198,47 +198,47 @@
     this->suspects.erase(oldest);
 }
 
-bool crash_suspects::take_blocked(const blocked_content& told, instant now)
+bool crash_suspects::apply_blocked(const blocked_content& received, instant now)
 {
-    const content_key content{told.content};
-    const instant since = now - told.age * blocked_age_unit;
+    const content_key content{received.content};
+    const instant since = now - received.age * blocked_age_unit;
     const bool known = this->suspects.contains(content);
-    if (!known && told.cleared) return false;
+    if (!known && received.cleared) return false;
     if (!known) this->evict_oldest();
     suspect& found = this->suspects[content];
-    const bool same = told.cleared ? found.cleared : found.is_blocked;
-    if ((same && found.trials == told.trials) || since <= found.changed) return false;
+    const bool same = received.cleared ? found.cleared : found.is_blocked;
+    if ((same && found.trials == received.trials) || since <= found.changed) return false;
     const bool was_blocked = found.is_blocked;
-    if (told.cleared) {
+    if (received.cleared) {
         found.cleared = true;
         this->clear(found, now);
     } else {
         found.is_blocked = true;
         found.cleared = false;
-        found.trials = told.trials;
+        found.trials = received.trials;
     }
     found.changed = since;
     if (found.is_blocked == was_blocked) return true;
-    log_event(log_level::info, told.cleared ? "request_cleared" : "request_blocked",
+    log_event(log_level::info, received.cleared ? "request_cleared" : "request_blocked",
               {{"content", to_text(content)},
                {"ends", found.ends.size()},
-               {"trials", int{told.trials}},
+               {"trials", int{received.trials}},
                {"age_ms", (now - since) / milliseconds(1)},
                {"source", "another VM"}});
     return true;
 }
 
-bool crash_suspects::take_digest(const fleet_digest& told, bool near, instant now)
+bool crash_suspects::handle_digest(const fleet_digest& received, bool local, instant now)
 {
     bool added = false;
-    for (const crash_report& report : told.crash_reports) {
+    for (const crash_report& report : received.crash_reports) {
         if (!this->add(report, now)) continue;
         added = true;
-        this->queue(near ? this->for_distant : this->for_near, report);
+        this->queue(local ? this->for_remote_vms : this->for_local_vms, report);
     }
     if (added) this->block_suspects(now);
-    for (const blocked_content& item : told.blocked) {
-        if (this->take_blocked(item, now)) this->urgent = true;
+    for (const blocked_content& item : received.blocked) {
+        if (this->apply_blocked(item, now)) this->urgent = true;
     }
     return this->urgent;
 }
@@ -272,7 +272,7 @@
 
 void crash_suspects::describe(fleet_digest& digest, instant now)
 {
-    digest.crash_reports = next_reports(this->for_near);
+    digest.crash_reports = next_reports(this->for_local_vms);
     for (const auto& [content, item] : this->suspects) {
         if (!item.is_blocked && !item.cleared) continue;
         digest.blocked.push_back({static_cast<std::uint64_t>(content), item.trials, item.cleared,
@@ -282,9 +282,9 @@
     digest.blocked.resize(std::min(digest.blocked.size(), max_blocked_contents));
 }
 
-std::vector<crash_report> crash_suspects::reports_to_distant()
+std::vector<crash_report> crash_suspects::reports_to_remote_vms()
 {
-    return next_reports(this->for_distant);
+    return next_reports(this->for_remote_vms);
 }
 
 void crash_suspects::forget(instant now)
--- a/src/crash_suspects.h
+++ b/src/crash_suspects.h
@@ -73,13 +73,13 @@
      * server responds. */
     void begin_trial(content_key content, instant now);
 
-    /** Applies the reports in another VM's digest. \p near: the sender is in the same data centre.
+    /** Applies the reports in another VM's digest. \p local: the sender is in the same data centre.
      * Returns whether there is an update that other VMs should get soon. */
-    bool take_digest(const fleet_digest& told, bool near, instant now);
+    bool handle_digest(const fleet_digest& received, bool local, instant now);
     /** Fills in the blocked contents, and the reports for VMs of this data centre. */
     void describe(fleet_digest& digest, instant now);
     /** Returns the next reports for VMs of other data centres. */
-    std::vector<crash_report> reports_to_distant();
+    std::vector<crash_report> reports_to_remote_vms();
     /** Drops expired entries. */
     void forget(instant now);
 
@@ -113,7 +113,7 @@
     void mark_explained(const std::set<server_incarnation>& crashes);
     void clear(suspect& found, instant now);
     void evict_oldest();
-    bool take_blocked(const blocked_content& told, instant now);
+    bool apply_blocked(const blocked_content& received, instant now);
     void queue(std::vector<pending_report>& to, const crash_report& report);
     std::vector<crash_report> next_reports(std::vector<pending_report>& from) const;
     [[nodiscard]] std::size_t crashes_of(content_key content) const;
@@ -122,8 +122,8 @@
     std::map<content_key, suspect> suspects;
     std::vector<broken_attempt> unchecked;
     std::vector<server_incarnation> explained_crashes;
-    std::vector<pending_report> for_near;
-    std::vector<pending_report> for_distant;
+    std::vector<pending_report> for_local_vms;
+    std::vector<pending_report> for_remote_vms;
     bool urgent = false;
 };
 
--- a/src/daemon.cpp
+++ b/src/daemon.cpp
@@ -54,8 +54,8 @@
            random_number()),
       links(base.get(), options.vm, options.link, keys),
       gossip(base.get(), options.link, keys, options.datagram_loss_percent),
-      front(base.get(), options, numbers), calls(base.get(), milliseconds(options.server_idle_ms)),
-      caller(base.get()), engines(caller),
+      front(base.get(), options, telemetry),
+      calls(base.get(), milliseconds(options.server_idle_ms)), caller(base.get()), engines(caller),
       platform(base.get(), caller, options.platform, options.platform_calls_per_s),
       fetcher(platform, core.config()), writer(core, platform, fetcher),
       next_tick(base.get(), [this] { this->tick(); }),
@@ -99,7 +99,7 @@
     });
     this->front.on_request.connect(
         [this](const accepted_request& accepted) { this->accept_request(accepted); });
-    this->front.on_gone.connect([this](std::uint64_t request) {
+    this->front.on_disconnect.connect([this](std::uint64_t request) {
         this->core.data().in.departures.push_back(request);
         this->release_request(request);
         this->schedule_tick();
--- a/src/daemon.h
+++ b/src/daemon.h
@@ -65,7 +65,7 @@
     settings options;
     event_ptr<event_base> base;
     authenticator keys;
-    metrics numbers;
+    metrics telemetry;
     node core;
     link_hub links;
     gossip_socket gossip;
--- a/src/evacuation_follower.cpp
+++ b/src/evacuation_follower.cpp
@@ -12,11 +12,11 @@
     : gossip(gossip), servers(servers), state(adapter),
       calls(base, caller, store, adapter, follow.watch)
 {
-    store_watch& news = this->follow.watch;
-    news.on_list.connect([this](const std::vector<stored_object>& all) {
+    store_watch& watch = this->follow.watch;
+    watch.on_list.connect([this](const std::vector<stored_object>& all) {
         this->state.apply_list(all, this->follow.watch.changed_revision());
     });
-    news.on_changes.connect([this](const std::vector<stored_object>& changed) {
+    watch.on_changes.connect([this](const std::vector<stored_object>& changed) {
         this->state.apply_changes(changed, this->follow.watch.changed_revision());
     });
     this->state.on_change.connect([this] { this->apply(); });
@@ -28,11 +28,11 @@
     this->calls.proceed();
 }
 
-void evacuation_follower::take_digest(const fleet_digest& told)
+void evacuation_follower::handle_digest(const fleet_digest& digest)
 {
-    if (told.evacuations_revision <= this->state.revision()) return;
-    this->state.take_digest(told);
-    this->follow.watch.advance(told.evacuations_revision);
+    if (digest.evacuations_revision <= this->state.revision()) return;
+    this->state.handle_digest(digest);
+    this->follow.watch.advance(digest.evacuations_revision);
 }
 
 void evacuation_follower::apply()
--- a/src/evacuation_follower.h
+++ b/src/evacuation_follower.h
@@ -24,7 +24,7 @@
     /** \p watched: how this VM reads the store; std::nullopt if it does not watch it. */
     void tick(instant now, std::optional<read_mode> watched);
     /** Applies the evacuations in another VM's digest, if they are newer. */
-    void take_digest(const fleet_digest& told);
+    void handle_digest(const fleet_digest& digest);
     /** Fills in the evacuations that this VM knows. \p all_servers_known: the registry is complete,
      * so all data centres of servers are known. */
     void describe(fleet_digest& digest, bool all_servers_known) const;
--- a/src/evacuations.cpp
+++ b/src/evacuations.cpp
@@ -28,7 +28,7 @@
     this->replace(std::move(places), revision);
 }
 
-void evacuation_state::take_digest(const fleet_digest& digest)
+void evacuation_state::handle_digest(const fleet_digest& digest)
 {
     this->replace({digest.evacuated.begin(), digest.evacuated.end()}, digest.evacuations_revision);
 }
--- a/src/evacuations.h
+++ b/src/evacuations.h
@@ -29,7 +29,7 @@
     /** Applies the changes up to a revision of the store. */
     void apply_changes(std::span<const stored_object> changed, std::uint64_t revision);
     /** Applies the state in another VM's digest. */
-    void take_digest(const fleet_digest& digest);
+    void handle_digest(const fleet_digest& digest);
     /** Fills in the state for other VMs. If a digest cannot hold all entries, only data centres in
      * \p known are included, or no state at all if \p known is empty or they do not fit either. The
      * receiver takes the digest as the complete state, so it must not be truncated arbitrarily. */
--- a/src/fleet_digest.cpp
+++ b/src/fleet_digest.cpp
@@ -92,7 +92,7 @@
     archive(item.format, item.incarnation, item.sequence, item.data_centre, item.period_ms,
             item.config_version, item.servers_revision, item.store_restored_age,
             item.store_confirmed_age, item.watches_store, item.leaving, item.joining,
-            item.own_loads, item.centre_loads, item.distant_loads, item.requests_per_s,
+            item.own_loads, item.centre_loads, item.remote_loads, item.requests_per_s,
             item.evacuations_revision);
     save_items(archive, item.evacuated);
     save_items(archive, item.reported_loads);
@@ -111,7 +111,7 @@
     archive(item.incarnation, item.sequence, item.data_centre, item.period_ms, item.config_version,
             item.servers_revision, item.store_restored_age, item.store_confirmed_age,
             item.watches_store, item.leaving, item.joining, item.own_loads, item.centre_loads,
-            item.distant_loads, item.requests_per_s, item.evacuations_revision);
+            item.remote_loads, item.requests_per_s, item.evacuations_revision);
     load_items(archive, item.evacuated);
     load_items(archive, item.reported_loads);
     load_items(archive, item.outcomes);
--- a/src/fleet_digest.h
+++ b/src/fleet_digest.h
@@ -124,10 +124,10 @@
     std::uint8_t store_confirmed_age = 255;
     bool watches_store = false; ///< it watches the store for changes, and the store responds
     bool leaving = false;
-    bool joining = false;    ///< it knows few VMs yet: recipients should reply to it
-    load_part own_loads;     ///< requests from the sender
-    load_part centre_loads;  ///< requests from all VMs of the sender's data centre
-    load_part distant_loads; ///< requests from other data centres, as reported to the sender
+    bool joining = false;   ///< it knows few VMs yet: recipients should reply to it
+    load_part own_loads;    ///< requests from the sender
+    load_part centre_loads; ///< requests from all VMs of the sender's data centre
+    load_part remote_loads; ///< requests from other data centres, as reported to the sender
     std::vector<reported_load> reported_loads; ///< reported since the sender's last digest
     std::vector<outcome_counts> outcomes;      ///< since the sender's last digest
     std::uint16_t requests_per_s = 0; ///< that the sender receives for model engines, in 0.1/s
--- a/src/fleet_gossip.cpp
+++ b/src/fleet_gossip.cpp
@@ -116,7 +116,8 @@
     try {
         fleet_table& fleet = this->rounds.fleet();
         const auto before = fleet.vms().find(from);
-        const bool known = before != fleet.vms().end() && before->second.heard_at != instant{};
+        const bool known =
+            before != fleet.vms().end() && before->second.last_received_at != instant{};
         const fleet_vm* item = fleet.take(from, decode_digest(bytes, to_text(from)), now());
         if (item == nullptr) return;
         if (!known) log_event(log_level::info, "vm_found", {{"peer", to_text(from)}});
--- a/src/fleet_rounds.cpp
+++ b/src/fleet_rounds.cpp
@@ -37,9 +37,9 @@
     digest.period_ms = static_cast<std::uint16_t>(this->round_period / milliseconds(1));
     digest.joining = this->table.is_joining(now);
     std::vector<outgoing_digest> all;
-    all.push_back(this->make_near_digest(digest, now));
-    digest.crash_reports = std::move(state.distant_crash_reports);
-    this->add_distant_digests(all, digest, now);
+    all.push_back(this->make_local_digest(digest, now));
+    digest.crash_reports = std::move(state.remote_crash_reports);
+    this->add_remote_digests(all, digest, now);
     all.push_back(this->make_joining_digest(digest, now));
     ++this->rounds;
     this->update_period(all);
@@ -61,7 +61,7 @@
     this->loads.set_period(this->round_period);
 }
 
-outgoing_digest fleet_rounds::make_near_digest(fleet_digest digest, instant now)
+outgoing_digest fleet_rounds::make_local_digest(fleet_digest digest, instant now)
 {
     digest.sequence = ++this->sequence;
     digest.vms = this->table.liveness_reports(liveness_reports_per_digest, this->delegates, now);
@@ -69,18 +69,19 @@
     outgoing_digest made{encode(digest), {}};
     const bool retry_silent = this->rounds % silent_vm_retry_rounds == 0;
     for (const auto& [address, item] : this->table.vms()) {
-        if (!this->table.is_near(item)) continue;
+        if (!this->table.is_local(item)) continue;
         const bool is_new = now - item.known_since < new_vm_contact_period;
-        if (retry_silent || is_new || fleet_table::is_heard(item, now)) made.to.push_back(address);
+        if (retry_silent || is_new || fleet_table::is_responsive(item, now))
+            made.to.push_back(address);
     }
     return made;
 }
 
-void fleet_rounds::add_distant_digests(std::vector<outgoing_digest>& all, fleet_digest digest,
-                                       instant now)
+void fleet_rounds::add_remote_digests(std::vector<outgoing_digest>& all, fleet_digest digest,
+                                      instant now)
 {
     digest.sequence = ++this->sequence;
-    for (distant_message& message : this->loads.to_distant()) {
+    for (remote_message& message : this->loads.make_remote_messages()) {
         digest.vms =
             this->table.liveness_reports(liveness_reports_per_digest, this->delegates, now);
         digest.centre_loads = std::move(message.centre_loads);
--- a/src/fleet_rounds.h
+++ b/src/fleet_rounds.h
@@ -34,9 +34,9 @@
 struct local_state {
     fleet_digest digest; ///< without loads and liveness reports
     load_table loads;
-    std::vector<crash_report> distant_crash_reports; ///< for VMs of other data centres
-    std::size_t servers = 0;                         ///< in the registry
-    std::vector<std::uint32_t> busy;                 ///< servers near their load bound
+    std::vector<crash_report> remote_crash_reports; ///< for VMs of other data centres
+    std::size_t servers = 0;                        ///< in the registry
+    std::vector<std::uint32_t> busy;                ///< servers near their load bound
 };
 
 /** One datagram and the VMs that it goes to. */
@@ -70,8 +70,8 @@
     [[nodiscard]] duration period() const { return this->round_period; }
 
 private:
-    outgoing_digest make_near_digest(fleet_digest digest, instant now);
-    void add_distant_digests(std::vector<outgoing_digest>& all, fleet_digest digest, instant now);
+    outgoing_digest make_local_digest(fleet_digest digest, instant now);
+    void add_remote_digests(std::vector<outgoing_digest>& all, fleet_digest digest, instant now);
     outgoing_digest make_joining_digest(fleet_digest digest, instant now);
     void update_period(std::span<const outgoing_digest> sent);
 
--- a/src/fleet_table.cpp
+++ b/src/fleet_table.cpp
@@ -72,9 +72,9 @@
         item.address = address;
         item.known_since = now;
     }
-    const bool was_near = item.data_centre == this->own.data_centre;
+    const bool was_local = item.data_centre == this->own.data_centre;
     if (data_centre != 0) item.data_centre = data_centre;
-    if (!was_near && item.data_centre == this->own.data_centre) this->near_discovered_at = now;
+    if (!was_local && item.data_centre == this->own.data_centre) this->local_vm_discovered_at = now;
     item.alive_at = std::max(item.alive_at, alive);
 }
 
@@ -89,9 +89,9 @@
     if (!same_incarnation) {
         item.own_loads = {};
         item.centre_loads = {};
-        item.distant_loads = {};
+        item.remote_loads = {};
     }
-    item.heard_at = now;
+    item.last_received_at = now;
     if (this->receives_nothing(now)) this->receiving_since = now;
     this->last_digest_at = now;
     this->reported_store.merge(
@@ -103,7 +103,7 @@
         this->record_vm(report.address, report.data_centre, now - report.age * age_unit, now);
     item.own_loads.take(std::exchange(digest.own_loads, {}));
     item.centre_loads.take(std::exchange(digest.centre_loads, {}));
-    item.distant_loads.take(std::exchange(digest.distant_loads, {}));
+    item.remote_loads.take(std::exchange(digest.remote_loads, {}));
     item.last = std::move(digest);
     return &item;
 }
@@ -117,38 +117,38 @@
     });
 }
 
-bool fleet_table::is_near(const fleet_vm& item) const
+bool fleet_table::is_local(const fleet_vm& item) const
 {
     return item.data_centre == this->own.data_centre || this->table.size() < max_small_fleet_vms;
 }
 
-bool fleet_table::is_heard(const fleet_vm& item, instant now)
+bool fleet_table::is_responsive(const fleet_vm& item, instant now)
 {
     const duration limit = std::max<duration>(
         milliseconds(item.last.period_ms) * max_silent_periods, min_vm_silence_timeout);
-    return item.heard_at != instant{} && now - item.heard_at <= limit;
+    return item.last_received_at != instant{} && now - item.last_received_at <= limit;
 }
 
 bool fleet_table::is_alive(const fleet_vm& item, instant now) const
 {
-    if (this->is_near(item)) return this->is_heard(item, now);
+    if (this->is_local(item)) return this->is_responsive(item, now);
     return item.alive_at != instant{} && now - item.alive_at <= remote_vm_timeout;
 }
 
-std::vector<const fleet_vm*> fleet_table::near(instant now) const
+std::vector<const fleet_vm*> fleet_table::local_vms(instant now) const
 {
     std::vector<const fleet_vm*> found;
     for (const auto& [address, item] : this->table) {
-        if (this->is_near(item) && this->is_heard(item, now)) found.push_back(&item);
+        if (this->is_local(item) && this->is_responsive(item, now)) found.push_back(&item);
     }
     return found;
 }
 
-std::vector<const fleet_vm*> fleet_table::heard(instant now) const
+std::vector<const fleet_vm*> fleet_table::responsive_vms(instant now) const
 {
     std::vector<const fleet_vm*> found;
     for (const auto& [address, item] : this->table) {
-        if (this->is_heard(item, now)) found.push_back(&item);
+        if (this->is_responsive(item, now)) found.push_back(&item);
     }
     return found;
 }
@@ -183,13 +183,13 @@
     found.data_centre = this->own.data_centre;
     found.complete = !this->receives_nothing(now) &&
                      now - this->receiving_since >= joining_period &&
-                     now - this->near_discovered_at >= membership_settle_period;
-    found.near.push_back(this->own.address);
+                     now - this->local_vm_discovered_at >= membership_settle_period;
+    found.local_vms.push_back(this->own.address);
     found.data_centres.push_back(this->own.data_centre);
     for (const auto& [address, item] : this->table) {
         // A seed that was never seen may not exist.
         if (item.alive_at == instant{}) continue;
-        if (item.data_centre == this->own.data_centre) found.near.push_back(address);
+        if (item.data_centre == this->own.data_centre) found.local_vms.push_back(address);
         found.add(item.data_centre);
     }
     return found;
--- a/src/fleet_table.h
+++ b/src/fleet_table.h
@@ -2,8 +2,8 @@
  * Membership table of one VM: the other VMs as known from their own digests and from the liveness
  * reports of others.
  *
- * VMs of the same data centre ("near" in identifiers) exchange all their state. Of VMs in other
- * data centres ("distant") only liveness is tracked; a few of them, chosen by rendezvous rank,
+ * VMs of the same data centre ("local" in identifiers) exchange all their state. Of VMs in other
+ * data centres ("remote") only liveness is tracked; a few of them, chosen by rendezvous rank,
  * receive load sums. Thus traffic and memory of a VM grow with its data centre and not with the
  * fleet. A small fleet is treated as one data centre.
  */
@@ -52,8 +52,8 @@
     fleet_digest last;             ///< newest digest, without its loads
     load_replica own_loads;
     load_replica centre_loads;
-    load_replica distant_loads;
-    instant heard_at{}; ///< when its last digest arrived; the epoch: never
+    load_replica remote_loads;
+    instant last_received_at{}; ///< when its last digest arrived; the epoch: never
     instant alive_at{}; ///< when it was last seen, also as reported by others; the epoch: never
     instant known_since{};
     bool answer_pending = false; ///< it is joining, and sent a digest without a reply yet
@@ -80,16 +80,16 @@
     [[nodiscard]] std::map<std::uint32_t, fleet_vm>& vms() { return this->table; }
     [[nodiscard]] const std::map<std::uint32_t, fleet_vm>& vms() const { return this->table; }
     /** Whether the VM is treated as one of the same data centre. */
-    [[nodiscard]] bool is_near(const fleet_vm& item) const;
+    [[nodiscard]] bool is_local(const fleet_vm& item) const;
     /** Whether digests of the VM arrive, that is, it is not silent. */
-    [[nodiscard]] static bool is_heard(const fleet_vm& item, instant now);
+    [[nodiscard]] static bool is_responsive(const fleet_vm& item, instant now);
     /** Whether the VM is considered alive: in the same data centre by its own digests, in another
      * one also by liveness reports. */
     [[nodiscard]] bool is_alive(const fleet_vm& item, instant now) const;
     /** All VMs of the same data centre that are not silent. */
-    [[nodiscard]] std::vector<const fleet_vm*> near(instant now) const;
+    [[nodiscard]] std::vector<const fleet_vm*> local_vms(instant now) const;
     /** All VMs that are not silent. */
-    [[nodiscard]] std::vector<const fleet_vm*> heard(instant now) const;
+    [[nodiscard]] std::vector<const fleet_vm*> responsive_vms(instant now) const;
     /** Number of VMs that are alive, including this one. */
     [[nodiscard]] std::size_t alive(instant now) const;
     /** Whether this VM asks for replies to its digests; see `joining_period`. */
@@ -122,8 +122,8 @@
     std::vector<std::uint32_t> seeds;
     instant started_at{};
     instant last_digest_at{};
-    instant near_discovered_at{}; ///< when a new VM of this data centre was last discovered
-    instant receiving_since{};    ///< digests arrive without a long gap; the epoch: none yet
+    instant local_vm_discovered_at{}; ///< when a new VM of this data centre was last discovered
+    instant receiving_since{};        ///< digests arrive without a long gap; the epoch: none yet
     std::map<std::uint32_t, fleet_vm> table; ///< by address
     std::uint32_t last_reported = 0;         ///< address in the newest liveness report
     std::size_t liveness_report_calls = 0;
--- a/src/http_frontend.cpp
+++ b/src/http_frontend.cpp
@@ -108,8 +108,8 @@
     metrics::series* between_pieces = nullptr; ///< cached, since each token is recorded
 };
 
-http_frontend::http_frontend(event_base* base, const settings& options, metrics& numbers)
-    : base(base), options(options), numbers(numbers), server(evhttp_new(base))
+http_frontend::http_frontend(event_base* base, const settings& options, metrics& telemetry)
+    : base(base), options(options), telemetry(telemetry), server(evhttp_new(base))
 {
     evhttp_set_max_headers_size(this->server.get(), max_request_header_bytes);
     // evhttp's own error lacks the headers of send_error, so its limit is above the one that
@@ -167,7 +167,7 @@
                   this->leaving ? "leaving\n" : "ok\n");
     } else if (raw.path == "/metrics") {
         const std::string extra = this->extra_metrics ? this->extra_metrics() : std::string();
-        send_text(request, 200, "text/plain; version=0.0.4", this->numbers.text() + extra);
+        send_text(request, 200, "text/plain; version=0.0.4", this->telemetry.text() + extra);
     } else if (request->major == 1 && request->minor == 0) {
         // HTTP/1.0 has no chunked encoding, so a broken response would look complete.
         send_bad_request(request, {505, "http_version", "HTTP/1.1 is needed"});
@@ -210,7 +210,7 @@
     const instant now = std::chrono::steady_clock::now();
     auto parsed = parse_request(raw, *this->config, now, this->options.default_deadline_ms);
     if (const auto* bad = std::get_if<bad_request>(&parsed)) {
-        this->numbers.count("worksshift_bad_requests_total");
+        this->telemetry.count("worksshift_bad_requests_total");
         send_bad_request(request, *bad);
         return;
     }
@@ -226,7 +226,7 @@
     item->account = accepted.row.account;
     item->started = now;
     item->between_pieces =
-        &this->numbers.find(latency::between_pieces, item->service, item->account);
+        &this->telemetry.find(latency::between_pieces, item->service, item->account);
     this->callers[item->id] = std::move(owned);
 
     const auto closed = [](evhttp_connection*, void* context) {
@@ -263,8 +263,8 @@
     if (item == nullptr || item->head_sent) return;
     item->head_sent = true;
     item->last_chunk_at = std::chrono::steady_clock::now();
-    this->numbers.observe(latency::first_byte, item->service, item->account,
-                          item->last_chunk_at - item->started);
+    this->telemetry.observe(latency::first_byte, item->service, item->account,
+                            item->last_chunk_at - item->started);
     evkeyvalq* out = evhttp_request_get_output_headers(item->request);
     for (const header& extra : headers) {
         evhttp_add_header(out, extra.name.c_str(), extra.value.c_str());
@@ -299,9 +299,9 @@
 {
     caller* item = this->find(request);
     if (item == nullptr) return;
-    this->numbers.count("worksshift_answers_done_total");
-    this->numbers.observe(latency::whole, item->service, item->account,
-                          std::chrono::steady_clock::now() - item->started);
+    this->telemetry.count("worksshift_answers_done_total");
+    this->telemetry.observe(latency::whole, item->service, item->account,
+                            std::chrono::steady_clock::now() - item->started);
     this->detach(*item);
     evhttp_send_reply_end(item->request);
     this->callers.erase(request);
@@ -311,8 +311,8 @@
 {
     caller* item = this->find(failure.request);
     if (item == nullptr) return;
-    this->numbers.count(std::string("worksshift_answers_") + outcome_name(failure.result) +
-                        "_total");
+    this->telemetry.count(std::string("worksshift_answers_") + outcome_name(failure.result) +
+                          "_total");
     log_event(log_level::info, "request_failed",
               {{"request", this->id_prefix + std::to_string(failure.request)},
                {"outcome", outcome_name(failure.result)},
@@ -350,8 +350,8 @@
     if (evhttp_request_get_connection(item.request) == nullptr) evhttp_request_free(item.request);
     const std::uint64_t id = item.id;
     this->callers.erase(id);
-    this->numbers.count("worksshift_callers_gone_total");
-    this->on_gone.emit(id);
+    this->telemetry.count("worksshift_callers_gone_total");
+    this->on_disconnect.emit(id);
 }
 
 /** The caller closed the connection while its request was served. */
@@ -361,9 +361,9 @@
     const std::uint64_t id = item.id;
     this->detach(item);
     this->callers.erase(id);
-    this->numbers.count("worksshift_callers_gone_total");
+    this->telemetry.count("worksshift_callers_gone_total");
     evhttp_connection_free(connection);
-    this->on_gone.emit(id);
+    this->on_disconnect.emit(id);
 }
 
 } // namespace worksshift
--- a/src/http_frontend.h
+++ b/src/http_frontend.h
@@ -29,7 +29,7 @@
 
 class http_frontend {
 public:
-    http_frontend(event_base* base, const settings& options, metrics& numbers);
+    http_frontend(event_base* base, const settings& options, metrics& telemetry);
     ~http_frontend();
     http_frontend(const http_frontend&) = delete;
     http_frontend& operator=(const http_frontend&) = delete;
@@ -56,7 +56,7 @@
     [[nodiscard]] std::size_t size() const { return this->callers.size(); }
 
     sigc::signal<void(const accepted_request&)> on_request;
-    sigc::signal<void(std::uint64_t)> on_gone;
+    sigc::signal<void(std::uint64_t)> on_disconnect;
     /** This many more bytes were written to the caller's socket: request, bytes. */
     sigc::signal<void(std::uint64_t, std::uint32_t)> on_drained;
     /** Text to append to the response of /metrics. */
@@ -75,7 +75,7 @@
 
     event_base* base;
     const settings& options;
-    metrics& numbers;
+    metrics& telemetry;
     event_ptr<evhttp> server;
     evhttp_bound_socket* socket = nullptr; ///< owned by `server`
     std::shared_ptr<const fleet_config> config;
--- a/src/live_request.h
+++ b/src/live_request.h
@@ -44,7 +44,7 @@
     instant sent{};      ///< when the attempt was sent; the epoch once its first event has arrived
     instant last_byte{}; ///< last response byte of the attempt, or when it was sent
 
-    std::optional<std::uint32_t> told_load; ///< load that the server stated in its response
+    std::optional<std::uint32_t> told_load; ///< load that the server reported in its response
     http_head answer;
     duration retry_after_hint{}; ///< until a server accepts the request; zero: not known
     bool refused = false;        ///< the response shows that the attempt did not run
--- a/src/load_exchange.cpp
+++ b/src/load_exchange.cpp
@@ -53,16 +53,16 @@
 void load_exchange::choose_aggregators(instant now)
 {
     this->own_slices.clear();
-    this->distant_aggregators.clear();
+    this->remote_aggregators.clear();
     std::map<std::uint32_t, std::vector<std::uint32_t>> by_centre;
     const std::uint32_t here = this->fleet.self().data_centre;
     by_centre[here].push_back(this->fleet.self().address);
     for (const auto& [address, item] : this->fleet.vms()) {
         if (!this->fleet.is_alive(item, now) || item.data_centre == 0) continue;
-        by_centre[this->fleet.is_near(item) ? here : item.data_centre].push_back(address);
+        by_centre[this->fleet.is_local(item) ? here : item.data_centre].push_back(address);
     }
     if (by_centre.size() < 2) return;
-    std::map<std::size_t, std::vector<std::uint32_t>> distant_by_slice;
+    std::map<std::size_t, std::vector<std::uint32_t>> remote_by_slice;
     for (std::size_t slice = 0; slice < this->slices; ++slice) {
         for (auto& [centre, members] : by_centre) {
             const std::size_t count = std::min(aggregators_per_slice, members.size());
@@ -71,16 +71,16 @@
                 [slice](std::uint32_t address) { return rendezvous_weight(slice, address); });
             const std::span<const std::uint32_t> chosen(members.data(), count);
             if (centre != here) {
-                distant_by_slice[slice].insert(distant_by_slice[slice].end(), chosen.begin(),
-                                               chosen.end());
+                remote_by_slice[slice].insert(remote_by_slice[slice].end(), chosen.begin(),
+                                              chosen.end());
             } else if (std::ranges::find(chosen, this->fleet.self().address) != chosen.end()) {
                 this->own_slices.push_back(slice);
             }
         }
     }
     for (const std::size_t slice : this->own_slices) {
-        for (const std::uint32_t address : distant_by_slice[slice])
-            this->distant_aggregators[address].push_back(slice);
+        for (const std::uint32_t address : remote_by_slice[slice])
+            this->remote_aggregators[address].push_back(slice);
     }
 }
 
@@ -88,7 +88,7 @@
 load_table load_exchange::centre_sums(instant now) const
 {
     load_table sums = this->own;
-    for (const fleet_vm* item : this->fleet.near(now))
+    for (const fleet_vm* item : this->fleet.local_vms(now))
         append(sums, item->own_loads.entries());
     normalize(sums);
     return sums;
@@ -96,12 +96,12 @@
 
 /** Requests from the other data centres, as their aggregators reported them to this VM. The
  * aggregators of a slice report the same load at different times, so the larger value counts. */
-load_table load_exchange::distant_sums(instant now) const
+load_table load_exchange::remote_sums(instant now) const
 {
     const duration limit = std::max<duration>(remote_sums_timeout, this->period * 3);
     std::map<std::uint32_t, load_table> by_centre;
     for (const auto& [address, item] : this->fleet.vms()) {
-        if (this->fleet.is_near(item) || now - item.heard_at > limit) continue;
+        if (this->fleet.is_local(item) || now - item.last_received_at > limit) continue;
         load_table& centre = by_centre[item.data_centre];
         centre = merge_by_max(centre, item.centre_loads.entries());
     }
@@ -126,25 +126,26 @@
     };
     this->own_centre_sums = this->centre_sums(now);
     std::erase_if(this->own_centre_sums, other_slice);
-    this->other_centre_sums = this->distant_sums(now);
+    this->other_centre_sums = this->remote_sums(now);
     std::erase_if(this->other_centre_sums, other_slice);
 }
 
-void load_exchange::describe(fleet_digest& to_near)
+void load_exchange::describe(fleet_digest& local_digest)
 {
-    to_near.own_loads = this->own_publisher.next(this->own, this->busy);
+    local_digest.own_loads = this->own_publisher.next(this->own, this->busy);
     if (!this->own_slices.empty()) {
-        to_near.distant_loads = this->distant_publisher.next(this->other_centre_sums, this->busy);
+        local_digest.remote_loads =
+            this->remote_publisher.next(this->other_centre_sums, this->busy);
     }
 }
 
-std::vector<distant_message> load_exchange::to_distant()
+std::vector<remote_message> load_exchange::make_remote_messages()
 {
-    std::vector<distant_message> messages;
-    if (this->distant_aggregators.empty()) return messages;
+    std::vector<remote_message> messages;
+    if (this->remote_aggregators.empty()) return messages;
     const load_part part = this->centre_publisher.next(this->own_centre_sums, this->busy);
-    for (const auto& [address, wanted] : this->distant_aggregators) {
-        distant_message message{address, {part.part, part.parts, {}}};
+    for (const auto& [address, wanted] : this->remote_aggregators) {
+        remote_message message{address, {part.part, part.parts, {}}};
         std::ranges::copy_if(part.entries, std::back_inserter(message.centre_loads.entries),
                              [&](const load_entry& entry) {
                                  return std::ranges::find(wanted, this->slice_of(entry.server)) !=
@@ -157,13 +158,13 @@
 
 load_table load_exchange::others(instant now) const
 {
-    load_table distant_all = this->distant_sums(now);
+    load_table remote_all = this->remote_sums(now);
     load_table sums;
-    for (const fleet_vm* item : this->fleet.near(now)) {
+    for (const fleet_vm* item : this->fleet.local_vms(now)) {
         append(sums, item->own_loads.entries());
-        distant_all = merge_by_max(distant_all, item->distant_loads.entries());
+        remote_all = merge_by_max(remote_all, item->remote_loads.entries());
     }
-    append(sums, distant_all);
+    append(sums, remote_all);
     normalize(sums);
     return sums;
 }
--- a/src/load_exchange.h
+++ b/src/load_exchange.h
@@ -27,7 +27,7 @@
 constexpr duration remote_sums_timeout = seconds(2);
 
 /** Load sums to be sent to one VM of another data centre. */
-struct distant_message {
+struct remote_message {
     std::uint32_t address = 0;
     load_part centre_loads;
 };
@@ -42,12 +42,12 @@
     void set_period(duration span) { this->period = span; }
 
     /** Chooses the aggregators of this round and computes their sums. Call it before `describe` and
-     * `to_distant`. */
+     * `make_remote_messages`. */
     void begin_round(instant now);
     /** Adds loads to the digest for the VMs of the same data centre. */
-    void describe(fleet_digest& to_near);
+    void describe(fleet_digest& local_digest);
     /** Messages to the aggregators of other data centres; empty if this VM is not an aggregator. */
-    std::vector<distant_message> to_distant();
+    std::vector<remote_message> make_remote_messages();
 
     /** Requests from all other VMs, as far as they reported them. */
     [[nodiscard]] load_table others(instant now) const;
@@ -55,7 +55,7 @@
 private:
     [[nodiscard]] std::size_t slice_of(std::uint32_t server) const;
     [[nodiscard]] load_table centre_sums(instant now) const;
-    [[nodiscard]] load_table distant_sums(instant now) const;
+    [[nodiscard]] load_table remote_sums(instant now) const;
     void choose_aggregators(instant now);
 
     fleet_table& fleet;
@@ -65,10 +65,10 @@
     std::vector<std::uint32_t> busy;
     load_publisher own_publisher;
     load_publisher centre_publisher;
-    load_publisher distant_publisher;
+    load_publisher remote_publisher;
     std::vector<std::size_t> own_slices; ///< of which this VM is an aggregator
     /** Slices of each aggregator of another data centre, by its address. */
-    std::map<std::uint32_t, std::vector<std::size_t>> distant_aggregators;
+    std::map<std::uint32_t, std::vector<std::size_t>> remote_aggregators;
     load_table own_centre_sums;   ///< sums of this data centre in this round, own slices only
     load_table other_centre_sums; ///< sums of the other data centres in this round, own slices only
 };
--- a/src/registry_follower.cpp
+++ b/src/registry_follower.cpp
@@ -60,7 +60,7 @@
     const bool behind = this->gossip.fleet().servers_revision() > this->revision();
     this->follow.update(watched, this->known(), behind, now);
     this->calls.proceed();
-    if (this->follow.fetching.due(now)) this->ask_peer(now);
+    if (this->follow.fetching.due(now)) this->request_from_peer(now);
     this->outage.update(this->follow.watch.failing_call(), this->follow.watch.answered_at(),
                         this->gossip.fleet().store(), this->gossip.fleet().is_isolated(now));
     this->registry.sweep(now, this->store().recovered_at);
@@ -73,7 +73,7 @@
     return status;
 }
 
-void registry_follower::ask_peer(instant now)
+void registry_follower::request_from_peer(instant now)
 {
     const std::uint64_t own = this->feed.revision();
     const fleet_vm* newest =
@@ -92,7 +92,7 @@
 }
 
 void registry_follower::take(const http_response& response, const std::string& peer,
-                             instant asked_at)
+                             instant requested_at)
 {
     if (response.status != ok) {
         log_event(log_level::warn, "registry_not_fetched",
@@ -108,7 +108,7 @@
                    {"objects", update.objects.size()},
                    {"kept", update.kept.size()},
                    {"whole", update.whole ? 1 : 0}});
-        this->apply(update, origin_of(update, this->feed.revision(), asked_at));
+        this->apply(update, origin_of(update, this->feed.revision(), requested_at));
         this->follow.watch.advance(update.revision);
     } catch (const error& fault) {
         log_event(log_level::error, "registry_unreadable",
--- a/src/registry_follower.h
+++ b/src/registry_follower.h
@@ -60,8 +60,8 @@
     sigc::signal<void(const server_id&)> on_restarted;
 
 private:
-    void ask_peer(instant now);
-    void take(const http_response& response, const std::string& peer, instant asked_at);
+    void request_from_peer(instant now);
+    void take(const http_response& response, const std::string& peer, instant requested_at);
     void apply(const registry_update& update, const update_origin& origin);
 
     http_client& caller;
--- a/src/request_path.cpp
+++ b/src/request_path.cpp
@@ -55,13 +55,13 @@
 } // namespace
 
 request_path::request_path(caller_connections& callers, server_connections& servers,
-                           server_table& table, const protocol& adapter, metrics& numbers)
+                           server_table& table, const protocol& adapter, metrics& telemetry)
     : callers(callers), servers(servers), table(table), admission_control(table), adapter(adapter),
-      numbers(numbers)
+      telemetry(telemetry)
 {
     callers.on_request.connect(
         [this](caller_request request) { this->on_request(std::move(request)); });
-    callers.on_gone.connect([this](std::uint64_t request) { this->leave(request); });
+    callers.on_disconnect.connect([this](std::uint64_t request) { this->leave(request); });
     servers.on_head.connect(
         [this](std::uint64_t attempt, const http_head& head, const response_metadata& facts) {
             this->on_response_head(attempt, head, facts);
@@ -100,8 +100,8 @@
     this->last_arrival_at = item.arrived;
     item.facts = this->adapter.decode_request(request.head);
     for (const std::string_view name : item.facts.ignored_headers) {
-        this->numbers.count("worksshift_ignored_headers_total{header=\"" + std::string(name) +
-                            "\"}");
+        this->telemetry.count("worksshift_ignored_headers_total{header=\"" + std::string(name) +
+                              "\"}");
     }
     item.head = std::move(request.head);
     item.body = std::move(request.body);
@@ -154,7 +154,7 @@
     if (item.matched_route->resumable) {
         item.events.set_last_event_id(item.facts.last_event_id);
     } else if (item.facts.last_event_id) {
-        this->numbers.count("worksshift_ignored_resumptions_total");
+        this->telemetry.count("worksshift_ignored_resumptions_total");
     }
     this->budgets[item.service].on_request(item.arrived);
     if (item.engine) this->admission_control.on_request(item.service, item.affinity, item.arrived);
@@ -173,7 +173,7 @@
         this->suspect_contents.begin_trial(item.content, time);
         return false;
     }
-    this->numbers.count("worksshift_blocked_total");
+    this->telemetry.count("worksshift_blocked_total");
     item.retry_after_hint = found->until_trial;
     this->fail(item, "blocked", "servers ended under it");
     return true;
@@ -215,7 +215,7 @@
                {"taken", answer.view.taken},
                {"loads_ms", in_ms(now() - this->table.peers_summed_at)},
                {"retry_after_ms", in_ms(answer.retry_after)}});
-    this->numbers.count("worksshift_refused_total");
+    this->telemetry.count("worksshift_refused_total");
     this->answer_locally(item, unavailable, "not run: all engines are busy", answer.retry_after);
 }
 
@@ -271,7 +271,7 @@
     live_request* item = this->find_attempt(attempt);
     if (item == nullptr) return;
     item->last_byte = now();
-    item->row->heard_at = item->last_byte;
+    item->row->last_received_at = item->last_byte;
     item->told_load = facts.load;
     if (facts.load) {
         item->row->state(*facts.load, item->last_byte);
@@ -320,7 +320,7 @@
     live_request* item = this->find_attempt(attempt);
     if (item == nullptr) return;
     item->last_byte = now();
-    item->row->heard_at = item->last_byte;
+    item->row->last_received_at = item->last_byte;
     if (item->caller_left) return;
     if (!item->streaming) {
         if (item->response_begun) {
@@ -508,7 +508,7 @@
     const bool resumable = !item.response_begun || item.streaming;
     if (resumable && this->may_retry(item, may_have_run)) {
         this->log_attempt(item, item.response_begun ? "resumed" : "retried", step, detail);
-        this->numbers.count("worksshift_retries_total");
+        this->telemetry.count("worksshift_retries_total");
         this->dispatch(item);
         return;
     }
@@ -570,14 +570,14 @@
          {"total_ms", in_ms(span)},
          {"config", item.config == nullptr ? 0 : item.config->version}});
     if (item.matched_route != nullptr) {
-        this->numbers.observe(latency::whole, item.service, item.account, span);
+        this->telemetry.observe(latency::whole, item.service, item.account, span);
         if (item.first_event != instant{}) {
-            this->numbers.observe(latency::first_byte, item.service, item.account,
-                                  item.first_event - item.arrived);
+            this->telemetry.observe(latency::first_byte, item.service, item.account,
+                                    item.first_event - item.arrived);
         }
     }
-    this->numbers.count("worksshift_requests_total{outcome=\"" + std::string(outcome) +
-                        "\",status=\"" + std::to_string(status) + "\"}");
+    this->telemetry.count("worksshift_requests_total{outcome=\"" + std::string(outcome) +
+                          "\",status=\"" + std::to_string(status) + "\"}");
     this->finished.push_back(item.id);
 }
 
@@ -606,7 +606,7 @@
         std::max<duration>(min_silence_timeout, item.matched_route->latency_objective *
                                                     silence_timeout_objective_multiple);
     // A server that still answers other requests is busy, not unreachable.
-    const bool responsive = time - item.row->heard_at <= server_entry::unresponsive_after;
+    const bool responsive = time - item.row->last_received_at <= server_entry::unresponsive_after;
     const double multiple = responsive ? this->table.policy.patience_while_heard : 1;
     limit = std::chrono::duration_cast<duration>(limit * multiple);
     if (time - item.last_byte < limit) return;
--- a/src/request_path.h
+++ b/src/request_path.h
@@ -50,7 +50,7 @@
 class request_path {
 public:
     request_path(caller_connections& callers, server_connections& servers, server_table& table,
-                 const protocol& adapter, metrics& numbers);
+                 const protocol& adapter, metrics& telemetry);
     ~request_path();
     request_path(const request_path&) = delete;
     request_path& operator=(const request_path&) = delete;
@@ -119,7 +119,7 @@
     admission admission_control;
     crash_suspects suspect_contents;
     const protocol& adapter;
-    metrics& numbers;
+    metrics& telemetry;
     router_config_ptr config;
     fleet_retry_settings budget_settings;
     std::size_t vms = 1;
--- a/src/router.cpp
+++ b/src/router.cpp
@@ -77,7 +77,7 @@
 router::router(router_settings given, const protocol& adapter, settings_source reload)
     : options(std::move(given)), adapter(adapter), reload(std::move(reload)),
       base(make_event_base()), servers(options.data_centre), callers(base.get(), options.front),
-      links(base.get(), adapter), path(callers, links, servers, adapter, numbers),
+      links(base.get(), adapter), path(callers, links, servers, adapter, telemetry),
       gossip(base.get(), options.peer, options.data_centre, options.seeds), caller(base.get()),
       configuration(base.get(), caller, options.store, adapter, gossip),
       registry(base.get(), caller, options.store, adapter, servers, gossip),
@@ -132,7 +132,7 @@
     this->update_peer_loads(time);
     this->update_server_assignments(time);
     this->announce_suspects(time);
-    this->gossip.tick(time, [this, time] { return this->build_own_state(time); });
+    this->gossip.tick(time, [this, time] { return this->build_local_state(time); });
     this->check_settings_file(time);
     if (this->stopping) this->continue_stop(time);
     flush_log();
@@ -163,19 +163,19 @@
     this->gossip.on_digest.connect([this](const fleet_vm& from) {
         this->loads_changed = true;
         for (const reported_load& item : from.last.reported_loads)
-            this->servers.apply_reported_load(item, from.heard_at);
+            this->servers.apply_reported_load(item, from.last_received_at);
         for (const outcome_counts& item : from.last.outcomes)
-            this->servers.apply_outcomes(item, from.heard_at);
+            this->servers.apply_outcomes(item, from.last_received_at);
         for (const std::uint32_t incarnation : from.last.leaving_servers) {
             if (!this->servers.mark_leaving(server_incarnation{incarnation})) continue;
             const server_entry* row = this->servers.find(server_incarnation{incarnation});
             log_event(log_level::info, "server_leaving",
                       {{"server", row->record.id.text}, {"source", to_text(from.address)}});
         }
-        const bool near = this->gossip.fleet().is_near(from);
-        this->path.suspects().take_digest(from.last, near, from.heard_at);
-        this->configuration.take_digest(from);
-        this->evacuations.take_digest(from.last);
+        const bool local = this->gossip.fleet().is_local(from);
+        this->path.suspects().handle_digest(from.last, local, from.last_received_at);
+        this->configuration.handle_digest(from);
+        this->evacuations.handle_digest(from.last);
     });
 }
 
@@ -227,7 +227,8 @@
     const std::size_t alive = this->gossip.fleet().alive(time);
     this->path.set_fleet_size(alive);
     this->path.admissions().set_fleet_demand_multiple(this->fleet_demand_ratio(alive, time));
-    if (!std::exchange(this->loads_changed, false) && !this->gossip.fleet().heard(time).empty()) {
+    if (!std::exchange(this->loads_changed, false) &&
+        !this->gossip.fleet().responsive_vms(time).empty()) {
         return;
     }
     const load_table others = this->gossip.loads_of_others(time);
@@ -262,22 +263,22 @@
     this->gossip.send_early();
 }
 
-/** Ratio of the fleet's request rate to this VM's own, estimated from the VMs that are heard
- * directly. The others are assumed to have the same average rate. */
+/** Ratio of the fleet's request rate to this VM's own, estimated from the VMs whose own
+ * digests are received. The others are assumed to have the same average rate. */
 double router::fleet_demand_ratio(std::size_t alive, instant time)
 {
     const double own = this->path.admissions().engine_requests_per_s(time);
     if (own <= 0) return static_cast<double>(alive);
-    double near = own;
-    std::size_t heard = 1;
-    for (const fleet_vm* item : this->gossip.fleet().heard(time)) {
-        near += item->last.requests_per_s / demand_units_per_rps;
-        ++heard;
+    double local = own;
+    std::size_t responsive_vms = 1;
+    for (const fleet_vm* item : this->gossip.fleet().responsive_vms(time)) {
+        local += item->last.requests_per_s / demand_units_per_rps;
+        ++responsive_vms;
     }
-    return near / own * static_cast<double>(alive) / static_cast<double>(heard);
+    return local / own * static_cast<double>(alive) / static_cast<double>(responsive_vms);
 }
 
-local_state router::build_own_state(instant time)
+local_state router::build_local_state(instant time)
 {
     local_state state;
     state.digest.config_version = this->configuration.version();
@@ -291,7 +292,7 @@
     this->evacuations.describe(state.digest, this->registry.known());
     this->path.suspects().describe(state.digest, time);
     state.digest.leaving_servers = this->servers.leaving_but_listed(max_leaving_servers);
-    state.distant_crash_reports = this->path.suspects().reports_to_distant();
+    state.remote_crash_reports = this->path.suspects().reports_to_remote_vms();
     state.servers = this->servers.rows().size();
     for (const auto& [id, row] : this->servers.rows()) {
         // With a fresh load reported by the server itself, the VMs need no sum of request counts.
@@ -369,7 +370,7 @@
 std::string router::metrics_text() const
 {
     std::ostringstream text;
-    text << this->numbers.text();
+    text << this->telemetry.text();
     text << "worksshift_requests_active " << this->path.active() << '\n';
     text << "worksshift_attempts_active " << this->links.active() << '\n';
     text << "worksshift_caller_connections " << this->callers.open() << '\n';
@@ -389,7 +390,7 @@
     text << "worksshift_cold_servers " << this->servers.cold_servers(now()) << '\n';
     text << "worksshift_blocked_contents " << this->path.suspects().blocked_contents() << '\n';
     text << "worksshift_digest_bytes_sent_total " << this->gossip.bytes_sent() << '\n';
-    text << "worksshift_vms_heard " << this->gossip.fleet().heard(now()).size() << '\n';
+    text << "worksshift_vms_heard " << this->gossip.fleet().responsive_vms(now()).size() << '\n';
     return text.str();
 }
 
--- a/src/router.h
+++ b/src/router.h
@@ -51,7 +51,7 @@
     void update_server_assignments(instant now);
     void announce_suspects(instant now);
     double fleet_demand_ratio(std::size_t alive, instant now);
-    local_state build_own_state(instant now);
+    local_state build_local_state(instant now);
     void serve_peers();
     void serve_readiness();
     void serve_metrics();
@@ -67,7 +67,7 @@
     const protocol& adapter;
     settings_source reload;
     event_ptr<event_base> base;
-    metrics numbers;
+    metrics telemetry;
     server_table servers;
     caller_connections callers;
     server_connections links;
--- a/src/router_status.cpp
+++ b/src/router_status.cpp
@@ -21,14 +21,14 @@
                    {"revision", view.config_version},
                    {"watches_store", view.watching}});
     for (const auto& [address, item] : fleet.vms()) {
-        const bool heard = fleet_table::is_heard(item, now);
+        const bool responsive = fleet_table::is_responsive(item, now);
         const bool alive = fleet.is_alive(item, now);
-        const char* state = heard && item.last.leaving ? "leaving" : alive ? "alive" : "dead";
+        const char* state = responsive && item.last.leaving ? "leaving" : alive ? "alive" : "dead";
         all.push_back({{"vm", to_text(address)},
                        {"state", state},
-                       {"data_centre", fleet.is_near(item) ? view.data_centre.text : "other"},
+                       {"data_centre", fleet.is_local(item) ? view.data_centre.text : "other"},
                        {"revision", item.last.config_version},
-                       {"watches_store", heard && item.last.watches_store}});
+                       {"watches_store", responsive && item.last.watches_store}});
     }
     return all;
 }
@@ -41,24 +41,24 @@
     };
     std::map<service_id, group> groups;
     for (const auto& [id, row] : servers.rows()) {
-        if (!row.takes_work()) continue;
+        if (!row.accepts_requests()) continue;
         groups[row.record.service].load += row.load();
         groups[row.record.service].servers += 1;
     }
     json all = json::array();
     for (const auto& [id, row] : servers.rows()) {
         const group& totals = groups[row.record.service];
-        all.push_back(
-            {{"server", id.text},
-             {"service", row.record.service.text},
-             {"gate", row.record.data_centre.text},
-             {"running", row.in_flight},
-             {"limit", row.record.slots},
-             {"load", row.load()},
-             {"bound", load_bound_multiple},
-             {"mean_load", totals.servers > 0 ? totals.load / totals.servers : 0},
-             {"draining", !row.takes_work()},
-             {"accepting", row.takes_work() && row.health.usable(now) && !row.unresponsive(now)}});
+        all.push_back({{"server", id.text},
+                       {"service", row.record.service.text},
+                       {"gate", row.record.data_centre.text},
+                       {"running", row.in_flight},
+                       {"limit", row.record.slots},
+                       {"load", row.load()},
+                       {"bound", load_bound_multiple},
+                       {"mean_load", totals.servers > 0 ? totals.load / totals.servers : 0},
+                       {"draining", !row.accepts_requests()},
+                       {"accepting", row.accepts_requests() && row.health.usable(now) &&
+                                         !row.unresponsive(now)}});
     }
     return all;
 }
--- a/src/server_entry.h
+++ b/src/server_entry.h
@@ -42,14 +42,14 @@
     server_health health;
     region_id region;       ///< of its data centre; empty: unknown
     bool evacuated = false; ///< its data centre is being evacuated
-    cold_gate cold;
+    cold_request_limiter cold;
     bool gone = false;       ///< no longer in the registry; kept until no attempt is in flight
     bool replaced = false;   ///< another server answered at its address
     bool leaving = false;    ///< a response to this VM or another said that it will stop
     instant backoff_until{}; ///< backing off until then; the epoch: never
 
-    instant heard_at{};        ///< when the last byte of a response arrived
-    instant in_flight_since{}; ///< since then at least one attempt has been in flight
+    instant last_received_at{}; ///< when the last byte of a response arrived
+    instant in_flight_since{};  ///< since then at least one attempt has been in flight
 
     /** Recent delay from sending a request to its first event; decays with time. */
     first_event_delay first_delay;
@@ -57,8 +57,8 @@
     recent_outcomes outcomes;
     outcome_sum unreported_outcomes; ///< this VM's results not yet reported to others
     bool failing = false;            ///< compared to the engines of its service, see `mark_failing`
-    cold_gate trial;   ///< while it is failing: when this VM may send it a trial request
-    bool slow = false; ///< compared to the engines of its service, see `mark_slow`
+    cold_request_limiter trial; ///< while it is failing: when this VM may send it a trial request
+    bool slow = false;          ///< compared to the engines of its service, see `mark_slow`
 
     /** After this time without a byte while attempts are in flight, the server is unresponsive:
      * it may be unreachable, which open connections do not show. New requests go elsewhere until it
@@ -70,7 +70,7 @@
     [[nodiscard]] bool unresponsive(instant now) const
     {
         return this->in_flight > 0 &&
-               now - std::max(this->heard_at, this->in_flight_since) > unresponsive_after;
+               now - std::max(this->last_received_at, this->in_flight_since) > unresponsive_after;
     }
     /** Requests of all VMs at the server. Uses the server's own report if it is recent: it counts
      * the requests of all VMs and is passed on directly within a data centre. The sums of the other
@@ -101,7 +101,7 @@
     /** Whether the row may be removed. */
     [[nodiscard]] bool is_removable() const { return this->gone && this->in_flight == 0; }
     /** Whether the server may get new requests, as far as its lifecycle goes. */
-    [[nodiscard]] bool takes_work() const
+    [[nodiscard]] bool accepts_requests() const
     {
         return !this->gone && !this->replaced && !this->leaving && !this->record.draining &&
                !this->evacuated;
--- a/src/server_notices.h
+++ b/src/server_notices.h
@@ -27,17 +27,17 @@
      * generated before the one that does. Returns whether this is new. */
     bool note_leaving(server_incarnation server)
     {
-        if (!this->leaving_lives.insert(server).second) return false;
+        if (!this->leaving_incarnations.insert(server).second) return false;
         this->insertion_order.push_back(server);
         if (this->insertion_order.size() > max_leaving_incarnations) {
-            this->leaving_lives.erase(this->insertion_order.front());
+            this->leaving_incarnations.erase(this->insertion_order.front());
             this->insertion_order.pop_front();
         }
         return true;
     }
     [[nodiscard]] bool leaving(server_incarnation server) const
     {
-        return this->leaving_lives.contains(server);
+        return this->leaving_incarnations.contains(server);
     }
 
     /** The server is backing off: this VM sends it nothing before \p until. */
@@ -59,8 +59,8 @@
     }
 
 private:
-    std::unordered_set<server_incarnation> leaving_lives;
-    std::deque<server_incarnation> insertion_order; ///< of `leaving_lives`, the oldest first
+    std::unordered_set<server_incarnation> leaving_incarnations;
+    std::deque<server_incarnation> insertion_order; ///< of `leaving_incarnations`, the oldest first
     std::unordered_map<server_incarnation, instant> backoffs; ///< ends of the back-off periods
 };
 
--- a/src/server_registry.cpp
+++ b/src/server_registry.cpp
@@ -11,10 +11,10 @@
 
 namespace worksshift {
 
-update_origin origin_of(const registry_update& update, std::uint64_t revision, instant asked_at)
+update_origin origin_of(const registry_update& update, std::uint64_t revision, instant requested_at)
 {
     if (update.oldest_known_revision > revision) return store_origin{};
-    return peer_origin{update.kept, asked_at};
+    return peer_origin{update.kept, requested_at};
 }
 
 void server_registry::apply_list(std::span<const stored_object> all, const update_origin& origin,
@@ -70,7 +70,7 @@
                     if (found == vm.kept.end() || found->name != id.text) {
                         entry.has_left = true;
                     } else {
-                        entry.since = vm.asked_at - milliseconds(found->missing_ms);
+                        entry.since = vm.requested_at - milliseconds(found->missing_ms);
                     }
                 }},
         origin);
--- a/src/server_registry.h
+++ b/src/server_registry.h
@@ -33,14 +33,15 @@
 /** The update came from another VM. */
 struct peer_origin {
     std::span<const retained_server> kept; ///< missing servers it still uses, by name
-    instant asked_at{};
+    instant requested_at{};
 };
 using update_origin = std::variant<store_origin, peer_origin>;
 
 /** Origin of an update that another VM sent. If that VM's first list is newer than \p revision, it
  * may never have known the servers that are known here, so its update says no more about missing
  * servers than a list of the store. */
-update_origin origin_of(const registry_update& update, std::uint64_t revision, instant asked_at);
+update_origin origin_of(const registry_update& update, std::uint64_t revision,
+                        instant requested_at);
 
 class server_registry {
 public:
--- a/src/server_table.cpp
+++ b/src/server_table.cpp
@@ -43,7 +43,7 @@
  * by this factor. */
 constexpr double failing_rate_multiple = 1.5;
 /** In each data centre a failing engine gets one trial request every two seconds. */
-const cold_bound trial_bound(0.5, {1, 1});
+const cold_request_limit trial_bound(0.5, {1, 1});
 
 duration decay_time_of(const service_traits& traits)
 {
@@ -151,7 +151,7 @@
                                       instant now)
 {
     if (!group.traits.has_cold_limit()) return;
-    const cold_bound bound(group.traits.cold_requests_per_s.value_or(0), this->cold);
+    const cold_request_limit bound(group.traits.cold_requests_per_s.value_or(0), this->cold);
     for (server_entry* row : group.rows) {
         if (!row->cold.cold(now)) continue;
         const cold_share share =
@@ -177,7 +177,7 @@
 
 bool server_table::may_serve(const server_entry& row, const placement_request& wanted)
 {
-    return row.takes_work() && is_allowed(row, wanted) &&
+    return row.accepts_requests() && is_allowed(row, wanted) &&
            std::ranges::find(wanted.tried, row.record.id) == wanted.tried.end();
 }
 
@@ -188,7 +188,7 @@
     std::optional<instant> first;
     for (const server_entry* row : group->second.rows) {
         // Servers already tried count: the caller's later retry may be sent to them again.
-        if (!row->takes_work() || !is_allowed(*row, wanted)) continue;
+        if (!row->accepts_requests() || !is_allowed(*row, wanted)) continue;
         if (this->is_open(group->second, *row, now)) continue;
         const bool cold = group->second.traits.has_cold_limit() && !row->cold.open(now);
         const instant at = std::max(row->backoff_until, cold ? row->cold.opens_at() : instant{});
@@ -232,7 +232,7 @@
     if (region != this->regions.end()) row.region = region->second;
     this->update_cold(row, restarted, now);
     this->by_short_hash[static_cast<std::uint32_t>(row.hash)] = &row;
-    this->by_life[row.incarnation] = &row;
+    this->by_incarnation[row.incarnation] = &row;
     row.gone = false;
     return changed;
 }
@@ -242,7 +242,7 @@
     row.gone = true;
     std::erase(this->services[row.record.service].rows, &row);
     this->by_short_hash.erase(static_cast<std::uint32_t>(row.hash));
-    this->by_life.erase(row.incarnation);
+    this->by_incarnation.erase(row.incarnation);
     this->retired.push_back(this->table.extract(row.record.id));
 }
 
@@ -267,8 +267,8 @@
 
 server_entry* server_table::find(server_incarnation incarnation)
 {
-    const auto found = this->by_life.find(incarnation);
-    return found == this->by_life.end() ? nullptr : found->second;
+    const auto found = this->by_incarnation.find(incarnation);
+    return found == this->by_incarnation.end() ? nullptr : found->second;
 }
 
 bool server_table::mark_leaving(server_entry& row)
@@ -291,13 +291,13 @@
 
 std::vector<std::uint32_t> server_table::leaving_but_listed(std::size_t count) const
 {
-    std::vector<std::uint32_t> lives;
+    std::vector<std::uint32_t> incarnations;
     for (const auto& [id, row] : this->table) {
-        if (lives.size() >= count) break;
+        if (incarnations.size() >= count) break;
         if (!row.leaving || row.gone || row.record.draining) continue;
-        lives.push_back(static_cast<std::uint32_t>(row.incarnation));
+        incarnations.push_back(static_cast<std::uint32_t>(row.incarnation));
     }
-    return lives;
+    return incarnations;
 }
 
 void server_table::sweep(instant now)
@@ -308,7 +308,8 @@
     }
     std::erase_if(this->by_short_hash,
                   [](const auto& entry) { return entry.second->is_removable(); });
-    std::erase_if(this->by_life, [](const auto& entry) { return entry.second->is_removable(); });
+    std::erase_if(this->by_incarnation,
+                  [](const auto& entry) { return entry.second->is_removable(); });
     std::erase_if(this->table, [](const auto& entry) { return entry.second.is_removable(); });
     std::erase_if(this->retired, [](const auto& node) { return node.mapped().is_removable(); });
 }
@@ -325,18 +326,19 @@
         group.sum = {};
         group.sum.span_s = as_seconds(group.forecast.span());
         for (const server_entry* row : group.rows) {
-            if (!row->takes_work() || !row->health.usable(now) || row->unresponsive(now)) continue;
+            if (!row->accepts_requests() || !row->health.usable(now) || row->unresponsive(now))
+                continue;
             if (row->failing || row->backing_off(now)) continue;
             if (group.traits.has_cold_limit() && row->cold.cold(now)) continue;
             ++group.sum.engines;
             group.sum.slots += row->record.slots;
             group.sum.requests += row->load();
             if (!row->report_is_fresh) continue;
-            ++group.sum.reported_requests;
+            ++group.sum.reporting_engines;
             group.sum.age_s += as_seconds(now - row->load_reported_at);
         }
-        if (group.sum.reported_requests > 0)
-            group.sum.age_s /= static_cast<double>(group.sum.reported_requests);
+        if (group.sum.reporting_engines > 0)
+            group.sum.age_s /= static_cast<double>(group.sum.reporting_engines);
     }
 }
 
@@ -353,11 +355,11 @@
     return found;
 }
 
-void server_table::apply_reported_load(const reported_load& item, instant heard_at)
+void server_table::apply_reported_load(const reported_load& item, instant last_received_at)
 {
     const auto found = this->by_short_hash.find(item.server);
     if (found == this->by_short_hash.end()) return;
-    const instant load_reported_at = heard_at - item.age * reported_age_unit;
+    const instant load_reported_at = last_received_at - item.age * reported_age_unit;
     // An older report may come from the previous incarnation of the server.
     if (load_reported_at < found->second->listed_at) return;
     found->second->state(item.requests, load_reported_at);
@@ -523,16 +525,16 @@
     return std::chrono::duration_cast<duration>(group.objective * this->policy.wait_of_objective);
 }
 
-/** Whether a slot becomes free within the wait limit. \p near: the engine is among the
+/** Whether a slot becomes free within the wait limit. \p high_ranked: the engine is among the
  * highest-ranked for the prompt; others must have a share of their slots free. \p spread: random
  * offset of this request, in requests, so that the VMs do not all switch engines at the same load.
  */
-bool server_table::has_slot(const service_state& group, const server_entry& row, bool near,
+bool server_table::has_slot(const service_state& group, const server_entry& row, bool high_ranked,
                             double spread) const
 {
     const duration limit = this->wait_limit(group);
     if (limit == duration::max()) return true;
-    if (near) return group.forecast.wait(row.load() + spread, row.record.slots) <= limit;
+    if (high_ranked) return group.forecast.wait(row.load() + spread, row.record.slots) <= limit;
     return row.load() + 1 + std::abs(spread) <= this->policy.free_share * row.record.slots;
 }
 
@@ -621,13 +623,13 @@
         wanted.affinity == 0
             ? rows.size()
             : std::max(static_cast<std::size_t>(this->policy.ranks_to_wait_at), wanted.engines);
-    const std::uint64_t near = weight_at(weights, ranks);
+    const std::uint64_t high_ranked = weight_at(weights, ranks);
     std::uniform_real_distribution<double> spreads(-1, 1);
     const double spread = spreads(this->random) * this->policy.load_spread;
     const auto grade = [&](std::size_t at) {
         const server_entry& row = *rows[at];
-        const bool open =
-            row.load() + 1 <= bound && this->has_slot(group, row, weights[at] >= near, spread);
+        const bool open = row.load() + 1 <= bound &&
+                          this->has_slot(group, row, weights[at] >= high_ranked, spread);
         const bool to_try = open && row.failing && wanted.repeatable;
         return std::tuple(open, to_try, open && !row.slow, weights[at]);
     };
--- a/src/server_table.h
+++ b/src/server_table.h
@@ -73,9 +73,9 @@
     std::size_t engines = 0;
     double slots = 0;
     double requests = 0;
-    double span_s = 0;      ///< mean time for which a request occupies a slot
-    std::size_t stated = 0; ///< engines with a current load report of their own
-    double age_s = 0;       ///< mean age of these reports
+    double span_s = 0;                 ///< mean time for which a request occupies a slot
+    std::size_t reporting_engines = 0; ///< engines with a current load report of their own
+    double age_s = 0;                  ///< mean age of these reports
 };
 
 /** The servers that this VM knows, by id, with their load and health. */
@@ -153,7 +153,7 @@
     /** Servers near their load bound, which are reported to other VMs first. */
     [[nodiscard]] std::vector<const server_entry*> busy() const;
     /** Applies the load of a server that another VM received from it. */
-    void apply_reported_load(const reported_load& item, instant heard_at);
+    void apply_reported_load(const reported_load& item, instant last_received_at);
     /** Returns the loads that servers reported to this VM since the last call, the newest first. */
     std::vector<reported_load> drain_reported_loads(instant now);
     /** An attempt at a server ended. \p failed: without a usable response. */
@@ -221,8 +221,8 @@
         }
     };
 
-    [[nodiscard]] bool has_slot(const service_state& group, const server_entry& row, bool near,
-                                double spread) const;
+    [[nodiscard]] bool has_slot(const service_state& group, const server_entry& row,
+                                bool high_ranked, double spread) const;
     [[nodiscard]] bool is_engine(const server_entry& row) const;
     [[nodiscard]] double load_bound_of(const service_state& group, double mean) const;
     [[nodiscard]] duration wait_limit(const service_state& group) const;
@@ -237,7 +237,7 @@
 
     std::unordered_map<service_id, service_state> services;
     std::unordered_map<std::uint32_t, server_entry*> by_short_hash;
-    std::unordered_map<server_incarnation, server_entry*> by_life;
+    std::unordered_map<server_incarnation, server_entry*> by_incarnation;
     server_notices words;
     std::minstd_rand random;
 };
--- a/src/store_outage.cpp
+++ b/src/store_outage.cpp
@@ -11,7 +11,8 @@
 {
     // A call made before the store's return failed in the outage that is already over.
     const instant last_return = std::max(this->back, elsewhere.recovered_at);
-    const bool new_failure = failing && failing != this->failing && failing->asked_at > last_return;
+    const bool new_failure =
+        failing && failing != this->failing && failing->requested_at > last_return;
     if (new_failure) {
         this->failure_noticed_at = failing->failed_at;
         this->was_cut_off = false;
--- a/src/store_outage.h
+++ b/src/store_outage.h
@@ -41,7 +41,7 @@
 
 /** A VM's first failed call to the store since the last answered one, or since its start. */
 struct failed_call {
-    instant asked_at{};
+    instant requested_at{};
     instant failed_at{};
 
     bool operator==(const failed_call&) const = default;
--- a/src/store_watch.cpp
+++ b/src/store_watch.cpp
@@ -73,7 +73,7 @@
     }
     this->call.number = ++this->calls;
     this->awaiting = true;
-    this->asked_at = now;
+    this->requested_at = now;
     return this->call;
 }
 
@@ -142,7 +142,7 @@
 
 void store_watch::apply_changes(const object_page& page, instant now)
 {
-    const bool early = now - this->asked_at < std::get<watch_read>(this->call.what).wait / 2;
+    const bool early = now - this->requested_at < std::get<watch_read>(this->call.what).wait / 2;
     this->wait_until(early ? now + this->pace().batch_delay : now);
     // A response that is no newer than the known revision holds nothing new.
     if (page.revision <= this->revision) return;
@@ -180,7 +180,7 @@
 void store_watch::handle_failure(std::uint64_t number, std::string_view reason, instant now)
 {
     if (!this->answers(number)) return;
-    if (!this->failing) this->failing = failed_call{this->asked_at, now};
+    if (!this->failing) this->failing = failed_call{this->requested_at, now};
     if (std::exchange(this->answering, false)) {
         log_event(log_level::warn, "store_lost",
                   {{"kind", name_of(this->watched_kind)},
--- a/src/store_watch.h
+++ b/src/store_watch.h
@@ -155,7 +155,7 @@
     std::uint64_t calls = 0; ///< number of the newest call
     store_read call;         ///< the newest
     bool awaiting = false;
-    instant asked_at{};
+    instant requested_at{};
     instant due_at{};
     instant listed_at{}; ///< when the last list was completed
     std::minstd_rand random;
--- a/src/watcher_selection.cpp
+++ b/src/watcher_selection.cpp
@@ -34,16 +34,16 @@
 
 void watcher_selection::update_standby(const fleet_table& fleet, instant now)
 {
-    const auto recently_heard = [now](const fleet_vm& item) {
+    const auto is_recent = [now](const fleet_vm& item) {
         const duration span = milliseconds(item.last.period_ms) * max_missed_periods;
-        return now - item.heard_at < std::max<duration>(min_watcher_timeout, span);
+        return now - item.last_received_at < std::max<duration>(min_watcher_timeout, span);
     };
-    std::vector<const fleet_vm*> preceding = fleet.near(now);
+    std::vector<const fleet_vm*> preceding = fleet.local_vms(now);
     const bool one_group = preceding.size() + 1 >= fleet.alive(now);
     const std::size_t wanted =
         one_group ? standby_watchers_per_fleet : standby_watchers_per_data_centre;
     std::erase_if(preceding, [&](const fleet_vm* item) {
-        return item->last.leaving || !recently_heard(*item) ||
+        return item->last.leaving || !is_recent(*item) ||
                item->last.incarnation >= fleet.self().incarnation;
     });
     const auto watching = static_cast<std::size_t>(std::ranges::count_if(
--- a/test/correctness/admission_refuses_what_cannot_begin.cpp
+++ b/test/correctness/admission_refuses_what_cannot_begin.cpp
@@ -189,7 +189,7 @@
         CPPUNIT_ASSERT_EQUAL(std::size_t{1}, engines_used(9));
     }
 
-    /** Guards against ignoring a load that an engine stated, using an older one, or keeping it
+    /** Guards against ignoring a load that an engine reported, using an older one, or keeping it
      * after it expired. */
     void stated_load_goes_before_sums()
     {
--- a/test/correctness/cold_servers_are_spared.cpp
+++ b/test/correctness/cold_servers_are_spared.cpp
@@ -91,7 +91,7 @@
 private:
     static constexpr std::size_t servers = 2;
     struct vm_gates {
-        std::array<cold_gate, 2> servers;
+        std::array<cold_request_limiter, 2> servers;
         instant shared_at{};
     };
 
@@ -101,7 +101,7 @@
         vm_gates& own = this->gates[vm];
         if (this->fleet.now - own.shared_at >= milliseconds(100)) this->share(vm, own);
         for (std::size_t server = 0; server < servers; ++server) {
-            cold_gate& gate = own.servers[server];
+            cold_request_limiter& gate = own.servers[server];
             if (!gate.open(this->fleet.now)) continue;
             gate.on_sent(this->fleet.now);
             this->arrive(server);
@@ -118,7 +118,7 @@
         for (std::uint32_t place = 1; place <= this->data_centres; ++place)
             members.add(place);
         for (std::size_t server = 0; server < servers; ++server) {
-            cold_gate& gate = own.servers[server];
+            cold_request_limiter& gate = own.servers[server];
             gate.extend(now + seconds(1));
             gate.set_share(
                 compute_cold_share({rate, tolerance}, server * 7919 + 1, members, this->senders),
@@ -184,7 +184,7 @@
         made.data_centre = 1;
         made.data_centres = {1};
         for (std::uint32_t vm = 1; vm <= count; ++vm)
-            made.near.push_back(vm);
+            made.local_vms.push_back(vm);
         made.complete = true;
         return made;
     }
@@ -336,20 +336,20 @@
     static void few_senders_are_chosen()
     {
         fleet_members members = known_vms(65);
-        std::map<std::uint32_t, std::size_t> duties;
+        std::map<std::uint32_t, std::size_t> watches_by_vm;
         constexpr std::size_t servers = 100;
         for (std::uint64_t server = 1; server <= servers; ++server) {
             std::size_t count = 0;
             for (members.self = 1; members.self <= 65; ++members.self) {
                 if (!compute_cold_share({rate, tolerance}, server, members, senders).pause)
                     continue;
-                ++duties[members.self];
+                ++watches_by_vm[members.self];
                 ++count;
             }
             CPPUNIT_ASSERT_EQUAL(static_cast<std::size_t>(bound * senders), count);
         }
-        CPPUNIT_ASSERT_EQUAL(std::size_t{65}, duties.size());
-        for (const auto& [vm, count] : duties)
+        CPPUNIT_ASSERT_EQUAL(std::size_t{65}, watches_by_vm.size());
+        for (const auto& [vm, count] : watches_by_vm)
             CPPUNIT_ASSERT(count < servers / 2);
     }
 
@@ -373,7 +373,7 @@
         CPPUNIT_ASSERT_EQUAL(std::size_t{0}, this->chosen("a"));
         this->table->update_cold_shares(known_vms(1), this->now);
         this->now += milliseconds(100);
-        row.heard_at = this->now;
+        row.last_received_at = this->now;
         CPPUNIT_ASSERT(this->chosen("a") > 0);
         row.cold.on_sent(this->now);
         CPPUNIT_ASSERT_EQUAL(std::size_t{0}, this->chosen("a"));
--- a/test/correctness/evacuated_servers_get_nothing.cpp
+++ b/test/correctness/evacuated_servers_get_nothing.cpp
@@ -70,8 +70,8 @@
         fleet->store->put("evacuations", "here", "{}");
         wait(*fleet, seconds(2));
         CPPUNIT_ASSERT_EQUAL(std::size_t{0}, asked(*fleet, 0));
-        const std::string told = "worksshift_evacuated{data_centre=\"here\"} 1";
-        CPPUNIT_ASSERT(fleet->metrics(3).find(told) != std::string::npos);
+        const std::string line = "worksshift_evacuated{data_centre=\"here\"} 1";
+        CPPUNIT_ASSERT(fleet->metrics(3).find(line) != std::string::npos);
         // A router that starts while the store does not answer learns the state from the others.
         fleet->store->fault = fakes::store_fault::busy;
         fleet->store->lose_waiting();
--- a/test/correctness/failing_engines_are_left.cpp
+++ b/test/correctness/failing_engines_are_left.cpp
@@ -24,7 +24,7 @@
 const service_id llm{"llm"};
 constexpr duration step = milliseconds(25);
 constexpr duration answer_takes = milliseconds(300);
-constexpr duration told_every = milliseconds(500);
+constexpr duration report_interval = milliseconds(500);
 constexpr duration marked_every = milliseconds(100);
 
 /** The VMs of one data centre; the other data centres behave alike and are not simulated. */
@@ -44,7 +44,7 @@
             this->tables.push_back(std::move(table));
         }
         for (std::uint32_t vm = 1; vm <= vms; ++vm)
-            this->members.near.push_back(vm);
+            this->members.local_vms.push_back(vm);
         this->members.data_centre = 1;
         this->members.data_centres = {1};
         this->members.complete = true;
@@ -108,7 +108,7 @@
         wanted.repeatable = this->random() % 3 == 0;
         server_entry& row = *table.choose(wanted, this->now).row;
         row.trial.on_sent(this->now);
-        row.heard_at = this->now;
+        row.last_received_at = this->now;
         const auto faulty = this->failing.find(std::stoul(row.record.id.text));
         const double share = faulty == this->failing.end() ? usual_failures : faulty->second;
         if (std::uniform_real_distribution<>()(this->random) < share) {
@@ -132,13 +132,13 @@
 
     void exchange()
     {
-        if (this->now >= this->next_told) {
-            this->next_told = this->now + told_every;
+        if (this->now >= this->next_report) {
+            this->next_report = this->now + report_interval;
             for (const auto& from : this->tables) {
-                const std::vector<outcome_counts> news = from->drain_outcomes();
+                const std::vector<outcome_counts> reports = from->drain_outcomes();
                 for (const auto& to : this->tables) {
                     if (from == to) continue;
-                    for (const outcome_counts& item : news)
+                    for (const outcome_counts& item : reports)
                         to->apply_outcomes(item, this->now);
                 }
             }
@@ -158,7 +158,7 @@
     std::vector<std::unique_ptr<server_table>> tables;
     fleet_members members;
     std::vector<attempt> attempts;
-    instant next_told{};
+    instant next_report{};
     instant next_marked{};
     std::size_t failed = 0;
 };
--- a/test/error/cold_times_that_mean_nothing.cpp
+++ b/test/error/cold_times_that_mean_nothing.cpp
@@ -20,20 +20,20 @@
 
     protocol adapter = platform_protocol();
 
-    milliseconds cold_remaining(const std::string& told) const
+    milliseconds cold_remaining(const std::string& members) const
     {
         stored_object entry;
         entry.name = "a";
         entry.document = R"({"service":"desk","address":"127.0.0.1:1","zone":"dc","version":"v1",)"
                          R"("slots":4,"state":"ready","sequence":1,"coldRemainingMs":)" +
-                         told + "}";
+                         members + "}";
         return this->adapter.decode_server(entry).cold_remaining;
     }
 
-    service_traits traits(const std::string& told) const
+    service_traits traits(const std::string& members) const
     {
         const auto config = this->adapter.decode_config(
-            R"({"version":1,"routes":[],"services":[{"name":"desk")" + told + "}]}");
+            R"({"version":1,"routes":[],"services":[{"name":"desk")" + members + "}]}");
         return config->services.at({"desk"});
     }
 
@@ -62,9 +62,9 @@
         CPPUNIT_ASSERT(this->traits(R"(,"coldStartS":-4)").cold_start == milliseconds(0));
         CPPUNIT_ASSERT(this->traits(R"(,"coldStartS":1e12)").cold_start == seconds(60));
         for (const std::string other : {"null", "\"13\"", "[]", "{}"}) {
-            std::string told = R"(,"coldStartS":)";
-            told.append(other).append(R"(,"coldPerS":)").append(other);
-            const service_traits made = this->traits(told);
+            std::string members = R"(,"coldStartS":)";
+            members.append(other).append(R"(,"coldPerS":)").append(other);
+            const service_traits made = this->traits(members);
             CPPUNIT_ASSERT(made.cold_start == milliseconds(0));
             CPPUNIT_ASSERT(!made.cold_requests_per_s);
         }
--- a/test/error/configurations_that_come_late.cpp
+++ b/test/error/configurations_that_come_late.cpp
@@ -25,7 +25,7 @@
           ticker(base, [this] { this->tick(); })
     {
         this->gossip.on_digest.connect(
-            [this](const fleet_vm& from) { this->follower.take_digest(from); });
+            [this](const fleet_vm& from) { this->follower.handle_digest(from); });
         evhttp_set_gencb(
             this->http.get(),
             [](evhttp_request* request, void* self) { static_cast<vm*>(self)->serve(request); },
--- a/test/error/forged_headers.cpp
+++ b/test/error/forged_headers.cpp
@@ -188,7 +188,7 @@
     {
         this->add_plain("a", "desk");
         this->ask(forged_request("/safe/x", "1"));
-        const std::string text = this->rig->numbers.text();
+        const std::string text = this->rig->telemetry.text();
         for (const std::string name : reserved) {
             const std::string line = "worksshift_ignored_headers_total{header=\"" + name + "\"} 2";
             CPPUNIT_ASSERT_MESSAGE(line, text.find(line) != std::string::npos);
--- a/test/error/registry_entries_by_others.cpp
+++ b/test/error/registry_entries_by_others.cpp
@@ -163,7 +163,7 @@
         registry.sweep(now + seconds(12), now);
         CPPUNIT_ASSERT(table.find(server_id{"a"})->gone);
         registry.apply_change(entry("a", valid_document), from_watch, now + seconds(13));
-        CPPUNIT_ASSERT(table.find(server_id{"a"})->takes_work());
+        CPPUNIT_ASSERT(table.find(server_id{"a"})->accepts_requests());
     }
 
     void page_with_one_unsound_entry_keeps_the_others()
--- a/test/error/servers_that_leave_or_ask_for_rest.cpp
+++ b/test/error/servers_that_leave_or_ask_for_rest.cpp
@@ -244,8 +244,8 @@
         const std::string answer = this->ask();
         CPPUNIT_ASSERT(std::chrono::steady_clock::now() - begin < milliseconds(200));
         CPPUNIT_ASSERT_EQUAL(503, status_of(answer));
-        const double told = std::stod(header_in(answer, "retry-after"));
-        CPPUNIT_ASSERT(told > 0.6 && told <= 1.1);
+        const double retry_after = std::stod(header_in(answer, "retry-after"));
+        CPPUNIT_ASSERT(retry_after > 0.6 && retry_after <= 1.1);
         CPPUNIT_ASSERT_EQUAL(before, this->asked(0));
     }
 
--- a/test/error/servers_that_leave_or_lapse.cpp
+++ b/test/error/servers_that_leave_or_lapse.cpp
@@ -66,8 +66,8 @@
     std::size_t usable() const
     {
         const auto& rows = this->table->rows();
-        return static_cast<std::size_t>(
-            std::ranges::count_if(rows, [](const auto& row) { return row.second.takes_work(); }));
+        return static_cast<std::size_t>(std::ranges::count_if(
+            rows, [](const auto& row) { return row.second.accepts_requests(); }));
     }
 
 public:
@@ -138,11 +138,11 @@
     /** Guards against giving new work to a server that announced that it drains. */
     void drains()
     {
-        std::vector<server_id> told;
-        this->registry->on_leaving.connect([&](const server_id& id) { told.push_back(id); });
+        std::vector<server_id> reported;
+        this->registry->on_leaving.connect([&](const server_id& id) { reported.push_back(id); });
         this->registry->apply_change(entry("a", "draining"), from_watch, this->start + seconds(1));
         CPPUNIT_ASSERT_EQUAL(std::size_t{3}, this->usable());
-        CPPUNIT_ASSERT_EQUAL(std::size_t{1}, told.size());
+        CPPUNIT_ASSERT_EQUAL(std::size_t{1}, reported.size());
     }
 
     /** Guards against servers that drained and then left counting as expired entries, which would
@@ -208,8 +208,8 @@
         copy.take({10, true, all});
         copy.take({12, false, {entry("b", "ready", 12)}});
         source.take({14, false, {removal("b", 13), entry("a", "draining", 14)}});
-        const registry_update news = copy.take(source.since(12)).value_or(registry_update{});
-        CPPUNIT_ASSERT_EQUAL(std::size_t{2}, news.objects.size());
+        const registry_update changes = copy.take(source.since(12)).value_or(registry_update{});
+        CPPUNIT_ASSERT_EQUAL(std::size_t{2}, changes.objects.size());
         CPPUNIT_ASSERT_EQUAL(std::size_t{1}, copy.since(0).objects.size());
     }
 
@@ -240,10 +240,10 @@
     {
         registry_update update{10, true, {}};
         update.kept = {{"a", 700}};
-        const registry_update told = decode_registry_update(encode(update), "peer");
-        CPPUNIT_ASSERT_EQUAL(std::size_t{1}, told.kept.size());
-        CPPUNIT_ASSERT_EQUAL(std::string("a"), told.kept.front().name);
-        CPPUNIT_ASSERT_EQUAL(std::uint32_t{700}, told.kept.front().missing_ms);
+        const registry_update reported = decode_registry_update(encode(update), "peer");
+        CPPUNIT_ASSERT_EQUAL(std::size_t{1}, reported.kept.size());
+        CPPUNIT_ASSERT_EQUAL(std::string("a"), reported.kept.front().name);
+        CPPUNIT_ASSERT_EQUAL(std::uint32_t{700}, reported.kept.front().missing_ms);
     }
 
     /** Guards against a partial response to a VM that lacks more changes than the feed holds. */
@@ -264,7 +264,7 @@
     static void feed_passes_over_what_is_older()
     {
         registry_feed feed;
-        const auto news_of = [&feed](const registry_update& update) {
+        const auto changes_of = [&feed](const registry_update& update) {
             return feed.take(update).value_or(registry_update{}).objects;
         };
         feed.take({10, true, {entry("a", "ready", 5)}});
@@ -272,12 +272,13 @@
         CPPUNIT_ASSERT(!feed.take({12, false, {entry("a", "ready", 12)}}));
         CPPUNIT_ASSERT(!feed.take({10, true, {entry("a", "ready", 5)}}));
         // The update is newer than the feed, but its entry for `a` is not.
-        const auto news = news_of({21, false, {entry("a", "ready", 12), entry("c", "ready", 21)}});
-        CPPUNIT_ASSERT_EQUAL(std::size_t{1}, news.size());
-        CPPUNIT_ASSERT_EQUAL(std::string("c"), news.front().name);
+        const auto changes =
+            changes_of({21, false, {entry("a", "ready", 12), entry("c", "ready", 21)}});
+        CPPUNIT_ASSERT_EQUAL(std::size_t{1}, changes.size());
+        CPPUNIT_ASSERT_EQUAL(std::string("c"), changes.front().name);
         // The removal precedes the newest write of the entry.
-        CPPUNIT_ASSERT(news_of({22, false, {removal("b", 17)}}).empty());
-        CPPUNIT_ASSERT_EQUAL(std::size_t{1}, news_of({23, false, {removal("b", 23)}}).size());
+        CPPUNIT_ASSERT(changes_of({22, false, {removal("b", 17)}}).empty());
+        CPPUNIT_ASSERT_EQUAL(std::size_t{1}, changes_of({23, false, {removal("b", 23)}}).size());
         CPPUNIT_ASSERT_EQUAL(std::size_t{2}, feed.since(0).objects.size());
     }
 
--- a/test/error/servers_that_start_again.cpp
+++ b/test/error/servers_that_start_again.cpp
@@ -88,7 +88,7 @@
         CPPUNIT_ASSERT_EQUAL(std::uint32_t{0}, this->row().load());
         CPPUNIT_ASSERT(this->row().health.usable(now));
         CPPUNIT_ASSERT(!this->row().first_delay.known());
-        CPPUNIT_ASSERT(this->row().takes_work());
+        CPPUNIT_ASSERT(this->row().accepts_requests());
     }
 
     /** An attempt that ends after the restart is counted for the previous incarnation. */
@@ -124,7 +124,7 @@
         this->start_again();
         this->registry->apply_change(entry("a", first_born, "draining"), live_change,
                                      this->start + seconds(61));
-        CPPUNIT_ASSERT(this->row().takes_work());
+        CPPUNIT_ASSERT(this->row().accepts_requests());
     }
 
     /** A late removal of the previous incarnation is ignored. */
@@ -135,7 +135,7 @@
         removal.removed = true;
         this->registry->apply_change(removal, live_change, this->start + seconds(61));
         this->registry->sweep(this->start + seconds(70), this->start);
-        CPPUNIT_ASSERT(this->table->find(this->id) != nullptr && this->row().takes_work());
+        CPPUNIT_ASSERT(this->table->find(this->id) != nullptr && this->row().accepts_requests());
     }
 
     /** Answers of the new incarnation to other requests must not be taken as a sign that a request
--- a/test/fuzz/crash_reports_reach_every_vm.cpp
+++ b/test/fuzz/crash_reports_reach_every_vm.cpp
@@ -34,12 +34,12 @@
             crash_suspects& known = this->known[vm];
             known.forget(this->fleet.now);
             known.describe(state.digest, this->fleet.now);
-            state.distant_crash_reports = known.reports_to_distant();
+            state.remote_crash_reports = known.reports_to_remote_vms();
         };
         this->fleet.on_digest = [this](std::size_t vm, const fleet_vm& from) {
             fleet_rounds& rounds = this->fleet.vms.at(vm).rounds;
-            const bool near = rounds.fleet().is_near(from);
-            if (!this->known[vm].take_digest(from.last, near, this->fleet.now)) return;
+            const bool local = rounds.fleet().is_local(from);
+            if (!this->known[vm].handle_digest(from.last, local, this->fleet.now)) return;
             if (this->fleet.now - this->hastened_at[vm] < milliseconds(500)) return;
             this->hastened_at[vm] = this->fleet.now;
             this->known[vm].take_urgent();
@@ -272,14 +272,14 @@
     static void other_vms_nonsense()
     {
         crash_suspects known;
-        fleet_digest told;
+        fleet_digest digest;
         std::mt19937_64 random(7);
         const instant now{seconds(5000)};
         for (int i = 0; i < 20000; ++i) {
-            told.crash_reports = {{random(), static_cast<std::uint32_t>(random())}};
-            told.blocked = {{random(), static_cast<std::uint8_t>(random()), random() % 2 == 0,
-                             static_cast<std::uint16_t>(random())}};
-            known.take_digest(told, random() % 2 == 0, now);
+            digest.crash_reports = {{random(), static_cast<std::uint32_t>(random())}};
+            digest.blocked = {{random(), static_cast<std::uint8_t>(random()), random() % 2 == 0,
+                               static_cast<std::uint16_t>(random())}};
+            known.handle_digest(digest, random() % 2 == 0, now);
         }
         CPPUNIT_ASSERT(known.remembered() <= max_suspects);
         fleet_digest own;
--- a/test/fuzz/digests_reach_every_vm.cpp
+++ b/test/fuzz/digests_reach_every_vm.cpp
@@ -40,13 +40,13 @@
 std::size_t count_standby_watchers(const digest_fleet& fleet)
 {
     return static_cast<std::size_t>(std::ranges::count_if(
-        fleet.vms, [](const auto& entry) { return entry.second.duty.stands_by(); }));
+        fleet.vms, [](const auto& entry) { return entry.second.watch_role.stands_by(); }));
 }
 
 std::size_t linearizable(const digest_fleet& fleet)
 {
     return static_cast<std::size_t>(std::ranges::count_if(fleet.vms, [](const auto& entry) {
-        return entry.second.duty.mode() == read_mode::linearizable;
+        return entry.second.watch_role.mode() == read_mode::linearizable;
     }));
 }
 
@@ -133,7 +133,7 @@
         std::size_t left = 0;
         for (std::size_t centre = 0; centre < 4; ++centre) {
             for (auto& [vm, item] : fleet.vms) {
-                if (fleet.data_centre_of(vm) != centre || !item.duty.stands_by()) continue;
+                if (fleet.data_centre_of(vm) != centre || !item.watch_role.stands_by()) continue;
                 item.leaving = true;
                 item.rounds.send_early();
                 ++left;
@@ -156,18 +156,20 @@
         digest_fleet fleet(40, 4, 1);
         fleet.run(seconds(10));
         for (auto& [vm, item] : fleet.vms) {
-            if (item.duty.watching()) item.store_answers = false;
+            if (item.watch_role.watching()) item.store_answers = false;
         }
         // A leaving server must get no new requests 2 s later, so other VMs must take over sooner.
         const duration took = fleet.run_until(
             [&] {
                 return std::ranges::all_of(fleet.vms, [&](const auto& entry) {
-                    const auto near = entry.second.rounds.fleet().near(fleet.now);
-                    const bool told = std::ranges::any_of(near, [&](const fleet_vm* item) {
-                        return item->last.watches_store &&
-                               fleet.vms.at(digest_fleet::vm_at(item->address)).store_answers;
-                    });
-                    return told || (entry.second.duty.watching() && entry.second.store_answers);
+                    const auto local_vms = entry.second.rounds.fleet().local_vms(fleet.now);
+                    const bool is_reported =
+                        std::ranges::any_of(local_vms, [&](const fleet_vm* item) {
+                            return item->last.watches_store &&
+                                   fleet.vms.at(digest_fleet::vm_at(item->address)).store_answers;
+                        });
+                    return is_reported ||
+                           (entry.second.watch_role.watching() && entry.second.store_answers);
                 });
             },
             seconds(10));
@@ -190,9 +192,9 @@
         const std::vector<std::uint32_t> seeds{2, 3};
         rounds.add_seeds(seeds, now);
         rounds.add_seeds(seeds, now);
-        const auto told = recipients(rounds.next({}, now + seconds(1)));
-        CPPUNIT_ASSERT(std::ranges::find(told, 2U) != told.end());
-        CPPUNIT_ASSERT(std::ranges::find(told, 3U) != told.end());
+        const auto contacted = recipients(rounds.next({}, now + seconds(1)));
+        CPPUNIT_ASSERT(std::ranges::find(contacted, 2U) != contacted.end());
+        CPPUNIT_ASSERT(std::ranges::find(contacted, 3U) != contacted.end());
     }
 
     /** Guards against loads of a VM's previous incarnation that are kept after its restart. */
@@ -228,7 +230,7 @@
             given.config_version = *rc::gen::arbitrary<std::uint64_t>();
             given.watches_store = *rc::gen::arbitrary<bool>();
             given.own_loads = {3, 8, draw_loads(90)};
-            given.distant_loads = {0, 1, draw_loads(20)};
+            given.remote_loads = {0, 1, draw_loads(20)};
             given.vms.push_back({*rc::gen::arbitrary<std::uint32_t>(), 7, 3});
             const fleet_digest got = decode_digest(encode(given), "vm");
             RC_ASSERT(got.incarnation == given.incarnation);
@@ -236,7 +238,7 @@
             RC_ASSERT(got.watches_store == given.watches_store);
             RC_ASSERT(got.own_loads.part == 3 && got.own_loads.parts == 8);
             RC_ASSERT(got.own_loads.entries == given.own_loads.entries);
-            RC_ASSERT(got.distant_loads.entries == given.distant_loads.entries);
+            RC_ASSERT(got.remote_loads.entries == given.remote_loads.entries);
             RC_ASSERT(got.vms.at(0).address == given.vms.at(0).address);
             std::string bytes = encode(given);
             bytes.resize(*rc::gen::inRange<std::size_t>(0, bytes.size()));
--- a/test/fuzz/evacuations_reach_every_vm.cpp
+++ b/test/fuzz/evacuations_reach_every_vm.cpp
@@ -153,7 +153,7 @@
         starting.describe(digest, {});
         evacuation_state other(adapter);
         other.apply_list(all, 5);
-        other.take_digest(digest);
+        other.handle_digest(digest);
         CPPUNIT_ASSERT(other.includes({"a"}));
         // If the entries do not fit into a digest, it sends no state until it knows the servers.
         std::vector<stored_object> many = all;
@@ -164,7 +164,7 @@
         starting.apply_list(many, 12);
         starting.describe(digest, {});
         CPPUNIT_ASSERT_EQUAL(std::uint64_t{0}, digest.evacuations_revision);
-        other.take_digest(digest);
+        other.handle_digest(digest);
         CPPUNIT_ASSERT(other.includes({"a"}));
     }
 
@@ -222,9 +222,9 @@
         const auto place = static_cast<std::uint32_t>(hash_of("a"));
         state.describe(digest, {place});
         CPPUNIT_ASSERT(digest.evacuated == std::vector<std::uint32_t>{place});
-        const fleet_digest told = decode_digest(encode(digest), "vm");
+        const fleet_digest decoded = decode_digest(encode(digest), "vm");
         evacuation_state other(adapter);
-        other.take_digest(told);
+        other.handle_digest(decoded);
         CPPUNIT_ASSERT(other.includes({"a"}));
         CPPUNIT_ASSERT_EQUAL(std::uint64_t{9}, other.revision());
         // An older revision is ignored.
--- a/test/fuzz/leaving_servers_get_nothing_new.cpp
+++ b/test/fuzz/leaving_servers_get_nothing_new.cpp
@@ -190,7 +190,7 @@
         for (const fleet_size& size : fleet_sizes) {
             const auto fleet = make_fleet(size);
             for (const auto& [vm, item] : fleet->fleet.vms) {
-                if (item.duty.watching() && fleet->store.refused.empty()) {
+                if (item.watch_role.watching() && fleet->store.refused.empty()) {
                     fleet->store.refused.insert(vm);
                 }
             }
@@ -211,7 +211,7 @@
             const auto& vms = fleet->fleet.vms;
             const std::size_t cut_off =
                 std::ranges::find_if(vms, [](const auto& entry) {
-                    return entry.second.duty.mode() == read_mode::linearizable;
+                    return entry.second.watch_role.mode() == read_mode::linearizable;
                 })->first;
             for (std::size_t vm = 0; vm < size.vms; ++vm)
                 fleet->fleet.cut.insert(std::minmax(vm, cut_off));
--- a/test/fuzz/versions_reach_every_vm.cpp
+++ b/test/fuzz/versions_reach_every_vm.cpp
@@ -17,7 +17,7 @@
 /** The shortest of the users' bounds: from the store's response to a change until the change is in
  * force, or until a leaving server gets no new work. */
 constexpr duration promised_within = seconds(2);
-/** Shortest time after the end of a disturbance of the store or of a VM from which on the bounds
+/** Minimum time after the end of a fault of the store or of a VM from which on the bounds
  * hold again. */
 constexpr duration calm_after = seconds(3);
 
@@ -135,7 +135,7 @@
         fleet.set_config(1);
         fleet.run(seconds(10));
         for (const auto& [vm, item] : fleet.fleet.vms) {
-            if (item.duty.mode() == read_mode::linearizable) fleet.store.refused.insert(vm);
+            if (item.watch_role.mode() == read_mode::linearizable) fleet.store.refused.insert(vm);
         }
         CPPUNIT_ASSERT_EQUAL(delegates_per_fleet, fleet.store.refused.size());
         fleet.run(watcher_selection::max_confirmation_age + seconds(2));
--- a/test/performance/fleet.cpp
+++ b/test/performance/fleet.cpp
@@ -118,10 +118,11 @@
     const auto all_know = [&] {
         for (auto& [vm, item] : fleet.vms) {
             if (item.config_version == 2) continue;
-            const auto heard = item.rounds.fleet().heard(fleet.now);
-            const bool told = std::ranges::any_of(
-                heard, [](const fleet_vm* other) { return other->last.config_version == 2; });
-            if (!told) continue;
+            const auto responsive_vms = item.rounds.fleet().responsive_vms(fleet.now);
+            const bool is_reported = std::ranges::any_of(responsive_vms, [](const fleet_vm* other) {
+                return other->last.config_version == 2;
+            });
+            if (!is_reported) continue;
             item.config_version = 2;
             item.rounds.send_early();
         }
--- a/test/support/core_fleet.cpp
+++ b/test/support/core_fleet.cpp
@@ -259,13 +259,13 @@
         this->schedule_tick(from);
         return;
     }
-    const std::uint64_t own_life = this->vms[from].vm_incarnation;
-    const auto refused = [this, from, own_life](const link_message& lost) {
+    const std::uint64_t own_incarnation = this->vms[from].vm_incarnation;
+    const auto refused = [this, from, own_incarnation](const link_message& lost) {
         const auto* open = std::get_if<open_attempt>(&lost);
         if (open == nullptr) return;
         const attempt_id id = open->id;
-        this->at(this->clock + refused_after, [this, from, own_life, id] {
-            this->for_vm(from, own_life, [this, from, id] {
+        this->at(this->clock + refused_after, [this, from, own_incarnation, id] {
+            this->for_vm(from, own_incarnation, [this, from, id] {
                 this->vms[from].core->data().in.undelivered.push_back(id);
                 this->schedule_tick(from);
             });
@@ -281,12 +281,13 @@
     last = std::max(last, this->clock + this->options.link_delay + jitter);
     const vm_id sender = this->vms[from].self.vm;
     const std::uint64_t epoch = this->link_epochs[{std::min(from, target), std::max(from, target)}];
-    this->at(last, [this, from, target, vm_incarnation, sender, own_life, epoch,
+    this->at(last, [this, from, target, vm_incarnation, sender, own_incarnation, epoch,
                     message = std::move(message)] {
         // Messages in flight are lost if the sender was killed or the link was cut.
         const auto pair = std::pair{std::min(from, target), std::max(from, target)};
         const bool arrives = epoch == this->link_epochs[pair] && this->reachable(from, target) &&
-                             this->vms[from].vm_incarnation == own_life && this->vms[from].up;
+                             this->vms[from].vm_incarnation == own_incarnation &&
+                             this->vms[from].up;
         if (!arrives) return;
         this->for_vm(target, vm_incarnation, [this, target, sender, message] {
             this->vms[target].core->receive(sender, message);
--- a/test/support/digest_fleet.cpp
+++ b/test/support/digest_fleet.cpp
@@ -75,15 +75,15 @@
     }
     for (auto& [vm, item] : this->vms) {
         if (this->on_tick) this->on_tick(vm);
-        const bool before = item.duty.stands_by();
-        item.duty.update(item.rounds.fleet(), this->known_store_state(item).confirmed_at,
-                         item.store_answers, this->now);
-        if (!before && item.duty.stands_by()) {
+        const bool before = item.watch_role.stands_by();
+        item.watch_role.update(item.rounds.fleet(), this->known_store_state(item).confirmed_at,
+                               item.store_answers, this->now);
+        if (!before && item.watch_role.stands_by()) {
             ++item.watch_starts;
             item.rounds.send_early();
         }
-        const bool confirmed =
-            item.store_answers && item.duty.mode() == read_mode::linearizable && !this->on_tick;
+        const bool confirmed = item.store_answers &&
+                               item.watch_role.mode() == read_mode::linearizable && !this->on_tick;
         if (confirmed) item.store.confirmed_at = this->now;
         if (item.rounds.due(this->now)) this->send_round(vm);
     }
@@ -112,7 +112,7 @@
     digest_vm& item = this->vms.at(vm);
     local_state state;
     state.digest.config_version = item.config_version;
-    state.digest.watches_store = item.duty.watching() && item.store_answers;
+    state.digest.watches_store = item.watch_role.watching() && item.store_answers;
     state.digest.leaving = item.leaving;
     state.loads = item.loads;
     state.servers = this->servers;
--- a/test/support/digest_fleet.h
+++ b/test/support/digest_fleet.h
@@ -26,7 +26,7 @@
     }
 
     worksshift::fleet_rounds rounds;
-    worksshift::watcher_selection duty;
+    worksshift::watcher_selection watch_role;
     worksshift::load_table loads;
     std::vector<std::uint32_t> busy;
     std::uint64_t config_version = 1;
--- a/test/support/path_rig.cpp
+++ b/test/support/path_rig.cpp
@@ -164,7 +164,7 @@
       callers(
           std::make_unique<caller_connections>(base.get(), link_address{"127.0.0.1", front_port})),
       links(std::make_unique<server_connections>(base.get(), adapter)),
-      path(std::make_unique<request_path>(*callers, *links, table, adapter, numbers)),
+      path(std::make_unique<request_path>(*callers, *links, table, adapter, telemetry)),
       ticker(base.get(), [this] {
           const instant now = std::chrono::steady_clock::now();
           this->callers->sweep(now);
--- a/test/support/path_rig.h
+++ b/test/support/path_rig.h
@@ -98,7 +98,7 @@
 
     worksshift::event_ptr<event_base> base;
     worksshift::protocol adapter;
-    worksshift::metrics numbers;
+    worksshift::metrics telemetry;
     worksshift::server_table table;
     std::uint16_t front_port;
     std::unique_ptr<worksshift::caller_connections> callers;
--- a/test/support/store_fleet.cpp
+++ b/test/support/store_fleet.cpp
@@ -65,7 +65,7 @@
 
 model_store::answer model_store::answer_to(const waiting_call& call, instant now) const
 {
-    if (this->silent || now - call.asked_at < store_delay) return {};
+    if (this->silent || now - call.requested_at < store_delay) return {};
     if (this->refused.contains(call.vm)) return {verdict::refused, {}};
     answer made;
     made.page.revision = this->visible(call.read.mode, now);
@@ -83,7 +83,7 @@
             made.page.objects.push_back(each.object);
         }
     }
-    const bool over = now - call.asked_at >= watch.wait;
+    const bool over = now - call.requested_at >= watch.wait;
     made.result = over || !made.page.objects.empty() ? verdict::page : verdict::none;
     return made;
 }
@@ -101,11 +101,11 @@
         item.evacuated.describe(digest, this->server_places);
     };
     this->fleet.on_digest = [this](std::size_t vm, const fleet_vm& from) {
-        std::uint64_t& newest = this->vms.at(vm).newest_heard;
+        std::uint64_t& newest = this->vms.at(vm).newest_reported;
         newest = std::max(newest, from.last.config_version);
         follower_vm& item = this->vms.at(vm);
         if (from.last.evacuations_revision <= item.evacuated.revision()) return;
-        item.evacuated.take_digest(from.last);
+        item.evacuated.handle_digest(from.last);
         item.evacuations.watch.advance(from.last.evacuations_revision);
     };
     for (std::size_t vm = 0; vm < count; ++vm)
@@ -170,7 +170,7 @@
         const auto& rows = item.table.rows();
         const auto row = rows.find(server_id{server});
         return this->fleet.now - item.started >= running_for && row != rows.end() &&
-               row->second.takes_work();
+               row->second.accepts_requests();
     }));
 }
 
@@ -226,12 +226,12 @@
                         const update_origin& origin)
 {
     const std::uint64_t before = item.feed.revision();
-    const std::optional<registry_update> news = item.feed.take(update);
+    const std::optional<registry_update> accepted = item.feed.take(update);
     if (item.feed.revision() < before) item.regressed = true;
-    if (!news) return;
-    this->take_servers(item, *news, origin);
-    if (news->whole) item.registry.clear();
-    for (const stored_object& object : news->objects) {
+    if (!accepted) return;
+    this->take_servers(item, *accepted, origin);
+    if (accepted->whole) item.registry.clear();
+    for (const stored_object& object : accepted->objects) {
         const auto known = item.registry.find(object.name);
         if (known != item.registry.end() && object.revision < known->second.revision) {
             item.regressed = true;
@@ -244,14 +244,14 @@
     }
 }
 
-void store_fleet::take_servers(follower_vm& item, const registry_update& news,
+void store_fleet::take_servers(follower_vm& item, const registry_update& accepted,
                                const update_origin& origin) const
 {
-    if (news.whole) {
-        item.servers_in_use.apply_list(news.objects, origin, this->fleet.now);
+    if (accepted.whole) {
+        item.servers_in_use.apply_list(accepted.objects, origin, this->fleet.now);
         return;
     }
-    for (const stored_object& object : news.objects)
+    for (const stored_object& object : accepted.objects)
         item.servers_in_use.apply_change(object, origin, this->fleet.now);
 }
 
@@ -271,9 +271,9 @@
                        digests.rounds.fleet().store(), digests.rounds.fleet().is_isolated(now));
     digests.store = {item.outage.recovered_at(), item.servers.watch.confirmed_at()};
     digests.store_answers = item.servers.watch.reachable();
-    const std::optional<read_mode> mode = digests.duty.mode();
+    const std::optional<read_mode> mode = digests.watch_role.mode();
     item.config.update(digests.store_answers ? mode : std::nullopt, item.version > 0,
-                       item.newest_heard > item.version, now);
+                       item.newest_reported > item.version, now);
     item.servers.update(mode, item.listed,
                         digests.rounds.fleet().servers_revision() > item.feed.revision(), now);
     item.evacuations.update(digests.store_answers ? mode : std::nullopt, item.evacuated.known(),
@@ -282,7 +282,7 @@
          {object_kind::configuration, object_kind::servers, object_kind::evacuations}) {
         store_follow& follow = this->follow_of(vm, kind);
         this->ask_store(vm, follow);
-        if (follow.fetching.due(now)) this->ask_peer(vm, kind);
+        if (follow.fetching.due(now)) this->request_from_peer(vm, kind);
     }
     store_status known = digests.rounds.fleet().store();
     known.merge(digests.store);
@@ -335,7 +335,7 @@
     });
 }
 
-void store_fleet::ask_peer(std::size_t vm, object_kind kind)
+void store_fleet::request_from_peer(std::size_t vm, object_kind kind)
 {
     follower_vm& item = this->vms.at(vm);
     const fleet_table& known = this->fleet.vms.at(vm).rounds.fleet();
@@ -349,11 +349,11 @@
     if (peer == nullptr) return;
     this->follow_of(vm, kind).fetching.begin();
     const auto asked = this->vms.find(digest_fleet::vm_at(peer->address));
-    const bool lives = this->fleet.vms.contains(digest_fleet::vm_at(peer->address));
+    const bool is_running = this->fleet.vms.contains(digest_fleet::vm_at(peer->address));
     peer_answer answer{
-        vm, kind, now, now + (lives ? peer_delay : peer_fetch_schedule::call_timeout), {}, 0};
-    if (lives && config) answer.version = asked->second.version;
-    if (lives && !config) {
+        vm, kind, now, now + (is_running ? peer_delay : peer_fetch_schedule::call_timeout), {}, 0};
+    if (is_running && config) answer.version = asked->second.version;
+    if (is_running && !config) {
         answer.update = asked->second.feed.since(item.feed.revision());
         answer.update->kept = asked->second.servers_in_use.kept(now);
     }
@@ -370,7 +370,7 @@
         take_version(item, answer.version);
         if (answer.update) {
             const update_origin origin =
-                origin_of(*answer.update, item.feed.revision(), answer.asked_at);
+                origin_of(*answer.update, item.feed.revision(), answer.requested_at);
             this->apply(item, *answer.update, origin);
             item.servers.watch.advance(answer.update->revision);
         }
--- a/test/support/store_fleet.h
+++ b/test/support/store_fleet.h
@@ -25,7 +25,7 @@
         std::size_t vm = 0;
         worksshift::object_kind kind{};
         worksshift::store_read read;
-        worksshift::instant asked_at{};
+        worksshift::instant requested_at{};
     };
     /** Outcome of a call; `none`: still pending. */
     enum class verdict : std::uint8_t { none, page, gone, refused };
@@ -78,7 +78,7 @@
     worksshift::instant started{};
     bool listed = false;
     std::uint64_t version = 0; ///< version of the configuration in force
-    std::uint64_t newest_heard = 0;
+    std::uint64_t newest_reported = 0;
     bool regressed = false; ///< a version was replaced by an older one
     double call_cost = 0;   ///< number of calls, with a stale one counted as a tenth
     std::size_t calls = 0;
@@ -131,7 +131,7 @@
     struct peer_answer {
         std::size_t vm = 0;
         worksshift::object_kind kind{};
-        worksshift::instant asked_at{};
+        worksshift::instant requested_at{};
         worksshift::instant at{};
         std::optional<worksshift::registry_update> update;
         std::uint64_t version = 0;
@@ -141,11 +141,11 @@
     void tick(std::size_t vm);
     void answer_calls();
     void ask_store(std::size_t vm, worksshift::store_follow& follow);
-    void ask_peer(std::size_t vm, worksshift::object_kind kind);
+    void request_from_peer(std::size_t vm, worksshift::object_kind kind);
     void take_peer_answers();
     void apply(follower_vm& item, const worksshift::registry_update& update,
                const worksshift::update_origin& origin);
-    void take_servers(follower_vm& item, const worksshift::registry_update& news,
+    void take_servers(follower_vm& item, const worksshift::registry_update& accepted,
                       const worksshift::update_origin& origin) const;
     static void take_version(follower_vm& item, std::uint64_t version);
     worksshift::store_follow& follow_of(std::size_t vm, worksshift::object_kind kind);
