--- a/src/request_path.cpp
+++ b/src/request_path.cpp
@@ -70,8 +70,8 @@
         this->on_response_body(attempt, bytes);
     });
     servers.on_end.connect([this](const attempt_outcome& end) { this->on_attempt_end(end); });
-    servers.on_checked.connect([this](std::uint32_t server, bool ended) {
-        this->on_server_checked(server_incarnation{server}, ended);
+    servers.on_checked.connect([this](std::uint32_t server, bool exited) {
+        this->on_server_checked(server_incarnation{server}, exited);
     });
 }
 
@@ -434,17 +434,18 @@
 }
 
 /** Result of a connection check. If nothing listens at the server's address any more, the server
- * has ended and is marked unreachable at once. */
-void request_path::on_server_checked(server_incarnation incarnation, bool ended)
+ * has exited and is marked unreachable at once. */
+void request_path::on_server_checked(server_incarnation incarnation, bool exited)
 {
     const instant time = now();
-    this->suspect_contents.on_checked(incarnation, ended, time);
+    this->suspect_contents.on_checked(incarnation, exited, time);
     server_entry* row = this->table.find(incarnation);
     if (row == nullptr) return;
-    log_event(
-        log_level::info, "server_checked",
-        {{"server", row->record.id.text}, {"ended", ended ? 1 : 0}, {"in_flight", row->in_flight}});
-    if (!ended) return;
+    log_event(log_level::info, "server_checked",
+              {{"server", row->record.id.text},
+               {"ended", exited ? 1 : 0},
+               {"in_flight", row->in_flight}});
+    if (!exited) return;
     row->health.on_unreachable(time);
     this->table.mark_unreachable(*row, time);
 }
@@ -657,7 +658,7 @@
     for (const std::uint64_t id : this->finished)
         this->requests.erase(id);
     this->finished.clear();
-    // An answer can admit the next request on its connection, so `requests` may change during the
+    // A response can admit the next request on its connection, so `requests` may change during the
     // loop.
     std::vector<live_request*> current;
     for (const auto& [id, item] : this->requests) {
--- a/src/request_path.h
+++ b/src/request_path.h
@@ -41,7 +41,7 @@
 /** Minimum Retry-After when a request fails without having run: about the time in which a short
  * burst is drained. */
 constexpr duration refusal_retry_after = milliseconds(400);
-/** Retry-After of answers given while this VM has no configuration. */
+/** Retry-After of responses sent while this VM has no configuration. */
 constexpr duration no_config_retry_after = milliseconds(500);
 /** How long requests that arrive before the first configuration wait for it. It arrives 45 ms after
  * the process starts; a refused caller would retry only after half a second. */
@@ -66,7 +66,8 @@
 
     /** The VM was suspended for \p span, which the clock used for deadlines did not count. */
     void on_suspended(duration span);
-    /** Expires requests past their deadline and retries repeatable requests of silent servers. */
+    /** Expires requests past their deadline and retries repeatable requests of unresponsive
+     * servers. */
     void tick(instant now);
     [[nodiscard]] admission& admissions() { return this->admission_control; }
     /** Requests suspected of crashing servers, as known to this VM. */
@@ -86,7 +87,7 @@
     [[nodiscard]] bool is_blocked(live_request& item);
     void record_broken_attempt(const live_request& item, const server_record& server,
                                const attempt_outcome& end, instant time);
-    void on_server_checked(server_incarnation server, bool ended);
+    void on_server_checked(server_incarnation server, bool exited);
     void refuse(live_request& item, const retry_later& answer);
     void send(live_request& item, const placement_result& where);
     void on_response_head(std::uint64_t attempt, const http_head& head,
--- a/src/server_health.h
+++ b/src/server_health.h
@@ -66,7 +66,7 @@
         this->start_pause(now);
     }
 
-    /** The attempt ended without a result that tells about the server's health. */
+    /** The attempt ended without a result that says anything about the server's health. */
     void on_neutral() { this->trial = false; }
 
 private:
@@ -74,10 +74,10 @@
     void add(instant now, double failure)
     {
         const double span = std::chrono::duration<double>(now - this->last_result_at).count();
-        const double kept =
+        const double decay =
             std::exp(-span / std::chrono::duration<double>(outcome_decay_time).count());
-        this->failures = this->failures * kept + failure;
-        this->total = this->total * kept + 1;
+        this->failures = this->failures * decay + failure;
+        this->total = this->total * decay + 1;
         this->last_result_at = now;
     }
 
--- a/src/server_registry.cpp
+++ b/src/server_registry.cpp
@@ -159,11 +159,11 @@
     this->unlogged_unreadable = {};
 }
 
-void server_registry::remove(const server_id& id, duration kept)
+void server_registry::remove(const server_id& id, duration retained_for)
 {
     if (!this->table.remove(id)) return;
     log_event(log_level::info, "server_removed",
-              {{"server", id.text}, {"kept_ms", kept / milliseconds(1)}});
+              {{"server", id.text}, {"kept_ms", retained_for / milliseconds(1)}});
     this->on_leaving.emit(id);
 }
 
@@ -241,9 +241,9 @@
                    {"services_together", mass_expired.size()},
                    {"store_back_ms", (now - store_back) / milliseconds(1)}});
     }
-    for (const auto& [id, kept] : to_remove) {
+    for (const auto& [id, retained_for] : to_remove) {
         this->missing.erase(id);
-        this->remove(id, kept);
+        this->remove(id, retained_for);
     }
 }
 
--- a/src/server_registry.h
+++ b/src/server_registry.h
@@ -118,7 +118,7 @@
                            const update_origin& origin, instant now);
     void log_unreadable(instant now);
     [[nodiscard]] bool is_former(const stored_object& removal) const;
-    void remove(const server_id& id, duration kept);
+    void remove(const server_id& id, duration retained_for);
     [[nodiscard]] std::set<service_id> services_with_mass_expiry() const;
 
     server_table& table;
--- a/src/server_table.cpp
+++ b/src/server_table.cpp
@@ -115,9 +115,9 @@
 }
 
 /** Servers of a data centre may be cold when its evacuation ends, as they had no requests. */
-void server_table::set_evacuated(std::set<std::uint32_t> places, instant now)
+void server_table::set_evacuated(std::set<std::uint32_t> data_centres, instant now)
 {
-    this->evacuated = std::move(places);
+    this->evacuated = std::move(data_centres);
     for (auto& [id, row] : this->table) {
         const bool before = std::exchange(
             row.evacuated, this->evacuated.contains(short_hash(row.record.data_centre)));
@@ -355,11 +355,11 @@
     return found;
 }
 
-void server_table::apply_reported_load(const reported_load& item, instant last_received_at)
+void server_table::apply_reported_load(const reported_load& item, instant received_at)
 {
     const auto found = this->by_short_hash.find(item.server);
     if (found == this->by_short_hash.end()) return;
-    const instant load_reported_at = last_received_at - item.age * reported_age_unit;
+    const instant load_reported_at = received_at - item.age * reported_age_unit;
     // An older report may come from the previous incarnation of the server.
     if (load_reported_at < found->second->listed_at) return;
     found->second->state(item.requests, load_reported_at);
--- a/src/server_table.h
+++ b/src/server_table.h
@@ -38,6 +38,7 @@
 constexpr double load_bound_offset = 2.5; ///< requests
 /** A server whose load reaches this share of its load bound is reported to other VMs as busy. */
 constexpr double busy_load_share = 0.7;
+
 /** What the selection needs to know of a request. */
 struct placement_request {
     service_id service;
@@ -113,7 +114,7 @@
     void mark_unreachable(server_entry& row, instant now);
     /** Sets the data centres whose servers get no new requests, by the low 32 bits of the hashes of
      * their names. */
-    void set_evacuated(std::set<std::uint32_t> places, instant now);
+    void set_evacuated(std::set<std::uint32_t> data_centres, instant now);
     /** Sets the region of each data centre. The region of a data centre not listed is unknown. */
     void set_regions(std::map<data_centre_id, region_id> known);
     void set_traits(const service_id& service, const service_traits& traits);
@@ -153,7 +154,7 @@
     /** Servers near their load bound, which are reported to other VMs first. */
     [[nodiscard]] std::vector<const server_entry*> busy() const;
     /** Applies the load of a server that another VM received from it. */
-    void apply_reported_load(const reported_load& item, instant last_received_at);
+    void apply_reported_load(const reported_load& item, instant received_at);
     /** Returns the loads that servers reported to this VM since the last call, the newest first. */
     std::vector<reported_load> drain_reported_loads(instant now);
     /** An attempt at a server ended. \p failed: without a usable response. */
--- a/src/store_outage.cpp
+++ b/src/store_outage.cpp
@@ -10,7 +10,7 @@
                           const store_status& elsewhere, bool cut_off)
 {
     // A call made before the store's return failed in the outage that is already over.
-    const instant last_return = std::max(this->back, elsewhere.recovered_at);
+    const instant last_return = std::max(this->last_recovered_at, elsewhere.recovered_at);
     const bool new_failure =
         failing && failing != this->failing && failing->requested_at > last_return;
     if (new_failure) {
@@ -35,7 +35,7 @@
 {
     const duration unanswered_for = answered_again - this->answered;
     const bool store_was_down = unanswered_for >= min_outage && !this->was_cut_off;
-    if (store_was_down) this->back = answered_again;
+    if (store_was_down) this->last_recovered_at = answered_again;
     log_event(log_level::info, "store_outage_over",
               {{"outcome", store_was_down ? "store_back" : "own_way"},
                {"cut_off", this->was_cut_off ? 1 : 0},
--- a/src/store_outage.h
+++ b/src/store_outage.h
@@ -61,7 +61,7 @@
                 const store_status& elsewhere, bool cut_off);
 
     /** When the store last returned from an outage; the epoch: never. */
-    [[nodiscard]] instant recovered_at() const { return this->back; }
+    [[nodiscard]] instant recovered_at() const { return this->last_recovered_at; }
 
 private:
     void end(instant answered_again);
@@ -70,7 +70,7 @@
     std::optional<failed_call> failing;        ///< value passed to the last update()
     bool was_cut_off = false;                  ///< at any time since the newest failure
     instant answered{};                        ///< newest response to any VM
-    instant back{};
+    instant last_recovered_at{};
 };
 
 } // namespace worksshift
