--- a/src/admission.h
+++ b/src/admission.h
@@ -48,7 +48,7 @@
 };
 using admission_decision = std::variant<admit_to, retry_later, no_server>;
 
-/** Age of the summed in-flight counts, used where engines do not state their own load. Requests
+/** Age of the summed in-flight counts, used where engines do not report their own load. Requests
  * admitted above the engines' service rate during this time are added to the known load. */
 constexpr duration load_sums_staleness = milliseconds(700);
 /** A request one priority level more urgent than the mean is admitted more often by this fraction,
@@ -62,6 +62,7 @@
 /** Limits of the factor by which the admitted rate may differ from the engines' service rate. */
 constexpr double min_rate_correction = 0.4;
 constexpr double max_rate_correction = 1.25;
+
 class admission {
 public:
     explicit admission(server_table& table, unsigned seed = std::random_device{}())
--- a/src/call_limit.h
+++ b/src/call_limit.h
@@ -1,5 +1,5 @@
 /** \file
- * Time limits of a call to another process.
+ * Timeouts of a call to another process.
  */
 #pragma once
 
@@ -8,6 +8,7 @@
 namespace worksshift {
 
 struct call_limit {
+    /** Timeout of the complete call. */
     duration whole{};
     /** Longest time without a received byte; zero: as long as the whole. Distinguishes a long
      * response from a peer that does not respond. */
--- a/src/caller_connections.cpp
+++ b/src/caller_connections.cpp
@@ -19,7 +19,7 @@
 /** How long input is still read and discarded after the last response on a connection, so that the
  * caller can read that response before the connection is closed. */
 constexpr duration linger_time = seconds(1);
-/** Time limit for a complete body, counted from the end of the head. */
+/** Timeout for receiving a complete body, counted from the end of the head. */
 constexpr duration body_timeout = seconds(10);
 /** A connection is closed when sent bytes stay unacknowledged for this long: the caller is
  * unreachable, and its response would stay buffered. Longer than callers wait for most responses,
--- a/src/live_request.h
+++ b/src/live_request.h
@@ -14,7 +14,7 @@
 
 namespace worksshift {
 
-/** One request from its arrival to its final answer. The request path owns it. */
+/** One request from its arrival to its final response. The request path owns it. */
 struct live_request {
     std::uint64_t id = 0;
     http_head head;
--- a/src/overload_tracker.h
+++ b/src/overload_tracker.h
@@ -40,8 +40,8 @@
     }
 
 private:
-    instant since{};        ///< first refusal of the current overload
-    instant last_refusal{}; ///< last refusal
+    instant since{}; ///< first refusal of the current overload
+    instant last_refusal{};
 };
 
 } // namespace worksshift
--- a/src/protocol.h
+++ b/src/protocol.h
@@ -85,11 +85,11 @@
     std::string path_prefix;
     route_kind kind = route_kind::non_idempotent;
     milliseconds timeout{};
-    milliseconds
-        latency_objective{}; ///< until the complete response; for streams, until the first event
-    unsigned priority = 0;   ///< 0: the highest
-    unsigned attempts = 1;   ///< maximum number of servers that may run one request
-    bool is_public = false;  ///< no API key is required
+    /** Target for the time until the complete response; for streams, until the first event. */
+    milliseconds latency_objective{};
+    unsigned priority = 0;  ///< 0: the highest
+    unsigned attempts = 1;  ///< maximum number of servers that may run one request
+    bool is_public = false; ///< no API key is required
     bool resumable = false;
     std::vector<region_id> allowed_regions; ///< regions that may serve its requests; empty: all
     std::vector<route_target> targets;
@@ -132,8 +132,8 @@
 struct router_config {
     std::uint64_t version = 0;
     std::vector<route> routes;
-    std::map<std::string, std::vector<std::size_t>, std::less<>>
-        routes_by_host; ///< indexes in `routes`, longest path prefix first
+    /** Indexes in `routes`, longest path prefix first. */
+    std::map<std::string, std::vector<std::size_t>, std::less<>> routes_by_host;
     std::unordered_map<std::string, client_account> account_by_key;
     std::map<service_id, service_traits> services;
     /** The shortest latency objective of all routes to a service. */
--- a/src/router.h
+++ b/src/router.h
@@ -92,8 +92,8 @@
     instant servers_assigned_at{};
     fleet_members members; ///< of the last update of the server assignments
     instant suspects_announced_at{};
-    instant routable_since{};  ///< since when configuration and servers have been known; instant{}:
-                               ///< not yet
+    /** Since when configuration and servers have been known; the epoch: not yet. */
+    instant routable_since{};
     std::string settings_text; ///< content of the settings file when last read
     instant settings_read{};
     bool serving = false; ///< requests are being routed
--- a/src/server_connections.h
+++ b/src/server_connections.h
@@ -95,8 +95,8 @@
     sigc::signal<void(std::uint64_t, std::string_view)> on_body;
     sigc::signal<void(const attempt_outcome&)> on_end;
     /** Result of a check: true if the server's process has ended, that is, its host refused the
-     * connection. A server that does not answer may be busy or unreachable, so the
-     * result is false. */
+     * connection. A server that does not answer may be busy or unreachable, so the result is
+     * false. */
     sigc::signal<void(std::uint32_t, bool)> on_checked;
 
 private:
--- a/src/server_entry.h
+++ b/src/server_entry.h
@@ -17,7 +17,8 @@
  * idle between two reports, and prompts were copied to them: 1,684 GB in 14 s of a load peak with
  * 112 engines, against 892 GB with 3 s. */
 constexpr duration reported_load_lifetime = milliseconds(3000);
-/** Results of attempts at one server, summed up. */
+
+/** Totals of the results of attempts at one server. */
 struct outcome_sum {
     std::uint32_t answered = 0;
     std::uint32_t failed = 0;
@@ -36,8 +37,8 @@
     std::uint32_t reported_requests = 0;
     instant load_reported_at{};
     std::uint32_t in_flight_at_report = 0; ///< `in_flight` when `reported_requests` was set
-    bool report_is_fresh =
-        false;                  ///< `reported_requests` was recent enough for use at the last tick
+    /** Whether `reported_requests` was recent enough for use at the last tick. */
+    bool report_is_fresh = false;
     bool reported_here = false; ///< reported to this VM, and not yet passed on to others
     server_health health;
     region_id region;       ///< of its data centre; empty: unknown
--- a/src/server_notices.h
+++ b/src/server_notices.h
@@ -2,8 +2,8 @@
  * What servers say about themselves in responses: that they are leaving, or for how long they are
  * backing off.
  *
- * Kept by incarnation, so that it outlives the registry entry, which may expire and reappear while
- * the store is unavailable, and does not apply to the server after a restart.
+ * Stored by incarnation, so that it outlives the registry entry, which may expire and reappear
+ * while the store is unavailable, and does not apply to the server after a restart.
  */
 #pragma once
 
