--- a/apps/worksshiftd.cpp
+++ b/apps/worksshiftd.cpp
@@ -1,6 +1,7 @@
 /** \file
- * The router's main program. Exit codes: 0 stopped with all work complete, 1 work in flight was
- * aborted by the stop deadline or a second stop signal, 2 invalid settings, 3 an internal error.
+ * The main program of worksshiftd. Exit codes: 0 stopped with all work complete, 1 work in
+ * flight was aborted by the stop deadline or a second stop signal, 2 invalid settings, 3 an
+ * internal error.
  */
 #include <csignal>
 #include <iostream>
--- a/src/account_quota.cpp
+++ b/src/account_quota.cpp
@@ -33,9 +33,9 @@
 
 void record_use(quota_balance& balance, std::uint64_t tokens, instant now)
 {
-    const double passed = seconds_of(now - balance.used_at);
+    const double elapsed_s = seconds_of(now - balance.used_at);
     balance.recent_tokens_per_s =
-        balance.recent_tokens_per_s * std::exp(-passed / use_smoothing_s) +
+        balance.recent_tokens_per_s * std::exp(-elapsed_s / use_smoothing_s) +
         static_cast<double>(tokens) / use_smoothing_s;
     balance.used_at = now;
 }
@@ -126,10 +126,11 @@
 {
     balance.asked = false;
     const double entries = std::max<double>(1, static_cast<double>(t.homes.size()));
-    const double passed = std::min(quota_burst_s, seconds_of(now - balance.own_share_granted_at));
+    const double elapsed_s =
+        std::min(quota_burst_s, seconds_of(now - balance.own_share_granted_at));
     balance.own_share_granted_at = now;
     balance.tokens +=
-        static_cast<std::uint64_t>(tokens_per_second_of(t, account) / entries * passed);
+        static_cast<std::uint64_t>(tokens_per_second_of(t, account) / entries * elapsed_s);
     pay_waiting(t, balance, now, outcome);
     refuse_waiting(t, balance, own_share_retry_after_ms, outcome);
 }
--- a/src/account_quota.h
+++ b/src/account_quota.h
@@ -29,7 +29,7 @@
 /** An account's token bucket, at its home VM. */
 struct quota_bucket {
     double tokens = 0;   ///< negative after a large request
-    instant filled_at{}; ///< the epoch: never
+    instant filled_at{}; ///< the epoch: never filled
 };
 
 /** The tokens of an account that were granted to an entry VM and not used yet, and its pending
--- a/src/assign_gates.h
+++ b/src/assign_gates.h
@@ -12,8 +12,7 @@
 /** Number of VMs in rank order that the server table stores per server. */
 constexpr std::size_t gates_per_server = 4;
 
-/** The inputs of the last assignment, so that it is only redone when they change, and its result.
- */
+/** The last assignment and its inputs; it is redone only when they change. */
 struct gate_assignment {
     std::uint64_t view_version = 0;
     std::uint64_t revision = 0;
--- a/src/claim_slices.h
+++ b/src/claim_slices.h
@@ -29,8 +29,8 @@
 constexpr std::uint64_t max_clock_skew_s = 60;
 /** Number of slice objects of a bucket. */
 constexpr std::uint64_t claim_ring_size = 256;
-constexpr std::size_t max_recorded_body_bytes =
-    1024; ///< longer responses are recorded without body
+/** Longer responses are recorded without their body. */
+constexpr std::size_t max_recorded_body_bytes = 1024;
 
 /** One recorded claim. */
 struct claim_record {
@@ -49,8 +49,8 @@
     std::uint64_t opened_at_s = 0;
     bool sealed = false;
     claim_records records;
-    std::uint64_t version =
-        0; ///< of the object; initially that of the older slice which the object still holds
+    /** Version of the object; initially that of the older slice which the object still holds. */
+    std::uint64_t version = 0;
 
     /** Whether all claims of the slice have expired. */
     [[nodiscard]] bool expired(std::uint64_t unix_s) const;
--- a/src/claims.cpp
+++ b/src/claims.cpp
@@ -101,7 +101,7 @@
 }
 
 /** Replies to queued claims whose key is already claimed, and drops outcomes that have no claim. */
-void answer_queue(tables& t, claim_bucket_row& bucket, std::uint64_t unix_s)
+void reply_to_queued_claims(tables& t, claim_bucket_row& bucket, std::uint64_t unix_s)
 {
     std::erase_if(bucket.queue, [&](const queued_claim& item) {
         const auto* request = std::get_if<claim_request>(&item.what);
@@ -134,7 +134,8 @@
 }
 
 /** The number of the slice to which the first queued outcome belongs, or of the newest slice if no
- * outcome is queued. Requires that answer_queue has dropped the outcomes without a claim. */
+ * outcome is queued. Requires that reply_to_queued_claims has dropped the outcomes without a
+ * claim. */
 std::uint64_t first_outcome_slice(claim_bucket_row& bucket, std::uint64_t unix_s)
 {
     for (const queued_claim& item : bucket.queue) {
@@ -160,7 +161,7 @@
             const bool duplicate = existing != bucket.pending_slice.records.end() &&
                                    existing->second.claimed_at_s + claim_lifetime_s >= unix_s;
             if (duplicate || !is_new_claim(bucket, item, unix_s)) {
-                // Answered once the earlier claim of the key is stored.
+                // Gets its reply once the earlier claim of the key is stored.
                 remaining.push_back(std::move(item));
                 continue;
             }
@@ -200,7 +201,7 @@
         std::erase_if(bucket.slices, [&](const auto& entry) {
             return entry.first != bucket.newest && entry.second.expired(time.unix_s);
         });
-        answer_queue(t, bucket, time.unix_s);
+        reply_to_queued_claims(t, bucket, time.unix_s);
         if (!write_is_due(bucket, time.now)) return;
         if (is_full(t, bucket.slices.at(bucket.newest), time.unix_s)) {
             bucket.pending_slice = bucket.slices.at(bucket.newest);
--- a/src/claims.h
+++ b/src/claims.h
@@ -71,12 +71,12 @@
 
 /** The state of one bucket on its home node. */
 struct claim_bucket_row {
-    std::map<std::uint64_t, claim_slice>
-        slices; ///< by number, as last read from the platform or written to it
+    /** By number, as last read from the platform or written to it. */
+    std::map<std::uint64_t, claim_slice> slices;
     std::uint64_t head_version = 0;
     std::uint64_t newest = 0; ///< number of the slice that accepts new claims; 0: not known yet
-    std::uint64_t next_older_slice =
-        0; ///< number of the next older slice to read; 0: all have been read
+    /** Number of the next older slice to read; 0: all have been read. */
+    std::uint64_t next_older_slice = 0;
     bool head_update_pending = false; ///< the stored head does not name the newest slice yet
     claim_slice pending_slice;        ///< the content of the slice after the write in flight
     std::vector<queued_claim> queue;
--- a/src/codec.h
+++ b/src/codec.h
@@ -56,8 +56,8 @@
 class frame_writer {
 public:
     explicit frame_writer(authenticator& keys) : keys(keys) {}
-    /** The hello, the first frame, is written with an empty nonce; set the peer's nonce after it.
-     */
+    /** Sets the peer's nonce. Call it after the first frame, the hello, which is written with an
+     * empty nonce. */
     void set_nonce(const nonce& value) { this->peer_nonce = value; }
     std::string write(const link_message& message);
 
--- a/src/config_writer.h
+++ b/src/config_writer.h
@@ -29,7 +29,7 @@
     exists, ///< bootstrap: there already is a configuration
     invalid,
     platform_behind, ///< the platform returned a lower revision than the one in force
-    unanswered       ///< the platform did not answer; the request may safely be repeated
+    unanswered       ///< the platform did not respond; the request may safely be repeated
 };
 
 struct change_result {
--- a/src/daemon.cpp
+++ b/src/daemon.cpp
@@ -14,7 +14,7 @@
 constexpr duration heartbeat_period = milliseconds(20);
 constexpr duration list_period = seconds(10);
 constexpr duration load_period = seconds(1);
-/** Between two watches of the manifest, unless the first brought a newer one. */
+/** Time between two watches of the manifest, unless the first one returned a newer manifest. */
 constexpr duration watch_interval = milliseconds(500);
 /** Time to flush the last response before the process exits. */
 constexpr duration flush_time = milliseconds(300);
@@ -28,16 +28,16 @@
 
 std::uint64_t unix_seconds()
 {
-    const auto since = std::chrono::system_clock::now().time_since_epoch();
-    return static_cast<std::uint64_t>(std::chrono::duration_cast<seconds>(since).count());
+    const auto since_epoch = std::chrono::system_clock::now().time_since_epoch();
+    return static_cast<std::uint64_t>(std::chrono::duration_cast<seconds>(since_epoch).count());
 }
 
-/** Increases with every start of a VM, so that its state overrides that of its previous run.
- */
+/** Increases with every start of a VM, so that its state overrides that of the previous run. */
 std::uint64_t initial_incarnation()
 {
-    const auto since = std::chrono::system_clock::now().time_since_epoch();
-    return static_cast<std::uint64_t>(std::chrono::duration_cast<milliseconds>(since).count());
+    const auto since_epoch = std::chrono::system_clock::now().time_since_epoch();
+    return static_cast<std::uint64_t>(
+        std::chrono::duration_cast<milliseconds>(since_epoch).count());
 }
 
 member_update describe_self(const settings& options)
--- a/src/daemon.h
+++ b/src/daemon.h
@@ -88,10 +88,10 @@
     signal_watch on_int;
 
     std::unordered_map<std::uint64_t, bool> streams; ///< whether the request asked for a stream
-    std::unordered_map<std::uint64_t, std::uint32_t>
-        credits; ///< bytes drained but not yet returned
+    /** Bytes written to the caller of each request and not yet returned to the gate as credit. */
+    std::unordered_map<std::uint64_t, std::uint32_t> credits;
     std::uint64_t manifest_version = 0;
-    std::uint64_t published_revision = 0; ///< of the configuration that the front uses
+    std::uint64_t published_revision = 0; ///< of the configuration that `front` uses
     bool watching = false;
     bool tick_scheduled = false;
     bool stopping = false;
--- a/src/engine_client.h
+++ b/src/engine_client.h
@@ -19,7 +19,7 @@
     explicit engine_client(http_client& caller) : caller(caller) {}
 
     /** Fills in the report from the engine's response. \p done is not called if the engine does not
-     * answer or its response lacks the number of running requests. */
+     * respond or its response lacks the number of running requests. */
     void ask_load(const server_config& engine, load_report report, report_handler done);
     /** Sends an order. \p done is called in any case; an order without response is not accepted. */
     void give_order(const start_order& order, order_handler done);
--- a/src/engine_orders.h
+++ b/src/engine_orders.h
@@ -33,7 +33,7 @@
     [[nodiscard]] bool is_loading(const std::string& version) const;
 };
 
-/** An order requested by a gate, as the holder keeps it. */
+/** An order requested by a gate, as stored by the holder of the lease. */
 struct order_row {
     order_request wanted;
     instant requested_at{};
--- a/src/fair_queue.cpp
+++ b/src/fair_queue.cpp
@@ -24,7 +24,7 @@
     const auto newest =
         std::find_if(this->items.rbegin(), this->items.rend(),
                      [&](const auto& item) { return item.second.account == largest->first; });
-    // The virtual time of the shed request is given back, so that shedding does not delay the
+    // The virtual time of the shed request is returned, so that shedding does not delay the
     // account's later requests.
     largest->second.last_finish -= newest->second.cost / newest->second.weight;
     return this->take(std::prev(newest.base()));
--- a/src/fair_queue.h
+++ b/src/fair_queue.h
@@ -52,8 +52,8 @@
     std::optional<waiting_attempt> push(const waiting_attempt& request);
     /** Removes and returns the next request, interactive ones first; std::nullopt if empty. */
     std::optional<waiting_attempt> pop(instant now);
-    /** Removes and returns the next request of an account that is not heavy; std::nullopt if none.
-     */
+    /** Removes and returns the next request of an account that is not heavy; std::nullopt if there
+     * is none. */
     std::optional<waiting_attempt> pop_light(instant now);
     /** Adds a request's cost, in tokens, to the demand of \p account. */
     void charge(const client_account_id& account, double weight, std::uint32_t cost, instant now);
--- a/src/fleet_config.h
+++ b/src/fleet_config.h
@@ -36,7 +36,7 @@
     std::string path_prefix;           ///< plain services only
     double bound = 1.25;               ///< a server's load is kept below this multiple of the mean
     std::vector<std::string> versions; ///< model versions that the engines load; may be empty
-    std::string serving; ///< the version used for callers; empty if there are no versions
+    std::string serving; ///< the version that serves callers; empty if there are no versions
     bool fenced = false; ///< its engines reject orders with an old fencing number
     std::vector<server_config> servers;
 
--- a/src/gate_share.h
+++ b/src/gate_share.h
@@ -41,8 +41,8 @@
 struct gate_claim_view {
     std::size_t rank = 0;            ///< of this VM among those in the membership
     bool higher_ranked_live = false; ///< a VM that ranks higher is live and so is the gate
-    duration since_lease_granted =
-        duration::max(); ///< since this VM last granted a lease to a higher one
+    /** Time since this VM last granted a lease to a VM that ranks higher. */
+    duration since_lease_granted = duration::max();
     bool has_successor = false;
     bool successor_ever_acked = false;
     duration since_lease = duration::max(); ///< since the ping was sent that the successor acked
--- a/src/gossip_socket.h
+++ b/src/gossip_socket.h
@@ -19,7 +19,7 @@
  * are dropped, since they are only hints. Probes and acks, which decide who is alive, and the
  * notices of a leaving VM are always sent. */
 constexpr double gossip_bytes_per_second = 9000;
-/** Size of the token bucket, and of the debt that probes and acks may run up. */
+/** Size of the token bucket, and largest negative balance that probes and acks may cause. */
 constexpr double gossip_burst_bytes = 60'000;
 
 struct gossip_counters {
--- a/src/home.h
+++ b/src/home.h
@@ -1,6 +1,6 @@
 /** \file
  * The home of a key: the one live VM that stores the state of the key, such as a bucket of claims
- * or a client account's budget. All VMs with the same membership view select the same home.
+ * or a client account's token bucket. All VMs with the same membership view select the same home.
  */
 #pragma once
 
--- a/src/http_frontend.cpp
+++ b/src/http_frontend.cpp
@@ -79,12 +79,12 @@
               body.dump(-1, ' ', false, nlohmann::json::error_handler_t::replace) + "\n");
 }
 
-void send_bad_request(evhttp_request* request, const bad_request& bad)
+void send_bad_request(evhttp_request* request, const bad_request& rejected)
 {
     fail_request failure;
-    failure.status = bad.status;
-    failure.code = bad.code;
-    failure.message = bad.message;
+    failure.status = rejected.status;
+    failure.code = rejected.code;
+    failure.message = rejected.message;
     failure.step = "parse";
     failure.peer = "caller";
     send_error(request, failure);
@@ -98,8 +98,8 @@
     std::uint64_t id = 0;
     evhttp_request* request = nullptr;
     evhttp_connection* connection = nullptr;
-    evbuffer_cb_entry* drained = nullptr;
-    event_ptr<event> closed;
+    evbuffer_cb_entry* drain_callback = nullptr;
+    event_ptr<event> disconnect_event;
     bool head_sent = false;
     service_id service;
     client_account_id account;
@@ -209,9 +209,9 @@
 {
     const instant now = std::chrono::steady_clock::now();
     auto parsed = parse_request(raw, *this->config, now, this->options.default_deadline_ms);
-    if (const auto* bad = std::get_if<bad_request>(&parsed)) {
+    if (const auto* rejected = std::get_if<bad_request>(&parsed)) {
         this->telemetry.count("worksshift_bad_requests_total");
-        send_bad_request(request, *bad);
+        send_bad_request(request, *rejected);
         return;
     }
     accepted_request accepted{std::move(std::get<parsed_request>(parsed).row),
@@ -242,14 +242,15 @@
             reader->owner->on_drained.emit(reader->id, static_cast<std::uint32_t>(info->n_deleted));
         }
     };
-    item->drained = evbuffer_add_cb(bufferevent_get_output(socket), drained, item);
+    item->drain_callback = evbuffer_add_cb(bufferevent_get_output(socket), drained, item);
     // evhttp does not read while a request is served, so it does not notice a disconnect.
-    const auto hung_up = [](evutil_socket_t, short, void* context) {
+    const auto on_closed_by_caller = [](evutil_socket_t, short, void* context) {
         auto* disconnected = static_cast<caller*>(context);
         disconnected->owner->handle_disconnect(*disconnected);
     };
-    item->closed.reset(event_new(this->base, bufferevent_getfd(socket), EV_CLOSED, hung_up, item));
-    event_add(item->closed.get(), nullptr);
+    item->disconnect_event.reset(
+        event_new(this->base, bufferevent_getfd(socket), EV_CLOSED, on_closed_by_caller, item));
+    event_add(item->disconnect_event.get(), nullptr);
 
     accepted.row.id = item->id;
     accepted.row.request_id = this->id_prefix + std::to_string(item->id);
@@ -289,9 +290,9 @@
  * request. */
 void http_frontend::detach(caller& item)
 {
-    item.closed.reset();
+    item.disconnect_event.reset();
     bufferevent* socket = evhttp_connection_get_bufferevent(item.connection);
-    evbuffer_remove_cb_entry(bufferevent_get_output(socket), item.drained);
+    evbuffer_remove_cb_entry(bufferevent_get_output(socket), item.drain_callback);
     evhttp_connection_set_closecb(item.connection, nullptr, nullptr);
 }
 
@@ -343,9 +344,9 @@
 /** Close callback: evhttp is freeing the connection. */
 void http_frontend::handle_closed(caller& item)
 {
-    item.closed.reset();
+    item.disconnect_event.reset();
     bufferevent* socket = evhttp_connection_get_bufferevent(item.connection);
-    evbuffer_remove_cb_entry(bufferevent_get_output(socket), item.drained);
+    evbuffer_remove_cb_entry(bufferevent_get_output(socket), item.drain_callback);
     // evhttp detaches an unfinished request from a failed connection; it must then be freed here.
     if (evhttp_request_get_connection(item.request) == nullptr) evhttp_request_free(item.request);
     const std::uint64_t id = item.id;
--- a/src/http_frontend.h
+++ b/src/http_frontend.h
@@ -57,7 +57,7 @@
 
     sigc::signal<void(const accepted_request&)> on_request;
     sigc::signal<void(std::uint64_t)> on_disconnect;
-    /** This many more bytes were written to the caller's socket: request, bytes. */
+    /** Emitted when bytes were written to the caller's socket: request, number of bytes. */
     sigc::signal<void(std::uint64_t, std::uint32_t)> on_drained;
     /** Text to append to the response of /metrics. */
     std::function<std::string()> extra_metrics;
--- a/src/intents.h
+++ b/src/intents.h
@@ -37,7 +37,8 @@
     service_id service;
     bool fenced = false;
 };
-/** The engines load the version. Callers do not get it yet, unless it is the service's first. */
+/** The engines load the version. It does not serve callers yet, unless it is the first of the
+ * service. */
 struct add_model_version {
     service_id service;
     std::string version;
--- a/src/link_hub.cpp
+++ b/src/link_hub.cpp
@@ -43,7 +43,8 @@
     event_ptr<bufferevent> socket;
     frame_writer writer;
     frame_reader reader;
-    nonce own{}; ///< in the tags of the frames that the peer sends after it has read our hello
+    /** Covered by the tags of the frames that the peer sends after it has read this VM's hello. */
+    nonce own_nonce{};
     vm_id peer;
     bool dialled = false;
     bool hello_received = false; ///< the peer's hello was read
@@ -77,10 +78,10 @@
     bufferevent_setcb(socket, &link_hub::on_read, nullptr, &link_hub::on_event, &item);
     bufferevent_enable(socket, EV_READ | EV_WRITE);
     ++this->counts.connections_opened;
-    item.own = make_nonce();
+    item.own_nonce = make_nonce();
     hello greeting;
     greeting.vm = this->self;
-    greeting.nonce = item.own;
+    greeting.nonce = item.own_nonce;
     this->write(item, greeting);
     return item;
 }
@@ -190,7 +191,7 @@
     item.peer = greeting.vm;
     item.hello_received = true;
     item.writer.set_nonce(greeting.nonce);
-    item.reader.set_nonce(item.own);
+    item.reader.set_nonce(item.own_nonce);
     this->outgoing.try_emplace(item.peer, &item);
     for (const link_message& message : std::exchange(item.pending_messages, {})) {
         this->write(item, message);
--- a/src/membership.cpp
+++ b/src/membership.cpp
@@ -97,10 +97,11 @@
 {
     const std::size_t sends =
         sends_per_doubling * static_cast<std::size_t>(std::bit_width(this->table.size() + 1));
-    const auto same = std::ranges::find(this->pending_updates, update.vm,
-                                        [](const pending_update& item) { return item.update.vm; });
-    if (same != this->pending_updates.end()) {
-        *same = {update, sends};
+    const auto queued =
+        std::ranges::find(this->pending_updates, update.vm,
+                          [](const pending_update& item) { return item.update.vm; });
+    if (queued != this->pending_updates.end()) {
+        *queued = {update, sends};
         return;
     }
     this->pending_updates.push_back({update, sends});
@@ -129,7 +130,7 @@
     const auto found = this->table.find(pending->target);
     if (found != this->table.end()) {
         member& row = found->second;
-        // A relayed ack is evidence of life but grants no lease.
+        // A relayed ack is evidence of liveness but grants no lease.
         if (sender.vm == pending->target && body.lease) {
             row.acked_at = std::max(row.acked_at, pending->sent);
             row.ever_acked = true;
@@ -329,7 +330,7 @@
                            .body = std::move(body),
                            .updates = {},
                            .loads = {}};
-    // The least sent updates go first.
+    // The updates that were sent the fewest times are sent first.
     std::ranges::sort(this->pending_updates, std::greater{}, &pending_update::sends_left);
     const std::size_t count =
         std::min(this->settings.updates_per_datagram, this->pending_updates.size());
--- a/src/membership.h
+++ b/src/membership.h
@@ -4,10 +4,10 @@
  * Each period a VM pings one member in shuffled round-robin order, and the members whose leases it
  * needs (gate_share.h). A missed ack is retried through other members before the target is
  * suspected, and a suspect has `suspicion` to refute. Updates are piggybacked on these datagrams,
- * so the cost per VM does not depend on the size of the fleet. Link messages are evidence of life,
- * too: a VM that receives messages directly from another ignores reports that it is suspect or
- * dead. After a stall of its own (the VM was paused) a VM discards its pending probes, because a
- * missing ack from before the stall proves nothing.
+ * so the cost per VM does not depend on the size of the fleet. Link messages are evidence of
+ * liveness, too: a VM that receives messages directly from another ignores reports that it is
+ * suspect or dead. After a stall of its own (the VM was paused) a VM discards its pending probes,
+ * because a missing ack from before the stall proves nothing.
  */
 #pragma once
 
@@ -79,10 +79,10 @@
     /** Announces that this VM is stopping; the live members are notified at once that it is
      * `leaving`. */
     void announce_leave();
-    /** Records a link message from the member, which is evidence of life without a probe. */
+    /** Records a link message from the member, which is evidence of liveness without a probe. */
     void note_link_message(const vm_id& vm);
-    /** Has the member probed at the next tick rather than in its turn, after a connection to it
-     * failed. */
+    /** Schedules a probe of the member for the next tick, ahead of its turn, after a connection to
+     * it failed. */
     void probe_early(const vm_id& vm);
 
     /** Sends probes that are due, expires suspects and removes dead members. */
--- a/src/messages.h
+++ b/src/messages.h
@@ -194,8 +194,8 @@
 struct claim_request {
     attempt_id id;
     std::string key; ///< account and idempotency key
-    std::uint64_t fingerprint =
-        0; ///< hash of the request, to detect a key reused for another request
+    /** Hash of the request, to detect a key reused for another request. */
+    std::uint64_t fingerprint = 0;
 
     template <class Archive>
     void serialize(Archive& archive)
@@ -353,8 +353,7 @@
 
 enum class member_state : std::uint8_t { alive, suspect, leaving, dead };
 
-/** State of one VM as reported by another or by itself. A higher incarnation overrides a lower one.
- */
+/** State of a VM as reported by itself or another. A higher incarnation overrides a lower one. */
 struct member_update {
     vm_id vm;
     data_centre_id data_centre;
--- a/src/node.h
+++ b/src/node.h
@@ -32,8 +32,7 @@
 
     /** Offers a configuration received from the platform. */
     offer_result offer(config_documents documents);
-    /** Starts a planned stop: accepts no new work, notifies other VMs, lets work in flight finish.
-     */
+    /** Starts a planned stop: refuses new work, notifies other VMs, lets work in flight finish. */
     void leave();
     /** Whether no request, attempt or claim is in flight or queued here. */
     [[nodiscard]] bool idle() const;
--- a/src/parse_request.cpp
+++ b/src/parse_request.cpp
@@ -43,8 +43,8 @@
     return *account;
 }
 
-/** Identifies a chat without an id by its messages up to the first one of the user, which are the
- * same in all turns of a chat. */
+/** Identifies a chat without an id by its messages up to the first user message, which are the same
+ * in all turns of a chat. */
 std::uint64_t hash_stable_prefix(const json& messages)
 {
     std::string prefix;
--- a/src/plans.cpp
+++ b/src/plans.cpp
@@ -46,20 +46,22 @@
 {
     for (const service_config& service : after.services) {
         const service_config* old = before.find_service(service.id);
-        const std::uint32_t was = old == nullptr ? 0 : capacity(*old);
-        const std::uint32_t is = capacity(service);
-        if (was == is) continue;
-        item.effect += "capacity of " + service.id.text + " from " + std::to_string(was) + " to " +
-                       std::to_string(is) + " requests; ";
-        if (is == 0) item.warnings.push_back("no server of " + service.id.text + " would be left");
-        if (is * 4 < was * 3) {
+        const std::uint32_t old_capacity = old == nullptr ? 0 : capacity(*old);
+        const std::uint32_t new_capacity = capacity(service);
+        if (old_capacity == new_capacity) continue;
+        item.effect += "capacity of " + service.id.text + " from " + std::to_string(old_capacity) +
+                       " to " + std::to_string(new_capacity) + " requests; ";
+        if (new_capacity == 0)
+            item.warnings.push_back("no server of " + service.id.text + " would be left");
+        if (new_capacity * 4 < old_capacity * 3) {
             item.warnings.push_back("the rest of " + service.id.text +
                                     " loses more than a quarter of its capacity");
         }
     }
 }
 
-/** Describes changes of the serving version, and warns if no engine was told to load it before. */
+/** Describes changes of the serving version, and warns if no engine was ordered to load
+ * it before. */
 void describe_versions(const fleet_config& before, const fleet_config& after, plan& item)
 {
     for (const service_config& service : after.services) {
--- a/src/platform_client.h
+++ b/src/platform_client.h
@@ -63,7 +63,7 @@
     timer queue_timer;
 };
 
-/** Parses the list of VMs. \throws peer_error. */
+/** Parses the list of VMs. \throws peer_error when it is malformed. */
 std::vector<listed_vm> parse_vm_list(const std::string& body);
 
 } // namespace worksshift
--- a/src/route_requests.cpp
+++ b/src/route_requests.cpp
@@ -315,8 +315,8 @@
     }
     const vm_id known_gate = gate_of(next->second);
     const vm_id gate = refused.next_gate.empty() ? known_gate : refused.next_gate;
-    // A VM that refuses as not being the gate but names itself is between two membership views.
-    // Waiting to ask it again would delay the request, so another server is tried.
+    // A VM that refuses because it is not the gate, but names itself as the gate, is between two
+    // membership views. Waiting to retry there would delay the request, so another server is tried.
     if (gate.empty() || (same_server && gate == request.gate)) {
         if (same_server) request.tried.push_back(request.server);
         try_server(t, request, request.resume_from, now);
--- a/src/server_calls.cpp
+++ b/src/server_calls.cpp
@@ -40,7 +40,7 @@
     evhttp_request* request = nullptr;            ///< owned by the connection
     evbuffer_cb_entry* output_callback = nullptr; ///< on the connection's output
     instant started{};
-    instant last_received{};    ///< when the last bytes came, or reading was resumed
+    instant last_received{};    ///< when the last bytes arrived, or reading was resumed
     bool bytes_written = false; ///< some bytes were written to the connection's output buffer
     bool head_sent = false;
     bool refused = false; ///< the server stated that it did not execute the request
@@ -48,7 +48,7 @@
     bool length_known = false;
     bool end_marker_seen = false;
     bool paused = false;
-    bool over = false;
+    bool has_ended = false;
     bool reusable = false;
     std::uint32_t sequence = 0;
     std::uint32_t window = data_window_bytes;
@@ -65,7 +65,7 @@
     // A request that is still on its connection is freed with it, and its callbacks must do
     // nothing.
     for (auto& [id, item] : this->calls)
-        item->over = true;
+        item->has_ended = true;
 }
 
 event_ptr<evhttp_connection> server_calls::get_connection(const server_config& server)
@@ -113,28 +113,28 @@
     item->last_received = started;
     item->connection = this->get_connection(order.server);
 
-    const auto done = [](evhttp_request* answer, void* context) {
+    const auto done = [](evhttp_request* response, void* context) {
         auto* ended = static_cast<call*>(context);
         ended->request = nullptr;
-        ended->owner->handle_end(*ended, answer);
+        ended->owner->handle_end(*ended, response);
     };
-    const auto head = [](evhttp_request* answer, void* context) {
+    const auto head = [](evhttp_request* response, void* context) {
         auto* target = static_cast<call*>(context);
-        if (!target->over) target->owner->handle_head(*target, answer);
+        if (!target->has_ended) target->owner->handle_head(*target, response);
         return 0;
     };
-    const auto data = [](evhttp_request* answer, void* context) {
+    const auto data = [](evhttp_request* response, void* context) {
         auto* target = static_cast<call*>(context);
-        if (!target->over) target->owner->handle_data(*target, answer);
+        if (!target->has_ended) target->owner->handle_data(*target, response);
     };
-    const auto handed = [](evbuffer*, const evbuffer_cb_info* info, void* context) {
+    const auto written = [](evbuffer*, const evbuffer_cb_info* info, void* context) {
         if (info->n_added > 0) static_cast<call*>(context)->bytes_written = true;
     };
     item->request = evhttp_request_new(done, item);
     evhttp_request_set_header_cb(item->request, head);
     evhttp_request_set_chunked_cb(item->request, data);
     bufferevent* socket = evhttp_connection_get_bufferevent(item->connection.get());
-    item->output_callback = evbuffer_add_cb(bufferevent_get_output(socket), handed, item);
+    item->output_callback = evbuffer_add_cb(bufferevent_get_output(socket), written, item);
     this->write_request(*item, item->request);
     const open_attempt& open = *order.request;
     if (evhttp_make_request(item->connection.get(), item->request, parse_method(open.method),
@@ -144,10 +144,10 @@
     }
 }
 
-void server_calls::handle_head(call& item, evhttp_request* answer)
+void server_calls::handle_head(call& item, evhttp_request* response)
 {
-    const int status = evhttp_request_get_response_code(answer);
-    const evkeyvalq* headers = evhttp_request_get_input_headers(answer);
+    const int status = evhttp_request_get_response_code(response);
+    const evkeyvalq* headers = evhttp_request_get_input_headers(response);
     item.last_received = this->now;
     if (evhttp_find_header(headers, not_run_header) != nullptr) {
         item.refused = true;
@@ -171,11 +171,11 @@
     this->on_frame.emit(item.order.entry, std::move(message));
 }
 
-void server_calls::handle_data(call& item, evhttp_request* answer)
+void server_calls::handle_data(call& item, evhttp_request* response)
 {
     item.last_received = std::chrono::steady_clock::now();
     if (item.refused) return;
-    evbuffer* input = evhttp_request_get_input_buffer(answer);
+    evbuffer* input = evhttp_request_get_input_buffer(response);
     item.pending += read_all(input);
     this->flush(item);
 }
@@ -217,11 +217,11 @@
     }
 }
 
-void server_calls::handle_end(call& item, evhttp_request* answer)
+void server_calls::handle_end(call& item, evhttp_request* response)
 {
-    if (item.over) return;
-    const bool answered = answer != nullptr && evhttp_request_get_response_code(answer) != 0;
-    if (!answered) {
+    if (item.has_ended) return;
+    const bool responded = response != nullptr && evhttp_request_get_response_code(response) != 0;
+    if (!responded) {
         const bool sent = item.bytes_written;
         this->end(item, sent ? outcome::unknown : outcome::not_run, true, sent ? "read" : "connect",
                   sent ? "the server closed the connection" : "no connection to the server");
@@ -250,7 +250,7 @@
 void server_calls::end(call& item, outcome result, bool server_fault, const char* step,
                        const std::string& detail)
 {
-    item.over = true;
+    item.has_ended = true;
     const attempt_id id = item.order.request->id;
     if (result != outcome::not_run) {
         this->on_frame.emit(item.order.entry, attempt_ended{id, item.sequence, result, step,
@@ -268,7 +268,7 @@
     const auto found = this->calls.find(id);
     if (found == this->calls.end()) return;
     call& item = *found->second;
-    item.over = true;
+    item.has_ended = true;
     const bool sent = item.bytes_written;
     this->on_ended.emit({id, sent ? outcome::unknown : outcome::not_run, false, "cancel", ""});
     this->finished.push_back(std::move(found->second));
--- a/src/server_calls.h
+++ b/src/server_calls.h
@@ -23,8 +23,8 @@
 
 namespace worksshift {
 
-constexpr std::uint32_t data_window_bytes =
-    64 * 1024; ///< bytes in flight to the caller per attempt
+/** Flow-control window: bytes in flight to the caller per attempt. */
+constexpr std::uint32_t data_window_bytes = 64 * 1024;
 constexpr std::size_t max_data_frame_bytes = std::size_t{32} * 1024;
 
 class server_calls {
@@ -59,10 +59,10 @@
     void write_request(call& item, evhttp_request* request) const;
     void end(call& item, outcome result, bool server_fault, const char* step,
              const std::string& detail);
-    void handle_head(call& item, evhttp_request* answer);
-    void handle_data(call& item, evhttp_request* answer);
+    void handle_head(call& item, evhttp_request* response);
+    void handle_data(call& item, evhttp_request* response);
     void flush(call& item);
-    void handle_end(call& item, evhttp_request* answer);
+    void handle_end(call& item, evhttp_request* response);
 
     event_base* base;
     duration idle_timeout;
--- a/src/tables.h
+++ b/src/tables.h
@@ -295,8 +295,8 @@
     std::unordered_map<server_id, gate_row> gates;
     std::unordered_map<attempt_id, server_id> server_by_attempt; ///< in flight or queued here
     std::unordered_map<std::uint64_t, request_row> requests;
-    std::unordered_map<attempt_id, std::uint64_t>
-        request_by_attempt; ///< request of each current attempt
+    /** The request of each current attempt. */
+    std::unordered_map<attempt_id, std::uint64_t> request_by_attempt;
     std::unordered_map<client_account_id, std::uint32_t> account_running; ///< at this entry
     std::unordered_map<attempt_id, pending_claim> claim_requests;
     std::vector<vm_id> homes; ///< live VMs, this one included unless it is leaving; see home.h
