--- a/test/correctness/dead_gate_is_passed_over_at_once.cpp
+++ b/test/correctness/dead_gate_is_passed_over_at_once.cpp
@@ -1,6 +1,6 @@
 /** \file
- * Guards against requests that wait until their deadline for a gate that just died. Connections to
- * it are refused, so they must be sent to another server at once.
+ * Guards against requests that wait until their deadline for a gate that was just killed.
+ * Connections to it are refused, so they must be sent to another server at once.
  */
 #include <cppunit/extensions/HelperMacros.h>
 
--- a/test/correctness/requests_stay_in_their_regions.cpp
+++ b/test/correctness/requests_stay_in_their_regions.cpp
@@ -80,6 +80,8 @@
         CPPUNIT_ASSERT((this->served_in({{"south"}, {"west"}}, {}) == names{"south", "west"}));
     }
 
+    /** An empty list allows all regions. With two lists, a request may go only to regions that are
+     * in both. */
     void of_route_and_account()
     {
         CPPUNIT_ASSERT((this->served_in({}, {{"west"}}) == names{"west"}));
--- a/test/correctness/requests_that_end_servers.cpp
+++ b/test/correctness/requests_that_end_servers.cpp
@@ -22,9 +22,9 @@
 using then = scripted_answer::then;
 
 /** Time after the third crash in which the report may still be on its way to some VMs. */
-constexpr duration learnt_within = seconds(3);
-/** How often all VMs together may send the request after that. */
-constexpr std::size_t sends_allowed = 3;
+constexpr duration max_propagation_time = seconds(3);
+/** Upper bound on the sends of the request by all VMs together after that. */
+constexpr std::size_t max_late_sends = 3;
 constexpr std::size_t min_crashes = 3;
 
 bool is_harmful(const std::string& request)
@@ -123,10 +123,10 @@
         this->start(5);
         this->ask_harmful(8);
         CPPUNIT_ASSERT(this->harmful_sends() >= min_crashes);
-        this->wait(learnt_within);
+        this->wait(max_propagation_time);
         const std::size_t before = this->harmful_sends();
         const std::string answer = this->ask_harmful(10);
-        CPPUNIT_ASSERT(this->harmful_sends() <= before + sends_allowed);
+        CPPUNIT_ASSERT(this->harmful_sends() <= before + max_late_sends);
         // The caller learns at once that the request was not run and that an early retry is
         // useless.
         CPPUNIT_ASSERT_EQUAL(503, status_in(answer));
@@ -150,7 +150,7 @@
         }
         const std::size_t before = this->harmful_sends();
         this->ask_harmful(6);
-        CPPUNIT_ASSERT(this->harmful_sends() <= before + sends_allowed);
+        CPPUNIT_ASSERT(this->harmful_sends() <= before + max_late_sends);
     }
 
     /** Other requests in flight at the crashing servers are served, during the crashes and later.
@@ -172,7 +172,7 @@
         };
         CPPUNIT_ASSERT(
             this->fleet->run_until([&] { return std::ranges::all_of(beside, whole); }, seconds(3)));
-        this->wait(learnt_within);
+        this->wait(max_propagation_time);
         for (std::size_t router = 0; router < 3; ++router)
             CPPUNIT_ASSERT_EQUAL(200, status_in(this->ask(router, "/stream/x", "other")));
     }
@@ -182,10 +182,10 @@
     {
         this->start(4);
         this->ask_harmful(8, "/once/x");
-        this->wait(learnt_within);
+        this->wait(max_propagation_time);
         const std::size_t before = this->harmful_sends();
         this->ask_harmful(12, "/once/x");
-        CPPUNIT_ASSERT(this->harmful_sends() <= before + sends_allowed);
+        CPPUNIT_ASSERT(this->harmful_sends() <= before + max_late_sends);
     }
 };
 
--- a/test/error/configurations_that_come_late.cpp
+++ b/test/error/configurations_that_come_late.cpp
@@ -133,6 +133,8 @@
         this->base.reset();
     }
 
+    /** Guards against a VM that cannot reach the store and does not get the configuration from
+     * another VM. */
     void from_another_vm()
     {
         this->second = this->make("127.0.0.42", {"127.0.0.1", support::free_port()});
@@ -151,6 +153,7 @@
         CPPUNIT_ASSERT(this->version_of(*this->first, 6));
     }
 
+    /** Guards against accepting an invalid configuration from another VM. */
     void rubbish_from_another_vm()
     {
         CPPUNIT_ASSERT(this->version_of(*this->first, 5));
@@ -163,6 +166,7 @@
         CPPUNIT_ASSERT(this->version_of(*this->second, 9));
     }
 
+    /** Guards against waiting for an unresponsive VM instead of querying the store. */
     void other_vms_do_not_answer()
     {
         CPPUNIT_ASSERT(this->version_of(*this->first, 5));
--- a/test/error/registry_entries_by_others.cpp
+++ b/test/error/registry_entries_by_others.cpp
@@ -121,6 +121,7 @@
     }
 
 public:
+    /** Guards against an invalid entry that becomes a server or affects the entry beside it. */
     void unsound_entries_name_no_server()
     {
         for (const std::string& document : invalid_documents()) {
@@ -134,6 +135,7 @@
         }
     }
 
+    /** Guards against rejecting an entry that has unknown fields. */
     void further_fields_do_no_harm()
     {
         const std::string more = with_replacement(
@@ -150,6 +152,8 @@
                                  peer_error);
     }
 
+    /** Guards against a server that stays in use after its entry has become invalid, or that is not
+     * used again once the entry is valid. */
     void entry_that_turns_unsound_is_a_server_gone()
     {
         server_table table(data_centre_id{"dc"});
@@ -166,6 +170,7 @@
         CPPUNIT_ASSERT(table.find(server_id{"a"})->accepts_requests());
     }
 
+    /** Guards against one invalid entry or event that makes the whole page unusable. */
     void page_with_one_unsound_entry_keeps_the_others()
     {
         std::vector<std::string> invalid;
@@ -200,6 +205,7 @@
         }
     }
 
+    /** Guards against a malformed page that is decoded as an empty one. */
     void page_that_is_none_is_refused()
     {
         for (const std::string body : {"", "null", "[]", "{", R"({"items":7})", R"({"items":[1)",
--- a/test/error/servers_that_leave_or_lapse.cpp
+++ b/test/error/servers_that_leave_or_lapse.cpp
@@ -158,7 +158,7 @@
         CPPUNIT_ASSERT_EQUAL(std::size_t{1}, this->usable());
     }
 
-    /** Guards against each VM starting the retention anew when it learns of a missing entry. */
+    /** Guards against each VM restarting the retention period when it learns of a missing entry. */
     void kept_for_as_long_as_by_the_teller()
     {
         const instant asked = this->start + seconds(60);
--- a/test/error/store_that_fails.cpp
+++ b/test/error/store_that_fails.cpp
@@ -123,6 +123,8 @@
         CPPUNIT_ASSERT_EQUAL(std::string(R"({"x":1})"), this->changed[0].document);
     }
 
+    /** Guards against changes that are lost when the store has compacted the history that the watch
+     * would continue from: it must list the objects again. */
     void history_gone()
     {
         this->start();
@@ -134,6 +136,8 @@
         CPPUNIT_ASSERT_EQUAL(std::size_t{1}, this->listed.size());
     }
 
+    /** Guards against a store that still counts as unreachable after it has stopped refusing calls.
+     */
     void refused_then_served()
     {
         for (const store_fault fault : {store_fault::busy, store_fault::many}) {
@@ -172,6 +176,8 @@
         CPPUNIT_ASSERT(this->run_until([this] { return this->changed.size() == 1; }, seconds(2)));
     }
 
+    /** Guards against calls to the store by a stopped watch, and against losing the changes of that
+     * time when it is started again. */
     void stopped_watch_asks_nothing()
     {
         this->start();
@@ -185,6 +191,8 @@
         CPPUNIT_ASSERT(this->run_until([this] { return this->changed.size() == 1; }));
     }
 
+    /** Guards against requesting changes again that were received from another VM while the watch
+     * was stopped. */
     void goes_on_behind_what_was_learnt_elsewhere()
     {
         this->start();
--- a/test/fuzz/account_rate_spans_the_fleet.cpp
+++ b/test/fuzz/account_rate_spans_the_fleet.cpp
@@ -1,7 +1,7 @@
 /** \file
- * An account's tokens per minute over all entry VMs, while home VMs die, are partitioned and
- * return. Guards against use above the bound that account_quota.h states or far from the rate
- * without faults, refusals that are late or lack a retry time, and effects on other accounts.
+ * An account's tokens per minute over all entry VMs, while home VMs restart, are partitioned
+ * and reconnect. Guards against use above the bound that account_quota.h states or far from the
+ * rate without faults, refusals that are late or lack a retry time, and effects on other accounts.
  */
 #include <cppunit/extensions/HelperMacros.h>
 #include <rapidcheck.h>
@@ -73,6 +73,8 @@
         return sum;
     }
 
+    /** Without faults, an account uses its rate and hardly more, and refusals come early and with a
+     * retry time. */
     void close_to_the_rate_when_calm()
     {
         support::core_fleet fleet(make_options(3));
@@ -93,6 +95,8 @@
         CPPUNIT_ASSERT(refused > 0);
     }
 
+    /** Guards against refusing forever a request that costs more than the bucket holds. It runs,
+     * and the account's later requests are refused until the bucket has filled again. */
     void a_request_larger_than_the_budget_passes()
     {
         support::core_fleet fleet(make_options(4));
@@ -111,6 +115,7 @@
         CPPUNIT_ASSERT(fleet.results[after].retry_after_ms > 10'000);
     }
 
+    /** Guards against charging an account for a request that was refused without a run. */
     void what_did_not_run_costs_nothing()
     {
         support::core_fleet fleet(make_options(5));
@@ -133,6 +138,7 @@
         CPPUNIT_ASSERT(fleet.results[served].end == ending::whole);
     }
 
+    /** Guards against use above the bound while VMs restart and links are cut. */
     void bounded_under_disturbance()
     {
         const bool property_holds = rc::check("rate", [] {
--- a/test/fuzz/crash_reports_reach_every_vm.cpp
+++ b/test/fuzz/crash_reports_reach_every_vm.cpp
@@ -20,9 +20,9 @@
 using support::digest_fleet;
 
 /** Time after the third crash in which the report may still be on its way to some VMs. */
-constexpr duration learnt_within = seconds(3);
-/** How often all VMs together may send the request after that. */
-constexpr std::size_t sends_allowed = 3;
+constexpr duration max_propagation_time = seconds(3);
+/** Upper bound on the sends of the request by all VMs together after that. */
+constexpr std::size_t max_late_sends = 3;
 constexpr content_key harmful{0xbad};
 
 /** VMs with their crash suspects, and servers of which one crashes with each harmful request. */
@@ -40,8 +40,8 @@
             fleet_rounds& rounds = this->fleet.vms.at(vm).rounds;
             const bool local = rounds.fleet().is_local(from);
             if (!this->known[vm].handle_digest(from.last, local, this->fleet.now)) return;
-            if (this->fleet.now - this->hastened_at[vm] < milliseconds(500)) return;
-            this->hastened_at[vm] = this->fleet.now;
+            if (this->fleet.now - this->last_early_round[vm] < milliseconds(500)) return;
+            this->last_early_round[vm] = this->fleet.now;
             this->known[vm].take_urgent();
             rounds.send_early();
         };
@@ -93,7 +93,7 @@
 
     digest_fleet fleet;
     std::map<std::size_t, crash_suspects> known;
-    std::map<std::size_t, instant> hastened_at;
+    std::map<std::size_t, instant> last_early_round;
     std::size_t sends = 0;
     std::uint32_t servers = 0;
     std::mt19937 random;
@@ -118,10 +118,10 @@
     {
         while (fleet.sends < crashes_until_blocked)
             fleet.ask_harmful(per_s, milliseconds(50));
-        fleet.ask_harmful(per_s, learnt_within);
+        fleet.ask_harmful(per_s, max_propagation_time);
         const std::size_t before = fleet.sends;
         fleet.ask_harmful(per_s, span);
-        CPPUNIT_ASSERT(fleet.sends <= before + sends_allowed);
+        CPPUNIT_ASSERT(fleet.sends <= before + max_late_sends);
     }
 
 public:
@@ -264,7 +264,7 @@
             CPPUNIT_ASSERT(known.remembered() <= max_suspects);
         CPPUNIT_ASSERT_EQUAL(std::size_t{0}, fleet.known[0].blocked_contents());
         // The harmful request is still detected.
-        fleet.ask_harmful(10, learnt_within);
+        fleet.ask_harmful(10, max_propagation_time);
         CPPUNIT_ASSERT_EQUAL(std::size_t{7}, fleet.blocked_at(harmful));
     }
 
--- a/test/fuzz/leaving_servers_get_nothing_new.cpp
+++ b/test/fuzz/leaving_servers_get_nothing_new.cpp
@@ -18,18 +18,18 @@
 
 /** The shortest of the users' bounds: from the store's response until a leaving server gets no new
  * work. */
-constexpr duration promised_within = seconds(2);
+constexpr duration max_removal_delay = seconds(2);
 /** Part of that bound: time in which a request that was sent before the server was dropped arrives
  * there. */
-constexpr duration on_the_way = milliseconds(150);
+constexpr duration max_transit_time = milliseconds(150);
 /** Time until all VMs know of a change: half of the bound, so that a VM which has just started may
  * be as late again. */
-constexpr duration learnt_within = seconds(1);
+constexpr duration max_propagation_time = seconds(1);
 /** The bound holds for a VM that has run for this long, and from this long after the store's
  * return; the shortest such time. */
-constexpr duration calm_after = seconds(3);
+constexpr duration settle_time = seconds(3);
 /** Time after the store's return within which expired entries are written again. */
-constexpr duration back_within = milliseconds(1900);
+constexpr duration max_rewrite_delay = milliseconds(1900);
 
 struct fleet_size {
     std::size_t vms = 0;
@@ -99,15 +99,15 @@
     static void most_leave_while_vms_restart(store_fleet& fleet)
     {
         rolling_restart restart(fleet);
-        restart.run(calm_after);
+        restart.run(settle_time);
         for (std::size_t server = 0; server + 1 < servers_of_small_service; ++server) {
             fleet.remove_server(name_of(server));
             restart.run(seconds(1));
         }
-        restart.run(promised_within);
+        restart.run(max_removal_delay);
         for (std::size_t server = 0; server + 1 < servers_of_small_service; ++server) {
             CPPUNIT_ASSERT_EQUAL_MESSAGE(std::to_string(fleet.vms.size()) + " VMs", std::size_t{0},
-                                         fleet.vms_using(name_of(server), calm_after));
+                                         fleet.vms_using(name_of(server), settle_time));
         }
     }
 
@@ -120,13 +120,14 @@
         for (std::size_t server = 0; server < servers_of_small_service; ++server)
             fleet.remove_server(name_of(server));
         fleet.store.silent = false;
-        for (duration left = back_within; left > duration::zero(); left -= milliseconds(100)) {
+        for (duration left = max_rewrite_delay; left > duration::zero();
+             left -= milliseconds(100)) {
             fleet.run(milliseconds(100));
             CPPUNIT_ASSERT_EQUAL_MESSAGE(message, vms, fleet.vms_using(name_of(0)));
         }
         for (std::size_t server = 0; server < servers_of_small_service; ++server)
             fleet.add_server(name_of(server), "desk");
-        fleet.run(promised_within);
+        fleet.run(max_removal_delay);
         CPPUNIT_ASSERT_EQUAL_MESSAGE(message, vms, fleet.vms_using(name_of(0)));
     }
 
@@ -137,7 +138,7 @@
             const auto fleet = make_fleet(size);
             fleet->remove_server("model3");
             fleet->remove_server(name_of(0));
-            fleet->run(promised_within);
+            fleet->run(max_removal_delay);
             CPPUNIT_ASSERT_EQUAL_MESSAGE(at(size), std::size_t{0}, fleet->vms_using("model3"));
             CPPUNIT_ASSERT_EQUAL_MESSAGE(at(size), std::size_t{0}, fleet->vms_using(name_of(0)));
         }
@@ -153,7 +154,7 @@
             fleet->run(milliseconds(50));
             for (std::size_t server = 0; server + 1 < servers_of_small_service; ++server)
                 fleet->remove_server(name_of(server));
-            fleet->run(promised_within - on_the_way);
+            fleet->run(max_removal_delay - max_transit_time);
             CPPUNIT_ASSERT_EQUAL_MESSAGE(at(size), std::size_t{0}, fleet->vms_using(name_of(0)));
         }
     }
@@ -168,9 +169,9 @@
             for (std::size_t round = 0; round < 5; ++round) {
                 const std::string server = "model" + std::to_string(round);
                 fleet->remove_server(server);
-                restart.run(learnt_within);
+                restart.run(max_propagation_time);
                 CPPUNIT_ASSERT_EQUAL_MESSAGE(at(size), std::size_t{0},
-                                             fleet->vms_using(server, calm_after));
+                                             fleet->vms_using(server, settle_time));
             }
         }
     }
@@ -198,7 +199,7 @@
             fleet->store.refused.clear();
             fleet->run(milliseconds(1500));
             fleet->remove_server("model3");
-            fleet->run(learnt_within);
+            fleet->run(max_propagation_time);
             CPPUNIT_ASSERT_EQUAL_MESSAGE(at(size), std::size_t{0}, fleet->vms_using("model3"));
         }
     }
@@ -222,7 +223,7 @@
             fleet->fleet.cut.clear();
             for (std::size_t server = 0; server + 1 < servers_of_small_service; ++server)
                 fleet->remove_server(name_of(server));
-            fleet->run(promised_within);
+            fleet->run(max_removal_delay);
             const std::size_t vms_still_using = fleet->vms_using(name_of(0));
             CPPUNIT_ASSERT_EQUAL_MESSAGE(at(size), std::size_t{0}, vms_still_using);
         }
@@ -250,7 +251,7 @@
                 fleet->run(seconds(2));
             }
             fleet->fleet.cut.clear();
-            fleet->run(learnt_within);
+            fleet->run(max_propagation_time);
             CPPUNIT_ASSERT_EQUAL_MESSAGE(at(size), std::size_t{0}, fleet->vms_using(name_of(0)));
         }
     }
@@ -269,7 +270,7 @@
             fleet->fleet.kill(starting);
             fleet->store.silent = false;
             fleet->restart(starting);
-            fleet->run(back_within);
+            fleet->run(max_rewrite_delay);
             CPPUNIT_ASSERT_EQUAL_MESSAGE(at(size), size.vms - 1, fleet->vms_using(name_of(0)));
         }
     }
@@ -292,7 +293,7 @@
             for (std::size_t server = 0; server < servers_of_small_service; ++server)
                 fleet->remove_server(name_of(server));
             fleet->store.silent = false;
-            fleet->run(calm_after + promised_within);
+            fleet->run(settle_time + max_removal_delay);
             CPPUNIT_ASSERT_EQUAL_MESSAGE(at(size), std::size_t{0}, fleet->vms_using(name_of(0)));
         }
     }
--- a/test/fuzz/versions_reach_every_vm.cpp
+++ b/test/fuzz/versions_reach_every_vm.cpp
@@ -16,10 +16,10 @@
 
 /** The shortest of the users' bounds: from the store's response to a change until the change is in
  * force, or until a leaving server gets no new work. */
-constexpr duration promised_within = seconds(2);
+constexpr duration max_propagation_time = seconds(2);
 /** Minimum time after the end of a fault of the store or of a VM from which on the bounds
  * hold again. */
-constexpr duration calm_after = seconds(3);
+constexpr duration settle_time = seconds(3);
 
 std::string name_of_server(std::size_t server)
 {
@@ -78,7 +78,7 @@
     case 3:
         fleet.lose_waiting();
         draw_changes(fleet, version);
-        fleet.run(calm_after);
+        fleet.run(settle_time);
         break;
     case 4:
         for (auto left = *rc::gen::inRange<std::size_t>(1, fleet.vms.size() + 1); left > 0; --left)
@@ -115,10 +115,10 @@
             fleet.run(seconds(10));
             for (int round = 0; round < 4; ++round) {
                 draw_fault(fleet, version);
-                fleet.run(calm_after);
-                RC_ASSERT(fleet.run_until_known(promised_within) < promised_within);
+                fleet.run(settle_time);
+                RC_ASSERT(fleet.run_until_known(max_propagation_time) < max_propagation_time);
                 draw_changes(fleet, version);
-                RC_ASSERT(fleet.run_until_known(promised_within) < promised_within);
+                RC_ASSERT(fleet.run_until_known(max_propagation_time) < max_propagation_time);
                 RC_ASSERT(!fleet.any_regressed());
             }
         });
@@ -140,7 +140,7 @@
         CPPUNIT_ASSERT_EQUAL(delegates_per_fleet, fleet.store.refused.size());
         fleet.run(watcher_selection::max_confirmation_age + seconds(2));
         fleet.set_config(2);
-        CPPUNIT_ASSERT(fleet.run_until_known(promised_within) < promised_within);
+        CPPUNIT_ASSERT(fleet.run_until_known(max_propagation_time) < max_propagation_time);
     }
 
     /** Guards against watches that are lost without a sign: each has a timeout of its own. */
@@ -151,9 +151,9 @@
         fleet.set_config(1);
         fleet.run(seconds(10));
         fleet.lose_waiting();
-        fleet.run(calm_after);
+        fleet.run(settle_time);
         fleet.set_config(2);
-        CPPUNIT_ASSERT(fleet.run_until_known(promised_within) < promised_within);
+        CPPUNIT_ASSERT(fleet.run_until_known(max_propagation_time) < max_propagation_time);
     }
 
     /** Counts the calls for a start and 40 changes, with a stale call as a tenth of a call. With
@@ -172,7 +172,7 @@
                                 fleet.fleet.now);
                 fleet.run(milliseconds(500));
             }
-            CPPUNIT_ASSERT(fleet.run_until_known(promised_within) < promised_within);
+            CPPUNIT_ASSERT(fleet.run_until_known(max_propagation_time) < max_propagation_time);
             return std::pair(start, fleet.call_cost() - start);
         };
         const auto [start, changes] = calls_of_day(120);
@@ -196,7 +196,7 @@
         const double away = fleet.call_cost() - before;
         fleet.store.refused.clear();
         fleet.set_config(2);
-        CPPUNIT_ASSERT(fleet.run_until_known(promised_within) < promised_within);
+        CPPUNIT_ASSERT(fleet.run_until_known(max_propagation_time) < max_propagation_time);
         // Fewer calls than VMs.
         CPPUNIT_ASSERT(away < 240);
     }
--- a/test/performance/fairness.cpp
+++ b/test/performance/fairness.cpp
@@ -22,7 +22,7 @@
 constexpr double mean_cost = 200; ///< occupies a slot for one second
 constexpr std::size_t server_count = 4;
 constexpr std::uint32_t server_limit = 8;
-constexpr double calm_rate = 26; ///< requests per second, of 32 that the slots can serve
+constexpr double base_rate = 26; ///< requests per second, of 32 that the slots can serve
 
 struct arrival {
     double at_s = 0;
@@ -42,7 +42,7 @@
     std::mt19937_64 random(seed);
     std::vector<arrival> trace;
     for (int account = 0; account < 10; ++account) {
-        const double rate = calm_rate / 10;
+        const double rate = base_rate / 10;
         std::exponential_distribution<double> gap(rate);
         for (double at = gap(random); at < span_s;) {
             trace.push_back({at, account, draw_cost(random)});
--- a/test/soak/guarantee_checker.h
+++ b/test/soak/guarantee_checker.h
@@ -64,7 +64,7 @@
     /** Time after which a confirmed configuration must be in force, and a leaving server must get
      * no new requests. */
     static constexpr worksshift::duration max_propagation_time = worksshift::milliseconds(2000);
-    /** A router must keep guarantees with a time limit once it had no fault for this time. */
+    /** A router must keep guarantees with a deadline once it had no fault for this time. */
     static constexpr worksshift::duration min_undisturbed_time = worksshift::milliseconds(3000);
     /** Timeout of the routes, and the further time in which the response must reach the caller. */
     static constexpr worksshift::duration timeout = worksshift::milliseconds(1500);
@@ -86,7 +86,7 @@
     void record_run_end(const std::string& request);
     /** Called when the response is complete or the caller's connection has ended. */
     void record_response(asked_request& item, const std::string& received, worksshift::instant now);
-    /** Checks the guarantees whose time limit has passed, and forgets old requests. */
+    /** Checks the guarantees whose deadline has passed, and forgets old requests. */
     void check(worksshift::instant now);
 
     void record_config(std::uint64_t version, worksshift::instant now);
@@ -94,7 +94,7 @@
     /** A router was killed, paused, or a connection of it failed. */
     void note_disturbance(std::size_t router, worksshift::instant now);
     void note_disturbance_of_all(worksshift::instant now);
-    /** A router was asked to stop. Guarantees with a time limit are off, but it must still answer
+    /** A router was asked to stop. Guarantees with a deadline are off, but it must still answer
      * the requests that it accepted. */
     void stop(std::size_t router, worksshift::instant now)
     {
@@ -136,7 +136,7 @@
     void check_lost(const asked_request& item, worksshift::instant now);
     void check_key(const asked_request& item);
     /** Whether the router had no fault from min_undisturbed_time before the request until now; with
-     * \p bounds, whether it was not asked to stop either. */
+     * \p must_be_running, whether it was not asked to stop either. */
     [[nodiscard]] bool is_undisturbed(const asked_request& item, bool must_be_running) const;
     [[nodiscard]] worksshift::instant replaced_at(std::uint64_t version) const;
     [[nodiscard]] worksshift::instant confirmed_at(std::uint64_t version) const;
--- a/test/soak/soak_run.h
+++ b/test/soak/soak_run.h
@@ -24,8 +24,8 @@
     void run();
 
     [[nodiscard]] const guarantee_checker& ledger() const { return this->guarantees; }
-    /** Number of steps in which this process itself was delayed; guarantees with a time limit are
-     * not checked then. */
+    /** Number of steps in which this process itself was delayed; guarantees with a deadline are not
+     * checked then. */
     std::size_t stalls = 0;
 
 private:
--- a/test/support/core_fleet.cpp
+++ b/test/support/core_fleet.cpp
@@ -11,9 +11,10 @@
 using namespace worksshift;
 
 constexpr std::uint64_t first_unix_s = 1'700'000'000;
-constexpr duration refused_after = milliseconds(20);
+constexpr duration refusal_delay = milliseconds(20);
 constexpr duration platform_delay = milliseconds(5);
-constexpr std::uint64_t size_sampled_every = 64;
+/** One of so many gossip datagrams is encoded, to estimate the bytes of all. */
+constexpr std::uint64_t size_sample_interval = 64;
 
 authenticator& keys()
 {
@@ -264,7 +265,7 @@
         const auto* open = std::get_if<open_attempt>(&lost);
         if (open == nullptr) return;
         const attempt_id id = open->id;
-        this->at(this->clock + refused_after, [this, from, own_incarnation, id] {
+        this->at(this->clock + refusal_delay, [this, from, own_incarnation, id] {
             this->for_vm(from, own_incarnation, [this, from, id] {
                 this->vms[from].core->data().in.undelivered.push_back(id);
                 this->schedule_tick(from);
@@ -299,9 +300,9 @@
 void core_fleet::send_gossip(std::size_t from, const outgoing_gossip& item)
 {
     ++this->gossip_datagrams;
-    if (this->gossip_datagrams % size_sampled_every == 0) {
+    if (this->gossip_datagrams % size_sample_interval == 0) {
         const auto bytes = write_datagram(keys(), item.message);
-        const std::uint64_t size = (bytes ? bytes->size() : 0) * size_sampled_every;
+        const std::uint64_t size = (bytes ? bytes->size() : 0) * size_sample_interval;
         this->gossip_bytes += size;
         constexpr std::array names{"ping", "ack", "ping_request", "notice"};
         this->gossip_by_kind[names[item.message.body.index()]] += size;
@@ -427,7 +428,7 @@
     const bool refuses = std::exchange(server.refuse_next, false);
     if (!server.up || refuses) {
         const bool up = server.up;
-        this->at(this->clock + refused_after, [this, gate, vm_incarnation, id, up] {
+        this->at(this->clock + refusal_delay, [this, gate, vm_incarnation, id, up] {
             this->for_vm(gate, vm_incarnation, [this, gate, id, up] {
                 this->vms[gate].core->data().in.calls_ended.push_back(
                     {id, outcome::not_run, !up, up ? "server" : "connect", ""});
--- a/test/support/router_fleet.cpp
+++ b/test/support/router_fleet.cpp
@@ -19,7 +19,7 @@
 {
     this->store = std::make_unique<fakes::fake_store>(this->base.get(), this->stores.front());
     this->routers.resize(count);
-    // Wakes the event loop, so that run_until checks its condition and time limit regularly.
+    // Wakes the event loop, so that run_until checks its condition and timeout regularly.
     this->ticker.start_every(milliseconds(10));
 }
 
--- a/test/support/router_fleet.h
+++ b/test/support/router_fleet.h
@@ -49,7 +49,7 @@
     bool wait_until_all_ready();
     /** The response of the router's metrics port, including its head. */
     std::string metrics(std::size_t router, const std::string& path = "/metrics");
-    /** Runs the event loop until \p done; false if the time limit is reached first. */
+    /** Runs the event loop until \p done; false if \p limit elapses first. */
     bool run_until(const std::function<bool()>& done, worksshift::duration limit);
 
     worksshift::event_ptr<event_base> base;
