--- a/test/correctness/cold_servers_are_spared.cpp
+++ b/test/correctness/cold_servers_are_spared.cpp
@@ -4,8 +4,8 @@
  * while there is demand.
  *
  * Every VM has more requests than it can place, so each sends to a cold server as soon as it may,
- * while VMs stop, start, freeze and are partitioned. The limit is that of the specified engines: 13
- * requests per second, times 1.5 plus 5, so 24.5 in any second.
+ * while VMs stop, start or are suspended or partitioned. The limit is that of the specified
+ * engines: 13 requests per second, times 1.5 plus 5, so 24.5 in any second.
  */
 #include <deque>
 #include <map>
@@ -48,14 +48,14 @@
     }
 
     /** Suspends a VM: it neither sends nor receives anything. */
-    void freeze(std::size_t vm)
+    void suspend(std::size_t vm)
     {
-        this->frozen.insert(vm);
+        this->suspended.insert(vm);
         this->cut_off(vm);
     }
-    void wake(std::size_t vm)
+    void resume(std::size_t vm)
     {
-        this->frozen.erase(vm);
+        this->suspended.erase(vm);
         this->join(vm);
     }
     void cut_off(std::size_t vm)
@@ -97,7 +97,7 @@
 
     void send(std::size_t vm)
     {
-        if (this->frozen.contains(vm)) return;
+        if (this->suspended.contains(vm)) return;
         vm_gates& own = this->gates[vm];
         if (this->fleet.now - own.shared_at >= milliseconds(100)) this->share(vm, own);
         for (std::size_t server = 0; server < servers; ++server) {
@@ -143,7 +143,7 @@
     double senders;
     std::map<std::size_t, vm_gates> gates;
     std::map<std::size_t, std::deque<instant>> arrivals;
-    std::set<std::size_t> frozen;
+    std::set<std::size_t> suspended;
 };
 
 class cold_servers_are_spared : public CppUnit::TestFixture {
@@ -217,7 +217,7 @@
         return count;
     }
 
-    static void spared(const eager_fleet& fleet, const std::string& phase)
+    static void check_rate_bound(const eager_fleet& fleet, const std::string& phase)
     {
         CPPUNIT_ASSERT_MESSAGE(phase + ", " + seen(fleet), fleet.most_in_a_second <= bound);
     }
@@ -231,20 +231,20 @@
                                fleet.used(span) >= 0.9);
     }
 
-    /** VMs freeze, restart and leave while others send. */
-    static void come_and_go(eager_fleet& fleet)
+    /** VMs are suspended, restart and leave while others send. */
+    static void suspend_and_restart_vms(eager_fleet& fleet)
     {
         const std::size_t vms = fleet.fleet.vms.size();
         std::minstd_rand random(2);
         const auto drawn = [&] { return std::size_t{random()} % vms; };
         for (int round = 0; round < 4; ++round) {
-            const std::size_t frozen = drawn();
-            fleet.freeze(frozen);
+            const std::size_t suspended = drawn();
+            fleet.suspend(suspended);
             for (int i = 0; i < 2; ++i)
                 fleet.restart(drawn());
             if (round % 3 == 0) fleet.fleet.vms.at(drawn()).leaving = true;
             fleet.run(milliseconds(900));
-            fleet.wake(frozen);
+            fleet.resume(suspended);
         }
     }
 
@@ -276,13 +276,13 @@
     {
         eager_fleet fleet(vms, 1, senders);
         all_want_to_send(fleet);
-        spared(fleet, "all send");
-        come_and_go(fleet);
-        spared(fleet, "VMs come and go");
+        check_rate_bound(fleet, "all send");
+        suspend_and_restart_vms(fleet);
+        check_rate_bound(fleet, "VMs come and go");
         cut_off(fleet);
-        spared(fleet, "VMs cut off");
+        check_rate_bound(fleet, "VMs cut off");
         all_start(fleet);
-        spared(fleet, "all start");
+        check_rate_bound(fleet, "all start");
     }
 
 public:
@@ -304,7 +304,7 @@
     {
         eager_fleet fleet(480, 1, senders);
         all_want_to_send(fleet);
-        spared(fleet, "all send");
+        check_rate_bound(fleet, "all send");
     }
 
     /** The alternative, an even share for every VM, uses the limit less; see cold_servers.h. */
--- a/test/correctness/requests_that_end_servers.cpp
+++ b/test/correctness/requests_that_end_servers.cpp
@@ -59,7 +59,7 @@
     }
 
     /** Replaces each crashed server by a new one and removes its registry entry. */
-    void replace_ended()
+    void replace_crashed_servers()
     {
         for (std::size_t i = 0; i < this->fleet->servers.size(); ++i) {
             if (!this->fleet->servers[i]->ended || !this->replaced.insert(i).second) continue;
@@ -93,7 +93,7 @@
         std::string answer;
         for (std::size_t i = 0; i < times; ++i) {
             answer = this->ask(i % this->fleet->routers.size(), path, "harmful");
-            this->replace_ended();
+            this->replace_crashed_servers();
             this->wait(milliseconds(250));
         }
         return answer;
--- a/test/error/servers_that_leave_or_ask_for_rest.cpp
+++ b/test/error/servers_that_leave_or_ask_for_rest.cpp
@@ -123,7 +123,7 @@
         CPPUNIT_ASSERT_EQUAL(before + 1, this->asked(0));
     }
 
-    void turn_away_for(const std::string& retry_after)
+    void reject_with_retry_after(const std::string& retry_after)
     {
         this->first_status = 503;
         this->first_headers = "X-Not-Executed: 1\r\nRetry-After: " + retry_after + "\r\n";
@@ -136,7 +136,7 @@
     }
 
     /** The registry entry expires and reappears, as after an outage of the store. */
-    void list_anew(std::uint64_t started_at_ms = 0)
+    void recreate_entry(std::uint64_t started_at_ms = 0)
     {
         server_record record = this->rig->table.find(server_id{"first"})->record;
         record.started_at_ms = started_at_ms;
@@ -186,7 +186,7 @@
         const server_record ready = this->rig->table.find(server_id{"first"})->record;
         this->rig->table.put(ready, std::chrono::steady_clock::now());
         CPPUNIT_ASSERT_EQUAL(std::size_t{0}, this->first_gets());
-        this->list_anew();
+        this->recreate_entry();
         CPPUNIT_ASSERT_EQUAL(std::size_t{0}, this->first_gets());
     }
 
@@ -197,7 +197,7 @@
         this->first_headers = "Server-Leaving: 1\r\n";
         this->ask_until_first_answers();
         this->serve_again();
-        this->list_anew(5000);
+        this->recreate_entry(5000);
         this->check_first_serves();
     }
 
@@ -216,7 +216,7 @@
     void rest_is_kept_to()
     {
         this->start("desk", true);
-        this->turn_away_for("1.5");
+        this->reject_with_retry_after("1.5");
         const instant begin = std::chrono::steady_clock::now();
         this->ask_until_first_answers();
         this->rig->run_for(milliseconds(500));
@@ -236,7 +236,7 @@
     void rest_of_all_is_told_to_callers()
     {
         this->start("desk", false);
-        this->turn_away_for("1.5");
+        this->reject_with_retry_after("1.5");
         this->ask();
         this->rig->run_for(milliseconds(500));
         const std::size_t before = this->asked(0);
@@ -253,11 +253,11 @@
     void rest_is_not_forgotten()
     {
         this->start("desk", true);
-        this->turn_away_for("3");
+        this->reject_with_retry_after("3");
         this->ask_until_first_answers();
         // The server would now accept requests, so only the remembered back-off keeps them away.
         this->serve_again();
-        this->list_anew();
+        this->recreate_entry();
         CPPUNIT_ASSERT_EQUAL(std::size_t{0}, this->first_gets());
     }
 
@@ -267,7 +267,7 @@
         for (const char* value : {"-5", "-1e999", "1e-999", "nan", "inf", "abc", "", "0", "1e",
                                   "Wed, 21 Oct 2015 07:28:00 GMT"}) {
             this->start("desk", true);
-            this->turn_away_for(value);
+            this->reject_with_retry_after(value);
             this->ask_until_first_answers();
             this->serve_again();
             this->check_first_serves();
@@ -279,12 +279,12 @@
     {
         for (const char* value : {"1e300", "1e999", "99999999999999999999999999"}) {
             this->start("desk", true);
-            this->turn_away_for(value);
+            this->reject_with_retry_after(value);
             this->ask_until_first_answers();
             CPPUNIT_ASSERT(this->first_gets() <= max_late_requests);
             // The server restarts, and gets requests again.
             this->serve_again();
-            this->list_anew(7000);
+            this->recreate_entry(7000);
             this->check_first_serves();
         }
     }
--- a/test/fuzz/crash_reports_reach_every_vm.cpp
+++ b/test/fuzz/crash_reports_reach_every_vm.cpp
@@ -1,5 +1,5 @@
 /** \file
- * Guards against a request that goes on crashing servers because some VM has not learnt of it.
+ * Guards against a request that goes on crashing servers because some VM does not know of it.
  * Every VM must block it in time at any request rate, with 7 to 480 VMs, while digests are lost and
  * VMs restart. Other requests in flight at these servers must not be blocked, and reports and
  * memory must stay bounded.
@@ -49,22 +49,22 @@
     }
 
     /** A request arrives at a VM, which sends it unless it is blocked. Returns whether it was sent.
-     * \p ends: whether it crashes the server, or only its response is lost. */
-    bool ask(std::size_t vm, content_key content, bool ends)
+     * \p crashes: whether the request crashes the server, or only its response is lost. */
+    bool ask(std::size_t vm, content_key content, bool crashes)
     {
         if (this->known[vm].blocked(content, this->fleet.now)) return false;
         ++this->sends;
-        this->end_server(vm, {&content, 1}, ends);
+        this->fail_server(vm, {&content, 1}, crashes);
         return true;
     }
 
     /** A server crashes, or only loses its responses, with these contents of a VM in flight. */
-    void end_server(std::size_t vm, std::span<const content_key> contents, bool ends = true)
+    void fail_server(std::size_t vm, std::span<const content_key> contents, bool crashes = true)
     {
         const server_incarnation server{++this->servers};
         for (const content_key content : contents)
             this->known[vm].on_attempt_broken(content, server, this->fleet.now);
-        this->known[vm].on_checked(server, ends, this->fleet.now);
+        this->known[vm].on_checked(server, crashes, this->fleet.now);
     }
 
     /** Harmful requests arrive at random VMs at a mean rate of \p per_s for \p span. */
@@ -175,16 +175,16 @@
         constexpr std::array last{harmful, content_key{3}};
         for (std::size_t i = 0; i < 3; ++i) {
             if (i < 2) {
-                fleet.end_server(i, often);
+                fleet.fail_server(i, often);
             } else {
-                fleet.end_server(i, last);
+                fleet.fail_server(i, last);
             }
             fleet.fleet.run(milliseconds(300));
         }
         fleet.fleet.run(seconds(1));
         CPPUNIT_ASSERT_EQUAL(std::size_t{7}, fleet.blocked_at(harmful));
         // A later crash without the harmful request must not add to the crashes already explained.
-        fleet.end_server(4, {&followed, 1});
+        fleet.fail_server(4, {&followed, 1});
         fleet.fleet.run(seconds(1));
         CPPUNIT_ASSERT_EQUAL(std::size_t{0}, fleet.blocked_at(followed));
     }
@@ -207,7 +207,7 @@
         suspect_fleet fleet(7, 3);
         constexpr content_key often{6};
         for (std::size_t i = 0; i < 6; ++i) {
-            fleet.end_server(i, {&often, 1});
+            fleet.fail_server(i, {&often, 1});
             fleet.fleet.run(milliseconds(400));
             fleet.known[(i + 1) % 7].on_answered(often, fleet.fleet.now);
             fleet.fleet.run(milliseconds(400));
@@ -252,12 +252,12 @@
         suspect_fleet fleet(7, 3);
         std::uint64_t contents = 1000;
         for (std::size_t i = 0; i < 400; ++i) {
-            std::vector<content_key> under_way;
+            std::vector<content_key> in_flight;
             constexpr int slots = 64;
-            under_way.reserve(slots);
+            in_flight.reserve(slots);
             for (int k = 0; k < slots; ++k)
-                under_way.push_back(content_key{++contents});
-            fleet.end_server(i % 7, under_way);
+                in_flight.push_back(content_key{++contents});
+            fleet.fail_server(i % 7, in_flight);
             fleet.fleet.run(milliseconds(10));
         }
         for (const auto& [vm, known] : fleet.known)
--- a/test/fuzz/leaving_servers_get_nothing_new.cpp
+++ b/test/fuzz/leaving_servers_get_nothing_new.cpp
@@ -96,7 +96,7 @@
 
     static std::string at(const fleet_size& size) { return std::to_string(size.vms) + " VMs"; }
 
-    static void most_leave_while_vms_restart(store_fleet& fleet)
+    static void remove_most_while_vms_restart(store_fleet& fleet)
     {
         rolling_restart restart(fleet);
         restart.run(settle_time);
@@ -111,7 +111,7 @@
         }
     }
 
-    static void lapse_and_come_back(store_fleet& fleet)
+    static void expire_and_rewrite_entries(store_fleet& fleet)
     {
         const std::size_t vms = fleet.vms.size();
         const std::string message = std::to_string(vms) + " VMs";
@@ -181,7 +181,7 @@
     static void when_most_of_a_service_leaves_while_vms_restart()
     {
         for (const fleet_size& size : fleet_sizes)
-            most_leave_while_vms_restart(*make_fleet(size));
+            remove_most_while_vms_restart(*make_fleet(size));
     }
 
     /** Guards against a fault of one VM's path to the store being taken for an outage of the store.
@@ -233,7 +233,7 @@
     static void lapsed_entries_are_kept_by_all_vms()
     {
         for (const fleet_size& size : fleet_sizes)
-            lapse_and_come_back(*make_fleet(size));
+            expire_and_rewrite_entries(*make_fleet(size));
     }
 
     /** Guards against servers that left one after the other being taken for entries that expired
@@ -280,8 +280,8 @@
     static void in_the_largest_fleet()
     {
         const auto fleet = make_fleet(largest_fleet);
-        lapse_and_come_back(*fleet);
-        most_leave_while_vms_restart(*fleet);
+        expire_and_rewrite_entries(*fleet);
+        remove_most_while_vms_restart(*fleet);
     }
 
     static void lapsed_entries_that_stay_away_are_gone()
--- a/test/performance/config.cpp
+++ b/test/performance/config.cpp
@@ -83,7 +83,7 @@
 
 /** Seconds until every node has the newest revision after \p burst simultaneous changes; more than
  * 60 if that was not reached within 60 s. */
-double seconds_to_spread(support::core_fleet& fleet, int burst)
+double propagation_time_s(support::core_fleet& fleet, int burst)
 {
     for (int i = 0; i < burst; ++i) {
         fleet.change_config(
@@ -113,8 +113,9 @@
     options.heartbeat = worksshift::milliseconds(250);
     support::core_fleet fleet(options);
     fleet.run_for(worksshift::seconds(15));
-    out.at_most("config.480.in_force_everywhere_one_change", seconds_to_spread(fleet, 1), "s", 5);
-    out.at_most("config.480.in_force_everywhere_burst_of_50", seconds_to_spread(fleet, 50), "s", 5);
+    out.at_most("config.480.in_force_everywhere_one_change", propagation_time_s(fleet, 1), "s", 5);
+    out.at_most("config.480.in_force_everywhere_burst_of_50", propagation_time_s(fleet, 50), "s",
+                5);
     // Two watchers in each of 13 data centres make calls that wait 30 s; in the baseline, each of
     // the 480 nodes makes such calls.
     out.note("config.480.platform_watches", 2.0 * 13 / 30, "calls/s");
--- a/test/performance/fleet.cpp
+++ b/test/performance/fleet.cpp
@@ -111,7 +111,7 @@
 };
 
 /** Time until every VM knows a new version; each VM that learns it sends its next round early. */
-double spread_s(digest_fleet& fleet)
+double propagation_time_s(digest_fleet& fleet)
 {
     fleet.vms.begin()->second.config_version = 2;
     fleet.vms.begin()->second.rounds.send_early();
@@ -165,7 +165,7 @@
     shown.note(name + "bytes_between_data_centres", static_cast<double>(across) / vm_seconds,
                "B/s");
     shown.note(name + "load_error", load.error_of_loads() * percent, "percent");
-    shown.at_most(name + "version_known_everywhere", spread_s(fleet), "s", 2);
+    shown.at_most(name + "version_known_everywhere", propagation_time_s(fleet), "s", 2);
     shown.at_most(name + "processor", spent / vm_seconds * percent, "percent", 3.3);
 }
 
