--- a/lab/emulated_engine.cpp
+++ b/lab/emulated_engine.cpp
@@ -105,9 +105,10 @@
     this->running.remove_if([](const run& item) {
         return item.unread_tokens == 0 && item.produced_tokens >= item.request.answer_tokens;
     });
-    for (const std::uint64_t id : ended)
+    for (const std::uint64_t id : ended) {
         this->on_end(id, this->busy_until +
                              in_ms(this->figures.first_event_ms * this->slowdown_factor));
+    }
 }
 
 } // namespace lab
--- a/src/server_registry.cpp
+++ b/src/server_registry.cpp
@@ -202,9 +202,10 @@
     if (entry.has_left) return entry.since;
     const instant removal_grace_end = entry.since + removed_retention;
     const instant store_grace_end = store_back + expired_retention;
-    if (entry.since < store_grace_end)
+    if (entry.since < store_grace_end) {
         return mass_expiry ? std::max(store_grace_end, removal_grace_end)
                            : std::min(store_grace_end, removal_grace_end);
+    }
     // Entries that disappear together may have expired in an outage that no VM noticed.
     return mass_expiry && entry.removal_observed ? removal_grace_end : entry.since;
 }
--- a/test/error/registry_entries_by_others.cpp
+++ b/test/error/registry_entries_by_others.cpp
@@ -147,9 +147,10 @@
      * control characters or bytes outside ASCII. */
     void names_that_cannot_be_sent_are_refused()
     {
-        for (const std::string name : {"", "a b", "a\r\nX-Other: 1", "a\x7f", "\xc3\xa4"})
+        for (const std::string name : {"", "a b", "a\r\nX-Other: 1", "a\x7f", "\xc3\xa4"}) {
             CPPUNIT_ASSERT_THROW(this->adapter.decode_server(entry(name, valid_document)),
                                  peer_error);
+        }
     }
 
     /** Guards against a server that stays in use after its entry has become invalid, or that is not
--- a/test/fuzz/path_keeps_promises.cpp
+++ b/test/fuzz/path_keeps_promises.cpp
@@ -120,10 +120,11 @@
         if (status == 503 && ran > 0) return "refused as not run, but ran";
         if (status != 200) return {};
         const std::string body = body_in(got);
-        if (!stream)
+        if (!stream) {
             return body == "answer to " + id
                        ? ""
                        : "response is incomplete or belongs to another request";
+        }
         std::string expected;
         for (unsigned event = 1; event <= 4; ++event)
             expected += "id: " + std::to_string(event) + "\ndata: " + id + "\n\n";
