--- a/src/cold_servers.cpp
+++ b/src/cold_servers.cpp
@@ -13,12 +13,12 @@
     return std::chrono::duration_cast<duration>(std::chrono::duration<double>(value));
 }
 
-/** Mean rate of independent (Poisson) arrivals that exceeds \p most arrivals in a second about once
+/** Mean rate of independent (Poisson) arrivals that exceeds \p max_arrivals in a second about once
  * in a million. The quantile is approximated by the mean plus six standard deviations. */
-double max_poisson_mean(double most)
+double max_poisson_mean(double max_arrivals)
 {
     constexpr double deviations = 6;
-    const double root = (std::sqrt(deviations * deviations + 4 * most) - deviations) / 2;
+    const double root = (std::sqrt(deviations * deviations + 4 * max_arrivals) - deviations) / 2;
     return root * root;
 }
 
@@ -44,11 +44,11 @@
 } // namespace
 
 cold_share compute_cold_share(const cold_request_limit& bound, std::uint64_t server,
-                              const fleet_members& members, double senders)
+                              const fleet_members& members, double used_share)
 {
     if (!members.complete || bound.per_s <= 0) return {};
-    if (senders <= 0) return even_share(bound, members);
-    const auto total = static_cast<std::size_t>(bound.max_in_any_second * senders);
+    if (used_share <= 0) return even_share(bound, members);
+    const auto total = static_cast<std::size_t>(bound.max_in_any_second * used_share);
     const std::size_t data_centre_count = members.data_centres.size();
     const std::size_t data_centre_rank =
         count_above(server, members.data_centre, members.data_centres);
@@ -70,14 +70,16 @@
            count_above(key, members.self, members.local_vms) == 0;
 }
 
-void cold_request_limiter::set_share(const cold_share& given, instant now, std::minstd_rand& random)
+void cold_request_limiter::set_share(const cold_share& new_share, instant now,
+                                     std::minstd_rand& random)
 {
-    const bool begins = !this->share.pause && given.pause;
-    this->share = given;
-    if (!begins) return;
-    const double part = std::uniform_real_distribution<double>(0, 1)(random);
-    const duration wait =
-        given.drawn ? std::chrono::duration_cast<duration>(*given.pause * part) : duration::zero();
+    const bool may_now_send = !this->share.pause && new_share.pause;
+    this->share = new_share;
+    if (!may_now_send) return;
+    const double fraction = std::uniform_real_distribution<double>(0, 1)(random);
+    const duration wait = new_share.random_start
+                              ? std::chrono::duration_cast<duration>(*new_share.pause * fraction)
+                              : duration::zero();
     this->first = now + wait;
 }
 
--- a/src/cold_servers.h
+++ b/src/cold_servers.h
@@ -8,8 +8,8 @@
  * ranks highest for the server may send to it, each with a minimum pause between two requests; the
  * other VMs avoid the server until it is warm. While all VMs have requests to send, this uses 98%
  * of the rate, and no second has more than two thirds of the limit (65 and 480 VMs,
- * `cold_servers_are_spared`). The alternative, an even share for every VM, used 58%: requests of
- * independent senders coincide, so their mean rate must stay far below the limit.
+ * `cold_server_rate_limit_holds`). The alternative, an even share for every VM, used 58%: requests
+ * of independent senders coincide, so their mean rate must stay far below the limit.
  */
 #pragma once
 
@@ -35,8 +35,8 @@
     double per_s = 0;             ///< mean rate, requests per second
     double max_in_any_second = 0; ///< maximum number of requests in any second
 
-    cold_request_limit(double per_s, const cold_tolerance& allowed)
-        : per_s(per_s), max_in_any_second(per_s * allowed.over + allowed.slack)
+    cold_request_limit(double per_s, const cold_tolerance& tolerance)
+        : per_s(per_s), max_in_any_second(per_s * tolerance.over + tolerance.slack)
     {
     }
 };
@@ -51,28 +51,28 @@
     std::vector<std::uint32_t> data_centres; ///< all known, this VM's own included
     bool complete = false;                   ///< this VM has run for long enough to know the others
 
-    void add(std::uint32_t place)
+    void add(std::uint32_t other)
     {
-        const bool known = std::ranges::find(this->data_centres, place) != this->data_centres.end();
-        if (place != 0 && !known) this->data_centres.push_back(place);
+        const bool known = std::ranges::find(this->data_centres, other) != this->data_centres.end();
+        if (other != 0 && !known) this->data_centres.push_back(other);
     }
 };
 
 /** What one VM may send to one cold server. */
 struct cold_share {
     std::optional<duration> pause; ///< least time between requests; std::nullopt: none allowed
-    bool drawn = false;            ///< the first request waits for a random part of the pause
+    bool random_start = false;     ///< the first request waits for a random part of the pause
 };
 
 /** Length of the window in which the requests of one VM are limited. 50 ms longer than the second
  * of the bound, because a request may take longer to arrive than the one after it. */
 constexpr duration cold_window = milliseconds(1050);
 
-/** Computes the share of one VM. \p senders: share of `max_in_any_second` that is given out; the
+/** Computes the share of one VM. \p used_share: share of `max_in_any_second` that is used; the
  * rest is a reserve for VMs that disagree on which VMs are alive. This is also the number of VMs
  * that may send, if the fleet has that many. 0: every VM may send an even share. */
 cold_share compute_cold_share(const cold_request_limit& bound, std::uint64_t server,
-                              const fleet_members& members, double senders);
+                              const fleet_members& members, double used_share);
 
 /** Whether this VM is the highest-ranked of the fleet for \p key, and so has to do the task that
  * the key identifies. This may hold for two VMs that know different members, and for none while a
@@ -82,32 +82,34 @@
 /** Limits the requests of one VM to one server while the server is cold. */
 class cold_request_limiter {
 public:
-    [[nodiscard]] bool cold(instant now) const { return now < this->until; }
+    [[nodiscard]] bool cold(instant now) const { return now < this->cold_until; }
     /** Whether a request may be sent now. */
     [[nodiscard]] bool open(instant now) const
     {
-        return !this->cold(now) || (this->share.pause && now >= this->next());
+        return !this->cold(now) || (this->share.pause && now >= this->next_allowed_at());
     }
     /** Earliest time at which a request may be sent, as known now. */
     [[nodiscard]] instant opens_at() const
     {
-        return this->share.pause ? std::min(this->until, this->next()) : this->until;
+        return this->share.pause ? std::min(this->cold_until, this->next_allowed_at())
+                                 : this->cold_until;
     }
     /** The server is cold until \p end at least. */
-    void extend(instant end) { this->until = std::max(this->until, end); }
-    void set_share(const cold_share& given, instant now, std::minstd_rand& random);
-    void on_sent(instant now) { this->sent = now; }
+    void extend(instant end) { this->cold_until = std::max(this->cold_until, end); }
+    void set_share(const cold_share& new_share, instant now, std::minstd_rand& random);
+    void on_sent(instant now) { this->last_sent_at = now; }
 
 private:
-    [[nodiscard]] instant next() const
+    [[nodiscard]] instant next_allowed_at() const
     {
-        return std::max(this->first, this->sent + this->share.pause.value_or(duration::zero()));
+        return std::max(this->first,
+                        this->last_sent_at + this->share.pause.value_or(duration::zero()));
     }
 
-    instant until{};
+    instant cold_until{};
     cold_share share;
     instant first{}; ///< no request before this time
-    instant sent{};  ///< time of the last request
+    instant last_sent_at{};
 };
 
 } // namespace worksshift
--- a/src/first_event_delay.h
+++ b/src/first_event_delay.h
@@ -25,28 +25,31 @@
 
     void add(duration delay, instant now)
     {
-        const double previous = this->at(now);
-        const double change = as_seconds(delay) - previous;
-        this->value = previous + (change > 0 ? weight_of_increase : weight_of_decrease) * change;
-        this->seen = now;
+        const double previous_s = this->decayed_average_s(now);
+        const double change_s = as_seconds(delay) - previous_s;
+        this->average_s =
+            previous_s + (change_s > 0 ? weight_of_increase : weight_of_decrease) * change_s;
+        this->last_sample_at = now;
     }
 
-    [[nodiscard]] bool known() const { return this->seen != instant{}; }
+    [[nodiscard]] bool known() const { return this->last_sample_at != instant{}; }
     /** Decayed average; meaningless unless `known`. */
     [[nodiscard]] duration recent(instant now) const
     {
-        return std::chrono::duration_cast<duration>(std::chrono::duration<double>(this->at(now)));
+        return std::chrono::duration_cast<duration>(
+            std::chrono::duration<double>(this->decayed_average_s(now)));
     }
 
 private:
     static double as_seconds(duration span) { return std::chrono::duration<double>(span).count(); }
-    [[nodiscard]] double at(instant now) const
+    [[nodiscard]] double decayed_average_s(instant now) const
     {
-        return this->value * std::exp(-as_seconds(now - this->seen) / as_seconds(decay_time));
+        return this->average_s *
+               std::exp(-as_seconds(now - this->last_sample_at) / as_seconds(decay_time));
     }
 
-    double value = 0; ///< seconds
-    instant seen{};   ///< time of the latest sample; the epoch: none
+    double average_s = 0;     ///< as of `last_sample_at`
+    instant last_sample_at{}; ///< time of the latest sample; the epoch: none
 };
 
 } // namespace worksshift
--- a/src/plain_choice.cpp
+++ b/src/plain_choice.cpp
@@ -26,8 +26,8 @@
 {
     const double best = std::ranges::min(expected);
     std::vector<double> factors(expected.size());
-    std::ranges::transform(expected, factors.begin(), [best](double item) {
-        const double slowdown = best > 0 ? item / (best * similar_time_multiple) : 1;
+    std::ranges::transform(expected, factors.begin(), [best](double response_s) {
+        const double slowdown = best > 0 ? response_s / (best * similar_time_multiple) : 1;
         return slowdown <= 1 ? 1 : std::max(1 / (slowdown * slowdown), min_draw_share);
     });
     return factors;
--- a/src/plain_choice.h
+++ b/src/plain_choice.h
@@ -4,9 +4,9 @@
  * Loads at other VMs are known a second late, many times the response time of a plain server. If
  * all VMs take the server that looks least loaded, they cause a thundering herd: with 295 VMs and
  * six servers at 60% of their slots, 620 of 1,000 requests met a full queue, and none with this
- * selection (`correctness/plain_services_at_size`). So this is a power-of-two-choices selection:
- * two servers are drawn at random, slow and failing ones with a lower probability, and the one with
- * fewer requests of this VM per slot is taken.
+ * selection (`correctness/plain_services_by_fleet_size`). So this is a power-of-two-choices
+ * selection: two servers are drawn at random, slow and failing ones with a lower probability, and
+ * the one with fewer requests of this VM per slot is taken.
  */
 #pragma once
 
--- a/src/prompt_demand.h
+++ b/src/prompt_demand.h
@@ -26,9 +26,9 @@
     void on_request(std::uint64_t prompt, instant now)
     {
         if (this->prompts.size() >= max_prompts) this->evict_decayed(now);
-        entry& item = this->prompts[prompt];
-        item.weight = item.decayed_weight(now) + 1;
-        item.at = now;
+        entry& tracked = this->prompts[prompt];
+        tracked.weight = tracked.decayed_weight(now) + 1;
+        tracked.updated_at = now;
     }
 
     /** Lower estimate of the prompt's rate at this VM, in requests per second: the decayed count
@@ -45,12 +45,12 @@
 
 private:
     struct entry {
-        double weight = 0; ///< decayed count of requests at `at`
-        instant at{};
+        double weight = 0; ///< decayed count of requests at `updated_at`
+        instant updated_at{};
 
         [[nodiscard]] double decayed_weight(instant now) const
         {
-            const std::chrono::duration<double> span = now - this->at;
+            const std::chrono::duration<double> span = now - this->updated_at;
             return this->weight * std::exp(-span / std::chrono::duration<double>(decay_time));
         }
     };
@@ -58,8 +58,8 @@
     void evict_decayed(instant now)
     {
         constexpr double negligible = 0.1;
-        std::erase_if(this->prompts, [&](const auto& item) {
-            return item.second.decayed_weight(now) < negligible;
+        std::erase_if(this->prompts, [&](const auto& prompt) {
+            return prompt.second.decayed_weight(now) < negligible;
         });
         // No entry has decayed. With this many active prompts the rate of each is low, so all are
         // dropped.
--- a/src/recent_outcomes.h
+++ b/src/recent_outcomes.h
@@ -23,7 +23,7 @@
      * centre. */
     static constexpr duration engine_decay_time = seconds(3);
 
-    void set_decay_time(duration given) { this->decay_time = given; }
+    void set_decay_time(duration time) { this->decay_time = time; }
 
     /** Adds \p answered attempts with a mean time of \p mean, and \p failed ones without a usable
      * response. */
@@ -39,10 +39,10 @@
     void decay(instant now)
     {
         const std::chrono::duration<double> span = now - this->decayed_at;
-        const double kept = std::exp(-span / std::chrono::duration<double>(this->decay_time));
-        this->answers *= kept;
-        this->failures *= kept;
-        this->time_s *= kept;
+        const double factor = std::exp(-span / std::chrono::duration<double>(this->decay_time));
+        this->answers *= factor;
+        this->failures *= factor;
+        this->time_s *= factor;
         this->decayed_at = now;
     }
 
@@ -55,14 +55,14 @@
     [[nodiscard]] double tries() const { return this->answers + this->failures; }
 
     /** Expected time to a usable response in seconds, with retries until there is one. A failed
-     * attempt is taken to last as long as a successful one, however soon it failed. \p usual_s:
+     * attempt is taken to last as long as a successful one, however soon it failed. \p prior_s:
      * prior for the response time, with the weight of one response. */
-    [[nodiscard]] double expected_s(double usual_s) const
+    [[nodiscard]] double expected_s(double prior_s) const
     {
-        constexpr double max_failing = 0.95;
+        constexpr double max_failure_rate = 0.95;
         const double tries = this->answers + this->failures + 1;
-        const double failing = std::min(this->failures / tries, max_failing);
-        return (this->time_s + usual_s) / (this->answers + 1) / (1 - failing);
+        const double failure_rate = std::min(this->failures / tries, max_failure_rate);
+        return (this->time_s + prior_s) / (this->answers + 1) / (1 - failure_rate);
     }
 
 private:
