--- a/src/admission.cpp
+++ b/src/admission.cpp
@@ -24,36 +24,38 @@
 admission_decision admission::decide(placement_request wanted, bool may_refuse, instant now)
 {
     if (wanted.engine) wanted.engines = this->engine_count_for(wanted, now);
-    const placement_result where = this->table.choose(wanted, now);
-    if (where.row == nullptr) {
+    const placement_result placement = this->table.choose(wanted, now);
+    if (placement.row == nullptr) {
         const std::optional<instant> opens = this->table.opens_at(wanted, now);
         return no_server{opens ? std::max(*opens - now, duration::zero()) : duration::zero()};
     }
-    if (!wanted.engine) return admit_to{where};
+    if (!wanted.engine) return admit_to{placement};
     service_state& state = this->services[wanted.service];
     state.mean_priority += (wanted.priority - state.mean_priority) / mean_priority_requests;
-    const admission_inputs view = this->measure_load(wanted.service, now);
+    const admission_inputs inputs = this->measure_load(wanted.service, now);
     const bool refused =
-        where.crowded || this->exceeds_share(view.share * state.priority_boost(wanted), view);
+        placement.all_engines_full ||
+        this->exceeds_share(inputs.admitted_share * state.priority_boost(wanted), inputs);
     if (refused && may_refuse) {
-        return retry_later{where, state.overload.refuse(now, this->random), view};
+        return retry_later{placement, state.overload.refuse(now, this->random), inputs};
     }
     state.admitted.on_request(now);
-    return admit_to{where};
+    return admit_to{placement};
 }
 
 /** Random decision to refuse a request of whose priority the \p share is admitted. */
-bool admission::exceeds_share(double share, const admission_inputs& view)
+bool admission::exceeds_share(double share, const admission_inputs& inputs)
 {
     // Priorities matter only while some requests have to be refused.
-    if (view.share >= 1) return false;
+    if (inputs.admitted_share >= 1) return false;
     return std::uniform_real_distribution<double>(0, 1)(this->random) > share;
 }
 
 double admission::service_state::priority_boost(const placement_request& wanted) const
 {
-    const double ahead = this->mean_priority - wanted.priority;
-    return std::clamp(1 + priority_boost_per_step * ahead, min_priority_boost, max_priority_boost);
+    const double urgency = this->mean_priority - wanted.priority;
+    return std::clamp(1 + priority_boost_per_step * urgency, min_priority_boost,
+                      max_priority_boost);
 }
 
 /** Number of engines over which the prompt is spread, so that its requests take at most
@@ -75,24 +77,27 @@
 admission_inputs admission::measure_load(const service_id& service, instant now)
 {
     const service_load load = this->table.load_of(service);
-    admission_inputs view;
-    if (load.slots <= 0 || load.span_s <= 0) return view;
+    admission_inputs inputs;
+    if (load.slots <= 0 || load.span_s <= 0) return inputs;
     const service_state& state = this->services[service];
-    view.asked = state.demand.rate(now) * this->fleet_multiple;
-    view.served = load.slots / load.span_s;
+    inputs.demand_per_s = state.demand.rate(now) * this->fleet_multiple;
+    inputs.service_rate_per_s = load.slots / load.span_s;
     const double admitted = state.admitted.rate(now) * this->fleet_multiple;
-    const double growth = std::max(admitted - view.served, 0.0) * load_age_s(load);
-    view.taken = (load.requests + growth) / load.slots;
+    const double growth = std::max(admitted - inputs.service_rate_per_s, 0.0) * load_age_s(load);
+    inputs.slot_utilisation = (load.requests + growth) / load.slots;
     const placement_policy& policy = this->table.policy;
     const bool mostly_free = load.requests < policy.free_share * load.slots;
-    if (policy.busy_from <= 0 || mostly_free || view.taken < policy.busy_from || view.asked <= 0) {
-        return view;
+    if (policy.busy_from <= 0 || mostly_free || inputs.slot_utilisation < policy.busy_from ||
+        inputs.demand_per_s <= 0) {
+        return inputs;
     }
     // Admits less than the service rate while requests are queued, to drain the queue, and more
     // while slots are free, to fill them.
-    const double correction = std::clamp(2 - view.taken, min_rate_correction, max_rate_correction);
-    view.share = std::min(1.0, view.served / view.asked * correction);
-    return view;
+    const double correction =
+        std::clamp(2 - inputs.slot_utilisation, min_rate_correction, max_rate_correction);
+    inputs.admitted_share =
+        std::min(1.0, inputs.service_rate_per_s / inputs.demand_per_s * correction);
+    return inputs;
 }
 
 double admission::engine_requests_per_s(instant now) const
--- a/src/admission.h
+++ b/src/admission.h
@@ -22,23 +22,23 @@
 
 namespace worksshift {
 
-/** The request is sent to the chosen server. */
+/** The request is sent to the selected server. */
 struct admit_to {
     placement_result where;
 };
 /** Inputs of an admission decision, for the log. */
 struct admission_inputs {
-    double share = 1;  ///< fraction of the requests that is admitted
-    double asked = 0;  ///< demand of the whole fleet, requests per second
-    double served = 0; ///< requests per second that the engines complete with all slots in use
-    double taken = 0;  ///< slot utilisation; above 1 when requests are queued
+    double admitted_share = 1;     ///< fraction of the requests that is admitted
+    double demand_per_s = 0;       ///< demand of the whole fleet, requests per second
+    double service_rate_per_s = 0; ///< requests per second completed with all slots in use
+    double slot_utilisation = 0;   ///< above 1 when requests are queued
 };
 
 /** The request is refused; its caller should retry after `retry_after`. */
 struct retry_later {
-    placement_result where; ///< the chosen engine, or the least loaded one if none has a slot
+    placement_result where; ///< the selected engine, or the least loaded one if none has a slot
     duration retry_after{};
-    admission_inputs view;
+    admission_inputs inputs;
 };
 /** No server accepts the request. */
 struct no_server {
@@ -77,7 +77,7 @@
         if (prompt != 0) this->prompts.on_request(prompt, now);
     }
     /** \p may_refuse: whether the request has run nowhere, so that it may be refused as "not run".
-     * \return the chosen server, a refusal, or `no_server`. */
+     * \return the selected server, a refusal, or `no_server`. */
     admission_decision decide(placement_request wanted, bool may_refuse, instant now);
 
     /** Rate of requests for model engines that arrive at this VM, per second. */
@@ -96,7 +96,7 @@
         overload_tracker overload;
     };
 
-    bool exceeds_share(double share, const admission_inputs& view);
+    bool exceeds_share(double share, const admission_inputs& inputs);
     [[nodiscard]] std::size_t engine_count_for(const placement_request& wanted, instant now) const;
     [[nodiscard]] admission_inputs measure_load(const service_id& service, instant now);
 
--- a/src/crash_suspects.cpp
+++ b/src/crash_suspects.cpp
@@ -22,8 +22,9 @@
 
 std::uint16_t to_age(duration span)
 {
-    constexpr std::int64_t most = std::numeric_limits<std::uint16_t>::max();
-    return static_cast<std::uint16_t>(std::clamp<std::int64_t>(span / blocked_age_unit, 0, most));
+    constexpr std::int64_t max_age = std::numeric_limits<std::uint16_t>::max();
+    return static_cast<std::uint16_t>(
+        std::clamp<std::int64_t>(span / blocked_age_unit, 0, max_age));
 }
 
 duration pause_before_trial(std::uint8_t trials)
@@ -37,28 +38,28 @@
 
 void crash_suspects::on_attempt_broken(content_key content, server_incarnation server, instant now)
 {
-    if (this->unchecked.size() < max_pending_reports) {
-        this->unchecked.push_back({content, server, now});
+    if (this->unchecked_attempts.size() < max_pending_reports) {
+        this->unchecked_attempts.push_back({content, server, now});
     }
 }
 
-void crash_suspects::on_checked(server_incarnation server, bool ended, instant now)
+void crash_suspects::on_checked(server_incarnation server, bool exited, instant now)
 {
     std::vector<crash_report> reports;
-    for (const broken_attempt& item : this->unchecked) {
-        if (item.server != server) continue;
+    for (const broken_attempt& attempt : this->unchecked_attempts) {
+        if (attempt.server != server) continue;
         reports.push_back(
-            {static_cast<std::uint64_t>(item.content), static_cast<std::uint32_t>(server)});
+            {static_cast<std::uint64_t>(attempt.content), static_cast<std::uint32_t>(server)});
     }
-    std::erase_if(this->unchecked,
-                  [server](const broken_attempt& item) { return item.server == server; });
-    if (!ended) return;
+    std::erase_if(this->unchecked_attempts,
+                  [server](const broken_attempt& attempt) { return attempt.server == server; });
+    if (!exited) return;
     bool added = false;
     for (const crash_report& report : reports) {
-        if (!this->add(report, now)) continue;
+        if (!this->add_report(report, now)) continue;
         added = true;
-        this->queue(this->for_local_vms, report);
-        this->queue(this->for_remote_vms, report);
+        this->enqueue(this->for_local_vms, report);
+        this->enqueue(this->for_remote_vms, report);
     }
     if (added) this->block_suspects(now);
 }
@@ -67,15 +68,15 @@
 {
     const auto found = this->suspects.find(content);
     if (found == this->suspects.end()) return;
-    suspect& item = found->second;
-    if (item.is_blocked) {
+    suspect& state = found->second;
+    if (state.is_blocked) {
         log_event(log_level::info, "request_cleared",
-                  {{"content", to_text(content)}, {"ends", item.ends.size()}});
+                  {{"content", to_text(content)}, {"ends", state.crashes.size()}});
         this->urgent = true;
     }
     // Other VMs need to know only if they have blocked it or may be about to.
-    if (item.is_blocked || item.ends.size() >= crashes_until_urgent) item.cleared = true;
-    this->clear(item, now);
+    if (state.is_blocked || state.crashes.size() >= crashes_until_urgent) state.cleared = true;
+    this->clear(state, now);
 }
 
 void crash_suspects::clear(suspect& found, instant now)
@@ -83,9 +84,9 @@
     found.is_blocked = false;
     found.trials = 0;
     found.changed = now;
-    found.answered_crashes.merge(found.ends);
-    found.ends.clear();
-    while (found.answered_crashes.size() > max_settled_crashes)
+    found.answered_crashes.merge(found.crashes);
+    found.crashes.clear();
+    while (found.answered_crashes.size() > max_answered_crashes)
         found.answered_crashes.erase(found.answered_crashes.begin());
 }
 
@@ -95,60 +96,62 @@
 {
     std::set<server_incarnation> crashes;
     const auto found = this->suspects.find(content);
-    if (found != this->suspects.end()) crashes = found->second.ends;
-    for (const broken_attempt& item : this->unchecked) {
-        if (item.content == content) crashes.insert(item.server);
+    if (found != this->suspects.end()) crashes = found->second.crashes;
+    for (const broken_attempt& attempt : this->unchecked_attempts) {
+        if (attempt.content == content) crashes.insert(attempt.server);
     }
     return crashes.size();
 }
 
-std::optional<block> crash_suspects::blocked(content_key content, instant now) const
+std::optional<block_state> crash_suspects::blocked(content_key content, instant now) const
 {
-    if (this->suspects.empty() && this->unchecked.empty()) return std::nullopt;
+    if (this->suspects.empty() && this->unchecked_attempts.empty()) return std::nullopt;
     const auto found = this->suspects.find(content);
     if (found == this->suspects.end() || !found->second.is_blocked) {
         const bool enough = this->crashes_with_unchecked(content) >= crashes_until_blocked;
-        return enough ? std::optional(block{}) : std::nullopt;
+        return enough ? std::optional(block_state{}) : std::nullopt;
     }
     const duration pause = pause_before_trial(found->second.trials);
     const duration left = found->second.changed + pause - now;
-    if (left > duration::zero()) return block{left, false};
+    if (left > duration::zero()) return block_state{left, false};
     // If this VM does not make the trials, its caller waits further: the VM that does may get no
     // request with this content for a while.
-    return block{pause / 2, true};
+    return block_state{pause / 2, true};
 }
 
 void crash_suspects::begin_trial(content_key content, instant now)
 {
-    suspect& item = this->suspects[content];
-    item.changed = now;
-    if (item.trials < std::numeric_limits<std::uint8_t>::max()) ++item.trials;
+    suspect& state = this->suspects[content];
+    state.changed = now;
+    if (state.trials < std::numeric_limits<std::uint8_t>::max()) ++state.trials;
     this->urgent = true;
-    log_event(
-        log_level::info, "request_tried",
-        {{"content", to_text(content)}, {"ends", item.ends.size()}, {"trial", int{item.trials}}});
+    log_event(log_level::info, "request_tried",
+              {{"content", to_text(content)},
+               {"ends", state.crashes.size()},
+               {"trial", int{state.trials}}});
 }
 
-bool crash_suspects::add(const crash_report& report, instant now)
+bool crash_suspects::add_report(const crash_report& report, instant now)
 {
     const server_incarnation server{report.server};
     if (std::ranges::find(this->explained_crashes, server) != this->explained_crashes.end())
         return false;
     if (!this->suspects.contains(key_of(report))) this->evict_oldest();
     suspect& found = this->suspects[key_of(report)];
-    if (found.answered_crashes.contains(server) || !found.ends.insert(server).second) return false;
+    if (found.answered_crashes.contains(server) || !found.crashes.insert(server).second)
+        return false;
     found.changed = now;
     if (found.is_blocked) this->mark_explained({server});
-    if (found.ends.size() >= crashes_until_urgent) this->urgent = true;
+    if (found.crashes.size() >= crashes_until_urgent) this->urgent = true;
     return true;
 }
 
 /** Attributes these crashes to a blocked content, so that they no longer count against others. */
 void crash_suspects::mark_explained(const std::set<server_incarnation>& crashes)
 {
-    for (auto& [content, item] : this->suspects) {
-        if (item.is_blocked) continue;
-        std::erase_if(item.ends,
+    for (auto& [content, state] : this->suspects) {
+        if (state.is_blocked) continue;
+        std::erase_if(state.crashes,
                       [&crashes](server_incarnation each) { return crashes.contains(each); });
     }
     this->explained_crashes.insert(this->explained_crashes.end(), crashes.begin(), crashes.end());
@@ -164,16 +167,16 @@
 void crash_suspects::block_suspects(instant now)
 {
     for (;;) {
-        std::size_t most = 0;
-        for (const auto& [content, item] : this->suspects) {
-            if (!item.is_blocked) most = std::max(most, item.ends.size());
+        std::size_t max_crashes = 0;
+        for (const auto& [content, state] : this->suspects) {
+            if (!state.is_blocked) max_crashes = std::max(max_crashes, state.crashes.size());
         }
-        if (most < crashes_until_blocked) return;
+        if (max_crashes < crashes_until_blocked) return;
         std::set<server_incarnation> crashes;
-        for (auto& [content, item] : this->suspects) {
-            if (item.is_blocked || item.ends.size() != most) continue;
-            this->block_content(content, item, now);
-            crashes.insert(item.ends.begin(), item.ends.end());
+        for (auto& [content, state] : this->suspects) {
+            if (state.is_blocked || state.crashes.size() != max_crashes) continue;
+            this->block_content(content, state, now);
+            crashes.insert(state.crashes.begin(), state.crashes.end());
         }
         this->mark_explained(crashes);
     }
@@ -186,7 +189,7 @@
     found.changed = now;
     this->urgent = true;
     log_event(log_level::warn, "request_blocked",
-              {{"content", to_text(content)}, {"ends", found.ends.size()}, {"source", "here"}});
+              {{"content", to_text(content)}, {"ends", found.crashes.size()}, {"source", "here"}});
 }
 
 void crash_suspects::evict_oldest()
@@ -206,8 +209,8 @@
     if (!known && received.cleared) return false;
     if (!known) this->evict_oldest();
     suspect& found = this->suspects[content];
-    const bool same = received.cleared ? found.cleared : found.is_blocked;
-    if ((same && found.trials == received.trials) || since <= found.changed) return false;
+    const bool same_state = received.cleared ? found.cleared : found.is_blocked;
+    if ((same_state && found.trials == received.trials) || since <= found.changed) return false;
     const bool was_blocked = found.is_blocked;
     if (received.cleared) {
         found.cleared = true;
@@ -221,7 +224,7 @@
     if (found.is_blocked == was_blocked) return true;
     log_event(log_level::info, received.cleared ? "request_cleared" : "request_blocked",
               {{"content", to_text(content)},
-               {"ends", found.ends.size()},
+               {"ends", found.crashes.size()},
                {"trials", int{received.trials}},
                {"age_ms", (now - since) / milliseconds(1)},
                {"source", "another VM"}});
@@ -232,18 +235,18 @@
 {
     bool added = false;
     for (const crash_report& report : received.crash_reports) {
-        if (!this->add(report, now)) continue;
+        if (!this->add_report(report, now)) continue;
         added = true;
-        this->queue(local ? this->for_remote_vms : this->for_local_vms, report);
+        this->enqueue(local ? this->for_remote_vms : this->for_local_vms, report);
     }
     if (added) this->block_suspects(now);
-    for (const blocked_content& item : received.blocked) {
-        if (this->apply_blocked(item, now)) this->urgent = true;
+    for (const blocked_content& entry : received.blocked) {
+        if (this->apply_blocked(entry, now)) this->urgent = true;
     }
     return this->urgent;
 }
 
-void crash_suspects::queue(std::vector<pending_report>& to, const crash_report& report)
+void crash_suspects::enqueue(std::vector<pending_report>& to, const crash_report& report)
 {
     if (to.size() < max_pending_reports) to.push_back({report, report_repeats});
 }
@@ -251,14 +254,14 @@
 std::size_t crash_suspects::crashes_of(content_key content) const
 {
     const auto found = this->suspects.find(content);
-    return found == this->suspects.end() ? 0 : found->second.ends.size();
+    return found == this->suspects.end() ? 0 : found->second.crashes.size();
 }
 
 /** Reports of contents with the most crashes come first, then those sent least often. */
 std::vector<crash_report> crash_suspects::next_reports(std::vector<pending_report>& from) const
 {
-    std::ranges::stable_sort(from, std::greater{}, [this](const pending_report& item) {
-        return std::pair(this->crashes_of(key_of(item.report)), item.remaining_sends);
+    std::ranges::stable_sort(from, std::greater{}, [this](const pending_report& pending) {
+        return std::pair(this->crashes_of(key_of(pending.report)), pending.remaining_sends);
     });
     const std::size_t count = std::min(from.size(), max_crash_reports);
     std::vector<crash_report> reports(count);
@@ -266,17 +269,17 @@
         --from[at].remaining_sends;
         reports[at] = from[at].report;
     }
-    std::erase_if(from, [](const pending_report& item) { return item.remaining_sends == 0; });
+    std::erase_if(from, [](const pending_report& pending) { return pending.remaining_sends == 0; });
     return reports;
 }
 
 void crash_suspects::describe(fleet_digest& digest, instant now)
 {
     digest.crash_reports = next_reports(this->for_local_vms);
-    for (const auto& [content, item] : this->suspects) {
-        if (!item.is_blocked && !item.cleared) continue;
-        digest.blocked.push_back({static_cast<std::uint64_t>(content), item.trials, item.cleared,
-                                  to_age(now - item.changed)});
+    for (const auto& [content, state] : this->suspects) {
+        if (!state.is_blocked && !state.cleared) continue;
+        digest.blocked.push_back({static_cast<std::uint64_t>(content), state.trials, state.cleared,
+                                  to_age(now - state.changed)});
     }
     std::ranges::sort(digest.blocked, {}, &blocked_content::age);
     digest.blocked.resize(std::min(digest.blocked.size(), max_blocked_contents));
@@ -289,8 +292,9 @@
 
 void crash_suspects::forget(instant now)
 {
-    std::erase_if(this->unchecked,
-                  [now](const broken_attempt& item) { return now - item.at > check_timeout; });
+    std::erase_if(this->unchecked_attempts, [now](const broken_attempt& attempt) {
+        return now - attempt.broken_at > check_timeout;
+    });
     std::erase_if(this->suspects, [now](const auto& entry) {
         return now - entry.second.changed > suspect_retention;
     });
--- a/src/crash_suspects.h
+++ b/src/crash_suspects.h
@@ -7,7 +7,7 @@
  * reports to all VMs. A content that was in flight when three servers crashed, and that got no
  * response since, is blocked. These crashes are then explained, and no longer count against the
  * other contents that were in flight there. One VM retries a blocked content after a long pause, so
- * that a content blocked by coincidence is released. Does not read a clock.
+ * that a content blocked by coincidence is released. The caller passes in the time.
  */
 #pragma once
 
@@ -39,7 +39,7 @@
 constexpr std::size_t max_explained_crashes = 1024;
 /** Maximum number of remembered crashes per content from before a response to it. They are
  * kept so that a late report of one does not count again. */
-constexpr std::size_t max_settled_crashes = 64;
+constexpr std::size_t max_answered_crashes = 64;
 /** Number of digests in which each report is sent, as datagrams may be lost. */
 constexpr unsigned report_repeats = 3;
 /** Maximum length of each queue of unsent reports, and of the list of attempts whose servers are
@@ -51,7 +51,7 @@
 enum class server_incarnation : std::uint32_t {};
 
 /** State of a blocked content. */
-struct block {
+struct block_state {
     duration until_trial{}; ///< time until a VM may retry it; zero: not blocked for certain yet
     bool trial_due = false; ///< the VM that makes the fleet's trials may send it once now
 };
@@ -60,15 +60,16 @@
 class crash_suspects {
 public:
     /** The connection of an attempt of this VM broke. It counts as a crash once `on_checked`
-     * confirms that the server has ended. */
+     * confirms that the server has exited. */
     void on_attempt_broken(content_key content, server_incarnation server, instant now);
-    /** Result of the check of a server whose attempts broke off. \p ended: it no longer runs. */
-    void on_checked(server_incarnation server, bool ended, instant now);
+    /** Result of the check of a server whose attempts broke off. \p exited: its process no longer
+     * runs. */
+    void on_checked(server_incarnation server, bool exited, instant now);
     /** A server responded to a request with the content, which clears it. */
     void on_answered(content_key content, instant now);
 
     /** std::nullopt if the content may be sent. */
-    [[nodiscard]] std::optional<block> blocked(content_key content, instant now) const;
+    [[nodiscard]] std::optional<block_state> blocked(content_key content, instant now) const;
     /** Records that the blocked content is sent once. The trial counts as unsuccessful until a
      * server responds. */
     void begin_trial(content_key content, instant now);
@@ -86,16 +87,16 @@
     /** Whether there was an update since the last call that other VMs should get soon. */
     bool take_urgent() { return std::exchange(this->urgent, false); }
     [[nodiscard]] std::size_t blocked_contents() const;
-    [[nodiscard]] std::size_t remembered() const { return this->suspects.size(); }
+    [[nodiscard]] std::size_t suspect_count() const { return this->suspects.size(); }
 
 private:
     struct suspect {
-        std::set<server_incarnation> ends;             ///< crashes that count against it
+        std::set<server_incarnation> crashes;          ///< crashes that count against it
         std::set<server_incarnation> answered_crashes; ///< crashes from before a response to it
         instant changed{}; ///< last time a crash was added, or it was blocked, retried or cleared
         bool is_blocked = false;
         bool cleared = false;    ///< a server responded to it while it was blocked or close to that
-        std::uint8_t trials = 0; ///< without a response, since it was blocked
+        std::uint8_t trials = 0; ///< unsuccessful trials since it was blocked
     };
     struct pending_report {
         crash_report report;
@@ -104,23 +105,23 @@
     struct broken_attempt {
         content_key content{};
         server_incarnation server{};
-        instant at{};
+        instant broken_at{};
     };
 
-    bool add(const crash_report& report, instant now);
+    bool add_report(const crash_report& report, instant now);
     void block_suspects(instant now);
     void block_content(content_key content, suspect& found, instant now);
     void mark_explained(const std::set<server_incarnation>& crashes);
     void clear(suspect& found, instant now);
     void evict_oldest();
     bool apply_blocked(const blocked_content& received, instant now);
-    void queue(std::vector<pending_report>& to, const crash_report& report);
+    void enqueue(std::vector<pending_report>& to, const crash_report& report);
     std::vector<crash_report> next_reports(std::vector<pending_report>& from) const;
     [[nodiscard]] std::size_t crashes_of(content_key content) const;
     [[nodiscard]] std::size_t crashes_with_unchecked(content_key content) const;
 
     std::map<content_key, suspect> suspects;
-    std::vector<broken_attempt> unchecked;
+    std::vector<broken_attempt> unchecked_attempts;
     std::vector<server_incarnation> explained_crashes;
     std::vector<pending_report> for_local_vms;
     std::vector<pending_report> for_remote_vms;
--- a/src/event_stream.cpp
+++ b/src/event_stream.cpp
@@ -19,8 +19,8 @@
         line.remove_prefix(id_field.size());
         if (line.starts_with(' ')) line.remove_prefix(1);
         std::uint64_t id = 0;
-        const auto [end, fault] = std::from_chars(line.data(), line.data() + line.size(), id);
-        return fault == std::errc{} ? std::optional(id) : std::nullopt;
+        const auto [end, error] = std::from_chars(line.data(), line.data() + line.size(), id);
+        return error == std::errc{} ? std::optional(id) : std::nullopt;
     }
     return std::nullopt;
 }
@@ -30,25 +30,25 @@
 bool event_stream::is_new(std::string_view event)
 {
     const auto id = id_of(event);
-    if (id && this->last && *id <= *this->last) return false;
-    if (id) this->last = id;
-    ++this->count;
+    if (id && this->last_event_id && *id <= *this->last_event_id) return false;
+    if (id) this->last_event_id = id;
+    ++this->event_count;
     return true;
 }
 
-std::string_view event_stream::take(std::string_view bytes)
+std::string_view event_stream::filter(std::string_view bytes)
 {
-    this->whole.clear();
+    this->new_events.clear();
     this->partial.append(bytes);
     std::string_view rest = this->partial;
     for (std::size_t end = rest.find(event_end); end != std::string_view::npos;
          end = rest.find(event_end)) {
         const std::string_view event = rest.substr(0, end + event_end.size());
-        if (this->is_new(event)) this->whole.append(event);
+        if (this->is_new(event)) this->new_events.append(event);
         rest.remove_prefix(event.size());
     }
     this->partial.erase(0, this->partial.size() - rest.size());
-    return this->whole;
+    return this->new_events;
 }
 
 } // namespace worksshift
--- a/src/event_stream.h
+++ b/src/event_stream.h
@@ -13,9 +13,9 @@
 
 class event_stream {
 public:
-    /** Takes bytes of the response body. Returns the complete events that are new; the view is
+    /** Adds bytes of the response body. Returns the complete events that are new; the view is
      * valid until the next call. */
-    std::string_view take(std::string_view bytes);
+    std::string_view filter(std::string_view bytes);
     /** Prepares for a new response that continues after the last event. Discards a partial event.
      */
     void resume() { this->partial.clear(); }
@@ -25,19 +25,19 @@
     /** Id of the last forwarded event, or the one set by `set_last_event_id`; std::nullopt if there
      * is none.
      */
-    [[nodiscard]] std::optional<std::uint64_t> last_id() const { return this->last; }
+    [[nodiscard]] std::optional<std::uint64_t> last_id() const { return this->last_event_id; }
     /** Number of forwarded events. */
-    [[nodiscard]] std::uint64_t events() const { return this->count; }
+    [[nodiscard]] std::uint64_t events() const { return this->event_count; }
     /** Sets the id after which the caller asked to resume. */
-    void set_last_event_id(std::optional<std::uint64_t> id) { this->last = id; }
+    void set_last_event_id(std::optional<std::uint64_t> id) { this->last_event_id = id; }
 
 private:
     bool is_new(std::string_view event);
 
     std::string partial;
-    std::string whole;
-    std::optional<std::uint64_t> last;
-    std::uint64_t count = 0;
+    std::string new_events;
+    std::optional<std::uint64_t> last_event_id;
+    std::uint64_t event_count = 0;
 };
 
 } // namespace worksshift
--- a/src/fleet_retry_budget.h
+++ b/src/fleet_retry_budget.h
@@ -32,7 +32,7 @@
     /** Takes one retry out of the budget. Returns false if there is none. \p vms: size of the
      * fleet.
      */
-    bool take(instant now, const fleet_retry_settings& settings, std::size_t vms)
+    bool withdraw(instant now, const fleet_retry_settings& settings, std::size_t vms)
     {
         this->expire(now - settings.window);
         const double own_slack =
--- a/src/live_request.h
+++ b/src/live_request.h
@@ -19,7 +19,7 @@
     std::uint64_t id = 0;
     http_head head;
     std::string body;
-    request_metadata facts;
+    request_metadata metadata;
     /** The configuration at admission. Keeps `matched_route` and `account_regions` valid. */
     router_config_ptr config;
     const route* matched_route = nullptr;
@@ -30,22 +30,22 @@
     bool engine = false;
     std::uint64_t affinity = 0; ///< hash of the shared part of the prompt; 0: none
     content_key content{};
-    instant arrived{};
+    instant arrived_at{};
     instant deadline{};
 
     std::vector<server_id> tried_servers; ///< one for each send, in order
     unsigned sends = 0;
-    unsigned runs = 0; ///< sends that may have run
+    unsigned runs = 0; ///< sends that the server may have run
     std::uint64_t attempt = 0;
     server_entry* row = nullptr; ///< server of the current attempt; nullptr: none
-    placement_result where;
-    duration loads_age{}; ///< age of the other VMs' loads when the server was chosen
+    placement_result placement;  ///< selection of the server of the current attempt
+    duration loads_age{};        ///< age of the other VMs' loads when the server was chosen
     instant attempt_started_at{};
-    instant sent{};      ///< when the attempt was sent; the epoch once its first event has arrived
-    instant last_byte{}; ///< last response byte of the attempt, or when it was sent
+    instant sent_at{}; ///< when the attempt was sent; the epoch once its first event has arrived
+    instant last_byte_at{}; ///< last response byte of the attempt, or when it was sent
 
-    std::optional<std::uint32_t> told_load; ///< load that the server reported in its response
-    http_head answer;
+    std::optional<std::uint32_t> response_load; ///< load that the server reported in its response
+    http_head response_head;
     duration retry_after_hint{}; ///< until a server accepts the request; zero: not known
     bool refused = false;        ///< the response shows that the attempt did not run
     bool streaming = false;
@@ -53,9 +53,9 @@
     bool response_begun = false; ///< the response head was sent to the caller
     bool caller_left = false;    ///< the caller disconnected; the attempt is left to complete
     bool ended = false;
-    std::string buffered_body; ///< buffered body of a response not yet forwarded
+    std::string buffered_body; ///< response body not yet forwarded
     event_stream events;
-    instant first_event{}; ///< when it was forwarded; the epoch: not yet
+    instant first_event_at{}; ///< when the first event was forwarded; the epoch: not yet
 };
 
 } // namespace worksshift
--- a/src/request_path.cpp
+++ b/src/request_path.cpp
@@ -28,9 +28,9 @@
     return std::chrono::steady_clock::now();
 }
 
-duration as_duration(double seconds_given)
+duration as_duration(double value_s)
 {
-    return std::chrono::duration_cast<duration>(std::chrono::duration<double>(seconds_given));
+    return std::chrono::duration_cast<duration>(std::chrono::duration<double>(value_s));
 }
 
 std::int64_t in_ms(duration span)
@@ -61,10 +61,11 @@
 {
     callers.on_request.connect(
         [this](caller_request request) { this->on_request(std::move(request)); });
-    callers.on_disconnect.connect([this](std::uint64_t request) { this->leave(request); });
+    callers.on_disconnect.connect(
+        [this](std::uint64_t request_id) { this->on_caller_disconnected(request_id); });
     servers.on_head.connect(
-        [this](std::uint64_t attempt, const http_head& head, const response_metadata& facts) {
-            this->on_response_head(attempt, head, facts);
+        [this](std::uint64_t attempt, const http_head& head, const response_metadata& metadata) {
+            this->on_response_head(attempt, head, metadata);
         });
     servers.on_body.connect([this](std::uint64_t attempt, std::string_view bytes) {
         this->on_response_body(attempt, bytes);
@@ -77,9 +78,9 @@
 
 request_path::~request_path() = default;
 
-void request_path::set_config(router_config_ptr given)
+void request_path::set_config(router_config_ptr new_config)
 {
-    this->config = std::move(given);
+    this->config = std::move(new_config);
     this->callers.set_limits(this->config->limits);
     for (const auto& [service, objective] : this->config->min_latency_objective)
         this->table.set_objective(service, objective);
@@ -91,171 +92,176 @@
     }
 }
 
-void request_path::on_request(caller_request request)
+void request_path::on_request(caller_request incoming)
 {
-    auto made = std::make_unique<live_request>();
-    live_request& item = *made;
-    item.id = request.id;
-    item.arrived = now();
-    this->last_arrival_at = item.arrived;
-    item.facts = this->adapter.decode_request(request.head);
-    for (const std::string_view name : item.facts.ignored_headers) {
+    auto owned = std::make_unique<live_request>();
+    live_request& request = *owned;
+    request.id = incoming.id;
+    request.arrived_at = now();
+    this->last_arrival_at = request.arrived_at;
+    request.metadata = this->adapter.decode_request(incoming.head);
+    for (const std::string_view name : request.metadata.ignored_headers) {
         this->telemetry.count("worksshift_ignored_headers_total{header=\"" + std::string(name) +
                               "\"}");
     }
-    item.head = std::move(request.head);
-    item.body = std::move(request.body);
-    this->requests.emplace(item.id, std::move(made));
+    request.head = std::move(incoming.head);
+    request.body = std::move(incoming.body);
+    this->requests.emplace(request.id, std::move(owned));
     if (this->config == nullptr) {
-        item.deadline = item.arrived + first_config_timeout;
-        this->awaiting_config.push_back(item.id);
+        request.deadline = request.arrived_at + first_config_timeout;
+        this->awaiting_config.push_back(request.id);
     } else {
-        this->begin(item);
+        this->begin(request);
     }
 }
 
-void request_path::begin(live_request& item)
+void request_path::begin(live_request& request)
 {
-    item.config = this->config;
-    if (this->resolve_route(item)) this->dispatch(item);
+    request.config = this->config;
+    if (this->resolve_route(request)) this->dispatch(request);
 }
 
 /** Determines route, account and deadline. If there is no route or the key is unknown, answers the
  * caller and returns false. */
-bool request_path::resolve_route(live_request& item)
+bool request_path::resolve_route(live_request& request)
 {
-    const std::string* host = item.head.find("host");
-    item.matched_route = host == nullptr ? nullptr : item.config->find(*host, item.head.target);
-    if (item.matched_route == nullptr) {
-        this->answer_locally(item, not_found, "no route");
+    const std::string* host = request.head.find("host");
+    request.matched_route =
+        host == nullptr ? nullptr : request.config->find(*host, request.head.target);
+    if (request.matched_route == nullptr) {
+        this->answer_locally(request, not_found, "no route");
         return false;
     }
-    item.priority = item.matched_route->priority;
-    if (!item.matched_route->is_public) {
-        const auto account = item.config->account_by_key.find(item.facts.api_key);
-        if (account == item.config->account_by_key.end()) {
-            this->answer_locally(item, unauthorized, "unknown key");
+    request.priority = request.matched_route->priority;
+    if (!request.matched_route->is_public) {
+        const auto account = request.config->account_by_key.find(request.metadata.api_key);
+        if (account == request.config->account_by_key.end()) {
+            this->answer_locally(request, unauthorized, "unknown key");
             return false;
         }
-        item.account = account->second.name;
-        item.account_regions = account->second.allowed_regions;
-        item.priority = account->second.priority.value_or(item.priority);
-    }
-    item.service = pick_target(*item.matched_route, item.facts.id);
-    const auto traits = item.config->services.find(item.service);
-    item.engine = traits != item.config->services.end() && traits->second.engine;
-    item.affinity = affinity_of(item.facts.prompt);
-    item.content = content_of(item.matched_route->host, item.head.target, item.account, item.body);
-    duration span = item.matched_route->timeout;
-    if (item.facts.deadline) span = std::min<duration>(span, *item.facts.deadline);
-    item.deadline = item.arrived + span;
+        request.account = account->second.name;
+        request.account_regions = account->second.allowed_regions;
+        request.priority = account->second.priority.value_or(request.priority);
+    }
+    request.service = pick_target(*request.matched_route, request.metadata.id);
+    const auto traits = request.config->services.find(request.service);
+    request.engine = traits != request.config->services.end() && traits->second.engine;
+    request.affinity = affinity_of(request.metadata.prompt);
+    request.content =
+        content_of(request.matched_route->host, request.head.target, request.account, request.body);
+    duration span = request.matched_route->timeout;
+    if (request.metadata.deadline) span = std::min<duration>(span, *request.metadata.deadline);
+    request.deadline = request.arrived_at + span;
     // On other routes a server that resumed would return only the tail of its response, which the
     // caller could not tell from a complete one.
-    if (item.matched_route->resumable) {
-        item.events.set_last_event_id(item.facts.last_event_id);
-    } else if (item.facts.last_event_id) {
+    if (request.matched_route->resumable) {
+        request.events.set_last_event_id(request.metadata.last_event_id);
+    } else if (request.metadata.last_event_id) {
         this->telemetry.count("worksshift_ignored_resumptions_total");
     }
-    this->budgets[item.service].on_request(item.arrived);
-    if (item.engine) this->admission_control.on_request(item.service, item.affinity, item.arrived);
+    this->budgets[request.service].on_request(request.arrived_at);
+    if (request.engine)
+        this->admission_control.on_request(request.service, request.affinity, request.arrived_at);
     return true;
 }
 
 /** Whether the request's content is blocked because servers crashed while processing it. Sending it
  * would crash another server and lose all other requests there, so the caller is answered at once.
  */
-bool request_path::is_blocked(live_request& item)
+bool request_path::is_blocked(live_request& request)
 {
     const instant time = now();
-    const std::optional<block> found = this->suspect_contents.blocked(item.content, time);
+    const std::optional<block_state> found = this->suspect_contents.blocked(request.content, time);
     if (!found) return false;
-    if (found->trial_due && this->is_trial_vm(item.content)) {
-        this->suspect_contents.begin_trial(item.content, time);
+    if (found->trial_due && this->is_trial_vm(request.content)) {
+        this->suspect_contents.begin_trial(request.content, time);
         return false;
     }
     this->telemetry.count("worksshift_blocked_total");
-    item.retry_after_hint = found->until_trial;
-    this->fail(item, "blocked", "servers ended under it");
+    request.retry_after_hint = found->until_trial;
+    this->fail(request, "blocked", "servers crashed while processing it");
     return true;
 }
 
-void request_path::dispatch(live_request& item)
+void request_path::dispatch(live_request& request)
 {
-    if (this->is_blocked(item)) return;
-    placement_request wanted{item.service, item.engine, item.affinity, item.tried_servers,
-                             item.priority};
+    if (this->is_blocked(request)) return;
+    placement_request wanted{request.service, request.engine, request.affinity,
+                             request.tried_servers, request.priority};
     wanted.repeatable =
-        item.matched_route->repeatable() && item.runs + 1 < item.matched_route->attempts;
-    wanted.allowed_regions = {item.matched_route->allowed_regions, item.account_regions};
+        request.matched_route->repeatable() && request.runs + 1 < request.matched_route->attempts;
+    wanted.allowed_regions = {request.matched_route->allowed_regions, request.account_regions};
     const admission_decision decided =
-        this->admission_control.decide(wanted, item.runs == 0 && !item.response_begun, now());
-    std::visit(visitor{[&](const admit_to& to) { this->send(item, to.where); },
-                       [&](const retry_later& answer) { this->refuse(item, answer); },
+        this->admission_control.decide(wanted, request.runs == 0 && !request.response_begun, now());
+    std::visit(visitor{[&](const admit_to& to) { this->send(request, to.where); },
+                       [&](const retry_later& refusal) { this->refuse(request, refusal); },
                        [&](const no_server& none) {
-                           item.retry_after_hint = none.available_in;
-                           this->fail(item, "choose", "no server");
+                           request.retry_after_hint = none.available_in;
+                           this->fail(request, "choose", "no server");
                        }},
                decided);
 }
 
 /** Answers a request that no engine can start in time with 503 and a Retry-After. */
-void request_path::refuse(live_request& item, const retry_later& answer)
+void request_path::refuse(live_request& request, const retry_later& refusal)
 {
-    item.where = answer.where;
+    request.placement = refusal.where;
     log_event(log_level::info, "refused",
-              {{"request", item.facts.id},
-               {"service", item.service.text},
-               {"crowded", static_cast<int>(answer.where.crowded)},
-               {"load", answer.where.load},
-               {"mean_load", answer.where.mean_load},
-               {"wait_ms", in_ms(answer.where.wait)},
-               {"share", answer.view.share},
-               {"asked_per_s", answer.view.asked},
-               {"served_per_s", answer.view.served},
-               {"taken", answer.view.taken},
+              {{"request", request.metadata.id},
+               {"service", request.service.text},
+               {"crowded", static_cast<int>(refusal.where.all_engines_full)},
+               {"load", refusal.where.load},
+               {"mean_load", refusal.where.mean_load},
+               {"wait_ms", in_ms(refusal.where.wait)},
+               {"share", refusal.inputs.admitted_share},
+               {"asked_per_s", refusal.inputs.demand_per_s},
+               {"served_per_s", refusal.inputs.service_rate_per_s},
+               {"taken", refusal.inputs.slot_utilisation},
                {"loads_ms", in_ms(now() - this->table.peers_summed_at)},
-               {"retry_after_ms", in_ms(answer.retry_after)}});
+               {"retry_after_ms", in_ms(refusal.retry_after)}});
     this->telemetry.count("worksshift_refused_total");
-    this->answer_locally(item, unavailable, "not run: all engines are busy", answer.retry_after);
+    this->answer_locally(request, unavailable, "not run: all engines are busy",
+                         refusal.retry_after);
 }
 
-void request_path::send(live_request& item, const placement_result& where)
+void request_path::send(live_request& request, const placement_result& placement)
 {
     const instant time = now();
-    server_entry& row = *where.row;
-    ++item.sends;
-    item.attempt = (item.id << attempt_bits) | item.sends;
-    item.row = &row;
-    item.where = where;
-    item.loads_age = time - this->table.peers_summed_at;
-    item.attempt_started_at = time;
-    item.sent = time;
-    item.last_byte = time;
-    item.refused = false;
-    item.tried_servers.push_back(row.record.id);
+    server_entry& row = *placement.row;
+    ++request.sends;
+    request.attempt = (request.id << attempt_bits) | request.sends;
+    request.row = &row;
+    request.placement = placement;
+    request.loads_age = time - this->table.peers_summed_at;
+    request.attempt_started_at = time;
+    request.sent_at = time;
+    request.last_byte_at = time;
+    request.refused = false;
+    request.tried_servers.push_back(row.record.id);
     if (row.in_flight++ == 0) row.in_flight_since = time;
     row.health.on_sent(time);
     row.cold.on_sent(time);
     row.trial.on_sent(time);
-    forward_metadata facts;
-    facts.expected_server = row.record.id.text;
-    facts.account = item.account.text;
-    facts.remaining = std::chrono::duration_cast<milliseconds>(item.deadline - time);
-    facts.resume_after = item.events.last_id();
-    if (item.engine) facts.priority = item.priority;
-    const std::string source =
-        where.cached_at == nullptr ? std::string() : to_string(where.cached_at->record.address);
-    facts.fetch_from = source;
-    attempt_request order;
-    order.attempt = item.attempt;
-    order.server = row.record.id;
-    order.address = row.record.address;
-    order.request_id = item.facts.id;
-    order.head = this->adapter.encode_request(item.head, facts, item.body.size());
-    order.body = item.body;
-    order.no_response_body = item.head.method == "HEAD";
-    order.repeatable = item.matched_route->repeatable();
-    this->servers.start(order);
+    forward_metadata metadata;
+    metadata.expected_server = row.record.id.text;
+    metadata.account = request.account.text;
+    metadata.remaining = std::chrono::duration_cast<milliseconds>(request.deadline - time);
+    metadata.resume_after = request.events.last_id();
+    if (request.engine) metadata.priority = request.priority;
+    const std::string source = placement.cached_at == nullptr
+                                   ? std::string()
+                                   : to_string(placement.cached_at->record.address);
+    metadata.fetch_from = source;
+    attempt_request outgoing;
+    outgoing.attempt = request.attempt;
+    outgoing.server = row.record.id;
+    outgoing.address = row.record.address;
+    outgoing.request_id = request.metadata.id;
+    outgoing.head = this->adapter.encode_request(request.head, metadata, request.body.size());
+    outgoing.body = request.body;
+    outgoing.no_response_body = request.head.method == "HEAD";
+    outgoing.repeatable = request.matched_route->repeatable();
+    this->servers.start(outgoing);
 }
 
 live_request* request_path::find_attempt(std::uint64_t attempt)
@@ -266,170 +272,174 @@
 }
 
 void request_path::on_response_head(std::uint64_t attempt, const http_head& head,
-                                    const response_metadata& facts)
-{
-    live_request* item = this->find_attempt(attempt);
-    if (item == nullptr) return;
-    item->last_byte = now();
-    item->row->last_received_at = item->last_byte;
-    item->told_load = facts.load;
-    if (facts.load) {
-        item->row->state(*facts.load, item->last_byte);
-        item->row->reported_here = true;
-    }
-    item->refused = facts.not_executed || head.status == misdirected;
+                                    const response_metadata& metadata)
+{
+    live_request* request = this->find_attempt(attempt);
+    if (request == nullptr) return;
+    request->last_byte_at = now();
+    request->row->last_received_at = request->last_byte_at;
+    request->response_load = metadata.load;
+    if (metadata.load) {
+        request->row->state(*metadata.load, request->last_byte_at);
+        request->row->reported_here = true;
+    }
+    request->refused = metadata.not_executed || head.status == misdirected;
     const std::string* type = head.find("content-type");
-    item->streaming = item->matched_route->kind == route_kind::event_stream && head.status == ok &&
-                      type != nullptr && type->starts_with(event_stream_type);
+    request->streaming = request->matched_route->kind == route_kind::event_stream &&
+                         head.status == ok && type != nullptr &&
+                         type->starts_with(event_stream_type);
     // A resumed response keeps the head of the first server.
-    if (!item->response_begun) item->answer = head;
-    item->buffered_body.clear();
+    if (!request->response_begun) request->response_head = head;
+    request->buffered_body.clear();
     if (head.status == misdirected) {
-        this->table.mark_replaced(item->row->record.id);
+        this->table.mark_replaced(request->row->record.id);
     } else {
-        this->apply_server_hints(*item, head.status, facts);
+        this->apply_server_hints(*request, head.status, metadata);
     }
-    item->events.resume();
-    item->cannot_resume = item->response_begun && !item->streaming;
+    request->events.resume();
+    request->cannot_resume = request->response_begun && !request->streaming;
 }
 
 /** Applies the shutdown and Retry-After hints of a response. They override the registry, whose
  * updates are delayed while the store is unavailable; without them, requests would still be sent to
  * a server that is shutting down. */
-void request_path::apply_server_hints(const live_request& item, int status,
-                                      const response_metadata& facts)
+void request_path::apply_server_hints(const live_request& request, int status,
+                                      const response_metadata& metadata)
 {
-    server_entry& row = *item.row;
-    if (facts.leaving && this->table.mark_leaving(row)) {
-        log_event(
-            log_level::info, "server_leaving",
-            {{"server", row.record.id.text}, {"request", item.facts.id}, {"source", "its answer"}});
+    server_entry& row = *request.row;
+    if (metadata.leaving && this->table.mark_leaving(row)) {
+        log_event(log_level::info, "server_leaving",
+                  {{"server", row.record.id.text},
+                   {"request", request.metadata.id},
+                   {"source", "its answer"}});
     }
-    if (status != unavailable || !facts.retry_after) return;
+    if (status != unavailable || !metadata.retry_after) return;
     // The server would refuse requests before then. Other servers can take them, or the caller can
     // retry later.
-    this->table.mark_backing_off(row, *facts.retry_after, item.last_byte);
+    this->table.mark_backing_off(row, *metadata.retry_after, request.last_byte_at);
     log_event(log_level::info, "server_resting",
               {{"server", row.record.id.text},
-               {"request", item.facts.id},
-               {"for_ms", in_ms(*facts.retry_after)}});
+               {"request", request.metadata.id},
+               {"for_ms", in_ms(*metadata.retry_after)}});
 }
 
 void request_path::on_response_body(std::uint64_t attempt, std::string_view bytes)
 {
-    live_request* item = this->find_attempt(attempt);
-    if (item == nullptr) return;
-    item->last_byte = now();
-    item->row->last_received_at = item->last_byte;
-    if (item->caller_left) return;
-    if (!item->streaming) {
-        if (item->response_begun) {
-            if (!item->cannot_resume) this->callers.add(item->id, bytes);
+    live_request* request = this->find_attempt(attempt);
+    if (request == nullptr) return;
+    request->last_byte_at = now();
+    request->row->last_received_at = request->last_byte_at;
+    if (request->caller_left) return;
+    if (!request->streaming) {
+        if (request->response_begun) {
+            if (!request->cannot_resume) this->callers.add(request->id, bytes);
             return;
         }
-        item->buffered_body.append(bytes);
-        const bool pass_on =
-            item->buffered_body.size() > max_buffered_response_bytes && !item->refused;
-        if (!pass_on) return;
-        item->response_begun = true;
-        this->callers.begin(item->id, item->answer, item->buffered_body);
-        item->buffered_body.clear();
+        request->buffered_body.append(bytes);
+        const bool begin_forwarding =
+            request->buffered_body.size() > max_buffered_response_bytes && !request->refused;
+        if (!begin_forwarding) return;
+        request->response_begun = true;
+        this->callers.begin(request->id, request->response_head, request->buffered_body);
+        request->buffered_body.clear();
         return;
     }
-    const std::string_view events = item->events.take(bytes);
+    const std::string_view events = request->events.filter(bytes);
     if (events.empty()) return;
-    if (item->sent != instant{}) {
-        item->row->first_delay.add(item->last_byte - item->sent, item->last_byte);
-        item->sent = {};
+    if (request->sent_at != instant{}) {
+        request->row->first_delay.add(request->last_byte_at - request->sent_at,
+                                      request->last_byte_at);
+        request->sent_at = {};
     }
-    if (item->response_begun) {
-        this->callers.add(item->id, events);
+    if (request->response_begun) {
+        this->callers.add(request->id, events);
         return;
     }
-    item->response_begun = true;
-    item->first_event = item->last_byte;
-    this->callers.begin(item->id, item->answer, events);
+    request->response_begun = true;
+    request->first_event_at = request->last_byte_at;
+    this->callers.begin(request->id, request->response_head, events);
 }
 
 /** Detaches the finished attempt and decrements its server's in-flight count. */
-void request_path::release(live_request& item)
+void request_path::release(live_request& request)
 {
-    if (item.row == nullptr) return;
-    --item.row->in_flight;
-    item.row = nullptr;
-    item.attempt = 0;
+    if (request.row == nullptr) return;
+    --request.row->in_flight;
+    request.row = nullptr;
+    request.attempt = 0;
 }
 
 void request_path::on_attempt_end(const attempt_outcome& end)
 {
     live_request* found = this->find_attempt(end.attempt);
     if (found == nullptr) return;
-    live_request& item = *found;
-    server_entry& row = *item.row;
+    live_request& request = *found;
+    server_entry& row = *request.row;
     const instant time = now();
-    this->record_outcome(item, end, time);
-    this->release(item);
-    if (item.refused || end.result == send_progress::not_sent) {
+    this->record_outcome(request, end, time);
+    this->release(request);
+    if (request.refused || end.result == send_progress::not_sent) {
         if (end.result == send_progress::not_sent) {
             row.health.on_unreachable(time);
             this->table.mark_unreachable(row, time);
         } else {
             row.health.on_neutral();
         }
-        this->on_refused_attempt(item, end);
+        this->on_refused_attempt(request, end);
         return;
     }
-    ++item.runs;
-    this->record_broken_attempt(item, row.record, end, time);
-    const bool whole = end.result == send_progress::answered && !item.cannot_resume &&
-                       !item.events.has_partial_event();
-    if (!whole) {
+    ++request.runs;
+    this->record_broken_attempt(request, row.record, end, time);
+    const bool complete = end.result == send_progress::answered && !request.cannot_resume &&
+                          !request.events.has_partial_event();
+    if (!complete) {
         row.health.on_failure(time);
-        this->retry_or_fail(item, true, end.step, end.detail);
+        this->retry_or_fail(request, true, end.step, end.detail);
         return;
     }
-    if (item.answer.status >= server_error && !item.streaming) {
+    if (request.response_head.status >= server_error && !request.streaming) {
         row.health.on_failure(time);
         // If no retry is possible, the server's own error response is passed on.
-        if (!item.response_begun && item.answer.status != gateway_timeout &&
-            this->may_retry(item, true)) {
-            this->log_attempt(item, "retried", "answer", std::to_string(item.answer.status));
-            this->dispatch(item);
+        if (!request.response_begun && request.response_head.status != gateway_timeout &&
+            this->may_retry(request, true)) {
+            this->log_attempt(request, "retried", "answer",
+                              std::to_string(request.response_head.status));
+            this->dispatch(request);
             return;
         }
     } else {
         row.health.on_success(time);
-        if (item.streaming && item.first_event != instant{})
-            this->table.on_finished(row, time - item.first_event);
+        if (request.streaming && request.first_event_at != instant{})
+            this->table.on_finished(row, time - request.first_event_at);
     }
-    this->finish_answer(item);
+    this->finish_answer(request);
 }
 
 /** Records the attempt's outcome in its server's statistics. */
-void request_path::record_outcome(const live_request& item, const attempt_outcome& end,
+void request_path::record_outcome(const live_request& request, const attempt_outcome& end,
                                   instant time)
 {
-    if (item.caller_left || item.answer.status == misdirected) return;
+    if (request.caller_left || request.response_head.status == misdirected) return;
     // An engine that refuses a request is full, which its load already shows. Unreachability is
     // tracked by each VM separately, since it may affect only that VM.
-    if (item.engine && (item.refused || end.result == send_progress::not_sent)) return;
-    const bool failed =
-        item.refused || end.result != send_progress::answered || item.answer.status >= server_error;
-    server_table::on_answered(*item.row, time - item.sent, failed, time);
+    if (request.engine && (request.refused || end.result == send_progress::not_sent)) return;
+    const bool failed = request.refused || end.result != send_progress::answered ||
+                        request.response_head.status >= server_error;
+    server_table::on_answered(*request.row, time - request.sent_at, failed, time);
 }
 
 /** Updates crash suspicion for the request's content. A server that closed the connection early may
  * have crashed or only lost the response, so a connection check is started. */
-void request_path::record_broken_attempt(const live_request& item, const server_record& server,
+void request_path::record_broken_attempt(const live_request& request, const server_record& server,
                                          const attempt_outcome& end, instant time)
 {
     if (end.result == send_progress::answered) {
-        this->suspect_contents.on_answered(item.content, time);
+        this->suspect_contents.on_answered(request.content, time);
         return;
     }
     if (!end.peer_closed) return;
     const server_incarnation incarnation = incarnation_of(server);
-    this->suspect_contents.on_attempt_broken(item.content, incarnation, time);
+    this->suspect_contents.on_attempt_broken(request.content, incarnation, time);
     this->servers.check(static_cast<std::uint32_t>(incarnation), server.id, server.address);
 }
 
@@ -451,205 +461,212 @@
 }
 
 /** Cancels the current attempt, whose server sent nothing in time, and counts it as a failure. */
-void request_path::abandon_silent_attempt(live_request& item, instant time)
+void request_path::abandon_silent_attempt(live_request& request, instant time)
 {
-    item.row->health.on_failure(time);
-    server_table::on_answered(*item.row, time - item.sent, true, time);
-    this->servers.cancel(item.attempt);
-    this->release(item);
+    request.row->health.on_failure(time);
+    server_table::on_answered(*request.row, time - request.sent_at, true, time);
+    this->servers.cancel(request.attempt);
+    this->release(request);
 }
 
-void request_path::finish_answer(live_request& item)
+void request_path::finish_answer(live_request& request)
 {
     // Callers take these statuses to mean "not run", which the server did not state.
-    const bool unproved_refusal =
-        std::ranges::find(not_run_statuses, item.answer.status) != not_run_statuses.end();
-    if (!item.response_begun && unproved_refusal) {
-        this->answer_locally(item, bad_gateway, "the server failed");
+    const bool unproven_refusal =
+        std::ranges::find(not_run_statuses, request.response_head.status) != not_run_statuses.end();
+    if (!request.response_begun && unproven_refusal) {
+        this->answer_locally(request, bad_gateway,
+                             "the server refused the request without stating that it was not run");
         return;
     }
-    if (item.response_begun) {
-        this->callers.finish(item.id);
-    } else if (!item.caller_left) {
-        this->callers.send_response(item.id, item.answer, item.buffered_body);
+    if (request.response_begun) {
+        this->callers.finish(request.id);
+    } else if (!request.caller_left) {
+        this->callers.send_response(request.id, request.response_head, request.buffered_body);
     }
-    this->end(item, "answered", item.answer.status);
+    this->end(request, "answered", request.response_head.status);
 }
 
 /** Retries or fails a request that its server did not run: the server was full, a different server
  * answered at the address, or the connection failed. */
-void request_path::on_refused_attempt(live_request& item, const attempt_outcome& end)
+void request_path::on_refused_attempt(live_request& request, const attempt_outcome& end)
 {
     const bool sent = end.result != send_progress::not_sent;
-    const bool has_budget = !sent || this->may_retry(item, false);
-    const bool time_left = item.deadline - now() > min_remaining_time_to_retry;
-    if (!item.caller_left && has_budget && time_left && item.sends < max_sends_per_request) {
-        this->log_attempt(item, "retried", end.step, sent ? "not executed" : end.detail);
-        this->dispatch(item);
+    const bool has_budget = !sent || this->may_retry(request, false);
+    const bool time_left = request.deadline - now() > min_remaining_time_to_retry;
+    if (!request.caller_left && has_budget && time_left && request.sends < max_sends_per_request) {
+        this->log_attempt(request, "retried", end.step, sent ? "not executed" : end.detail);
+        this->dispatch(request);
         return;
     }
-    this->fail(item, end.step, sent ? "not executed" : end.detail);
+    this->fail(request, end.step, sent ? "not executed" : end.detail);
 }
 
-bool request_path::may_retry(live_request& item, bool may_have_run)
+bool request_path::may_retry(live_request& request, bool may_have_run)
 {
     const instant time = now();
-    if (item.caller_left || item.sends >= max_sends_per_request) return false;
-    if (item.deadline - time <= min_remaining_time_to_retry) return false;
+    if (request.caller_left || request.sends >= max_sends_per_request) return false;
+    if (request.deadline - time <= min_remaining_time_to_retry) return false;
     if (may_have_run &&
-        (!item.matched_route->repeatable() || item.runs >= item.matched_route->attempts))
+        (!request.matched_route->repeatable() || request.runs >= request.matched_route->attempts))
         return false;
-    return this->budgets[item.service].take(time, this->budget_settings, this->vms);
+    return this->budgets[request.service].withdraw(time, this->budget_settings, this->fleet_size);
 }
 
-void request_path::retry_or_fail(live_request& item, bool may_have_run, const char* step,
+void request_path::retry_or_fail(live_request& request, bool may_have_run, const char* step,
                                  const std::string& detail)
 {
     // Once the caller has part of the response, only an event stream can be resumed.
-    const bool resumable = !item.response_begun || item.streaming;
-    if (resumable && this->may_retry(item, may_have_run)) {
-        this->log_attempt(item, item.response_begun ? "resumed" : "retried", step, detail);
+    const bool resumable = !request.response_begun || request.streaming;
+    if (resumable && this->may_retry(request, may_have_run)) {
+        this->log_attempt(request, request.response_begun ? "resumed" : "retried", step, detail);
         this->telemetry.count("worksshift_retries_total");
-        this->dispatch(item);
+        this->dispatch(request);
         return;
     }
-    this->fail(item, step, detail);
+    this->fail(request, step, detail);
 }
 
 /** Ends the request without another attempt: aborts a response that has begun, else answers with
  * 502 if it may have run, or 503 "not run" if not. */
-void request_path::fail(live_request& item, const char* step, const std::string& detail)
+void request_path::fail(live_request& request, const char* step, const std::string& detail)
 {
-    this->log_attempt(item, "failed", step, detail);
-    if (item.response_begun) {
-        this->callers.abort(item.id);
-        this->end(item, "broken", 0);
+    this->log_attempt(request, "failed", step, detail);
+    if (request.response_begun) {
+        this->callers.abort(request.id);
+        this->end(request, "broken", 0);
         return;
     }
-    if (item.runs > 0) {
-        this->answer_locally(item, bad_gateway, "the server's answer was lost");
+    if (request.runs > 0) {
+        this->answer_locally(request, bad_gateway, "the server's response was lost");
         return;
     }
-    this->answer_locally(item, unavailable, "not run: " + detail,
-                         std::max(item.retry_after_hint, refusal_retry_after));
+    this->answer_locally(request, unavailable, "not run: " + detail,
+                         std::max(request.retry_after_hint, refusal_retry_after));
 }
 
-void request_path::answer_locally(live_request& item, int status, std::string text,
+void request_path::answer_locally(live_request& request, int status, std::string text,
                                   duration retry_after)
 {
-    if (!item.caller_left) this->callers.answer(item.id, {status, std::move(text), retry_after});
-    this->end(item, "own_answer", status);
+    if (!request.caller_left)
+        this->callers.answer(request.id, {status, std::move(text), retry_after});
+    this->end(request, "own_answer", status);
 }
 
-void request_path::end(live_request& item, std::string_view outcome, int status)
+void request_path::end(live_request& request, std::string_view outcome, int status)
 {
-    if (item.ended) return;
-    item.ended = true;
-    const duration span = now() - item.arrived;
+    if (request.ended) return;
+    request.ended = true;
+    const duration span = now() - request.arrived_at;
     const server_id none;
     log_event(
         log_level::info, "request",
-        {{"request", item.facts.id},
+        {{"request", request.metadata.id},
          {"outcome", outcome},
          {"status", status},
-         {"route", item.matched_route == nullptr ? std::string() : item.matched_route->name},
-         {"account", item.account.text},
-         {"content", to_text(item.content)},
-         {"ignored_headers", item.facts.ignored_headers.size()},
-         {"server", item.tried_servers.empty() ? none.text : item.tried_servers.back().text},
-         {"rank", item.where.rank},
-         {"of", item.where.candidates},
-         {"load", item.where.load},
-         {"told_load", item.told_load ? static_cast<int>(*item.told_load) : -1},
-         {"loads_ms", in_ms(item.loads_age)},
-         {"mean_load", item.where.mean_load},
-         {"expected_ms", in_ms(as_duration(item.where.expected_s))},
-         {"sends", item.sends},
-         {"runs", item.runs},
-         {"events", item.events.events()},
-         {"first_ms", item.first_event == instant{} ? -1 : in_ms(item.first_event - item.arrived)},
+         {"route", request.matched_route == nullptr ? std::string() : request.matched_route->name},
+         {"account", request.account.text},
+         {"content", to_text(request.content)},
+         {"ignored_headers", request.metadata.ignored_headers.size()},
+         {"server", request.tried_servers.empty() ? none.text : request.tried_servers.back().text},
+         {"rank", request.placement.rank},
+         {"of", request.placement.candidates},
+         {"load", request.placement.load},
+         {"told_load", request.response_load ? static_cast<int>(*request.response_load) : -1},
+         {"loads_ms", in_ms(request.loads_age)},
+         {"mean_load", request.placement.mean_load},
+         {"expected_ms", in_ms(as_duration(request.placement.expected_s))},
+         {"sends", request.sends},
+         {"runs", request.runs},
+         {"events", request.events.events()},
+         {"first_ms", request.first_event_at == instant{}
+                          ? -1
+                          : in_ms(request.first_event_at - request.arrived_at)},
          {"total_ms", in_ms(span)},
-         {"config", item.config == nullptr ? 0 : item.config->version}});
-    if (item.matched_route != nullptr) {
-        this->telemetry.observe(latency::whole, item.service, item.account, span);
-        if (item.first_event != instant{}) {
-            this->telemetry.observe(latency::first_byte, item.service, item.account,
-                                    item.first_event - item.arrived);
+         {"config", request.config == nullptr ? 0 : request.config->version}});
+    if (request.matched_route != nullptr) {
+        this->telemetry.observe(latency::whole, request.service, request.account, span);
+        if (request.first_event_at != instant{}) {
+            this->telemetry.observe(latency::first_byte, request.service, request.account,
+                                    request.first_event_at - request.arrived_at);
         }
     }
     this->telemetry.count("worksshift_requests_total{outcome=\"" + std::string(outcome) +
                           "\",status=\"" + std::to_string(status) + "\"}");
-    this->finished.push_back(item.id);
+    this->finished.push_back(request.id);
 }
 
 /** The caller disconnected. A non-idempotent request is left to complete at its server; any other
  * is cancelled. */
-void request_path::leave(std::uint64_t request)
+void request_path::on_caller_disconnected(std::uint64_t request_id)
 {
-    const auto found = this->requests.find(request);
+    const auto found = this->requests.find(request_id);
     if (found == this->requests.end() || found->second->ended) return;
-    live_request& item = *found->second;
-    item.caller_left = true;
-    if (item.matched_route != nullptr && item.matched_route->kind == route_kind::non_idempotent)
+    live_request& request = *found->second;
+    request.caller_left = true;
+    if (request.matched_route != nullptr &&
+        request.matched_route->kind == route_kind::non_idempotent)
         return;
-    if (item.row != nullptr) {
-        item.row->health.on_neutral();
-        this->servers.cancel(item.attempt);
-        this->release(item);
+    if (request.row != nullptr) {
+        request.row->health.on_neutral();
+        this->servers.cancel(request.attempt);
+        this->release(request);
     }
-    this->end(item, "caller_gone", 0);
+    this->end(request, "caller_gone", 0);
 }
 
-void request_path::check_silence(live_request& item, instant time)
+void request_path::check_silence(live_request& request, instant time)
 {
-    if (item.row == nullptr || item.caller_left || !item.matched_route->repeatable()) return;
+    if (request.row == nullptr || request.caller_left || !request.matched_route->repeatable())
+        return;
     duration limit =
-        std::max<duration>(min_silence_timeout, item.matched_route->latency_objective *
+        std::max<duration>(min_silence_timeout, request.matched_route->latency_objective *
                                                     silence_timeout_objective_multiple);
     // A server that still answers other requests is busy, not unreachable.
-    const bool responsive = time - item.row->last_received_at <= server_entry::unresponsive_after;
+    const bool responsive =
+        time - request.row->last_received_at <= server_entry::unresponsive_after;
     const double multiple = responsive ? this->table.policy.patience_while_heard : 1;
     limit = std::chrono::duration_cast<duration>(limit * multiple);
-    if (time - item.last_byte < limit) return;
-    if (item.runs + 1 >= item.matched_route->attempts) return;
+    if (time - request.last_byte_at < limit) return;
+    if (request.runs + 1 >= request.matched_route->attempts) return;
     // The current attempt may still run, so it is counted before the retry limit is checked.
-    ++item.runs;
-    if (!this->may_retry(item, true)) {
-        --item.runs;
-        item.last_byte = time;
+    ++request.runs;
+    if (!this->may_retry(request, true)) {
+        --request.runs;
+        request.last_byte_at = time;
         return;
     }
-    this->abandon_silent_attempt(item, time);
-    this->log_attempt(item, "retried", "silence", std::to_string(in_ms(limit)) + " ms");
-    this->dispatch(item);
+    this->abandon_silent_attempt(request, time);
+    this->log_attempt(request, "retried", "silence", std::to_string(in_ms(limit)) + " ms");
+    this->dispatch(request);
 }
 
-void request_path::on_deadline(live_request& item)
+void request_path::on_deadline(live_request& request)
 {
-    if (item.config == nullptr) {
-        this->answer_locally(item, unavailable, "no configuration yet", no_config_retry_after);
+    if (request.config == nullptr) {
+        this->answer_locally(request, unavailable, "no configuration yet", no_config_retry_after);
         return;
     }
-    if (item.row != nullptr) {
-        ++item.runs;
-        this->abandon_silent_attempt(item, now());
+    if (request.row != nullptr) {
+        ++request.runs;
+        this->abandon_silent_attempt(request, now());
     }
-    this->log_attempt(item, "failed", "deadline", {});
-    if (item.response_begun) {
-        this->callers.abort(item.id);
-        this->end(item, "broken", 0);
+    this->log_attempt(request, "failed", "deadline", {});
+    if (request.response_begun) {
+        this->callers.abort(request.id);
+        this->end(request, "broken", 0);
         return;
     }
-    this->answer_locally(item, gateway_timeout, "deadline passed");
+    this->answer_locally(request, gateway_timeout, "deadline passed");
 }
 
 /** Shifts arrivals and deadlines: callers kept waiting during the suspension, and servers must not
  * be given more time than remains. */
 void request_path::on_suspended(duration span)
 {
-    for (const auto& [id, item] : this->requests) {
-        item->arrived -= span;
-        item->deadline -= span;
+    for (const auto& [id, request] : this->requests) {
+        request->arrived_at -= span;
+        request->deadline -= span;
     }
 }
 
@@ -661,33 +678,33 @@
     // A response can admit the next request on its connection, so `requests` may change during the
     // loop.
     std::vector<live_request*> current;
-    for (const auto& [id, item] : this->requests) {
-        if (!item->ended) current.push_back(item.get());
+    for (const auto& [id, request] : this->requests) {
+        if (!request->ended) current.push_back(request.get());
     }
-    for (live_request* item : current) {
-        if (time >= item->deadline) {
-            this->on_deadline(*item);
+    for (live_request* request : current) {
+        if (time >= request->deadline) {
+            this->on_deadline(*request);
         } else {
-            this->check_silence(*item, time);
+            this->check_silence(*request, time);
         }
     }
 }
 
-void request_path::log_attempt(const live_request& item, std::string_view outcome,
+void request_path::log_attempt(const live_request& request, std::string_view outcome,
                                std::string_view step, std::string_view detail) const
 {
-    log_event(
-        log_level::info, "attempt",
-        {{"request", item.facts.id},
-         {"outcome", outcome},
-         {"step", step},
-         {"detail", detail},
-         {"content", to_text(item.content)},
-         {"ran_ms", in_ms(now() - item.attempt_started_at)},
-         {"server", item.tried_servers.empty() ? std::string() : item.tried_servers.back().text},
-         {"send", item.sends},
-         {"runs", item.runs},
-         {"left_ms", in_ms(item.deadline - now())}});
+    log_event(log_level::info, "attempt",
+              {{"request", request.metadata.id},
+               {"outcome", outcome},
+               {"step", step},
+               {"detail", detail},
+               {"content", to_text(request.content)},
+               {"ran_ms", in_ms(now() - request.attempt_started_at)},
+               {"server",
+                request.tried_servers.empty() ? std::string() : request.tried_servers.back().text},
+               {"send", request.sends},
+               {"runs", request.runs},
+               {"left_ms", in_ms(request.deadline - now())}});
 }
 
 } // namespace worksshift
--- a/src/request_path.h
+++ b/src/request_path.h
@@ -57,12 +57,12 @@
     request_path(request_path&&) = delete;
     request_path& operator=(request_path&&) = delete;
 
-    void set_config(router_config_ptr config);
+    void set_config(router_config_ptr new_config);
     void set_retry_budget(const fleet_retry_settings& settings)
     {
         this->budget_settings = settings;
     }
-    void set_fleet_size(std::size_t vms) { this->vms = std::max(this->vms, vms); }
+    void set_fleet_size(std::size_t vms) { this->fleet_size = std::max(this->fleet_size, vms); }
 
     /** The VM was suspended for \p span, which the clock used for deadlines did not count. */
     void on_suspended(duration span);
@@ -80,38 +80,39 @@
     [[nodiscard]] instant last_arrival() const { return this->last_arrival_at; }
 
 private:
-    void on_request(caller_request request);
-    void begin(live_request& item);
-    bool resolve_route(live_request& item);
-    void dispatch(live_request& item);
-    [[nodiscard]] bool is_blocked(live_request& item);
-    void record_broken_attempt(const live_request& item, const server_record& server,
+    void on_request(caller_request incoming);
+    void begin(live_request& request);
+    bool resolve_route(live_request& request);
+    void dispatch(live_request& request);
+    [[nodiscard]] bool is_blocked(live_request& request);
+    void record_broken_attempt(const live_request& request, const server_record& server,
                                const attempt_outcome& end, instant time);
     void on_server_checked(server_incarnation server, bool exited);
-    void refuse(live_request& item, const retry_later& answer);
-    void send(live_request& item, const placement_result& where);
+    void refuse(live_request& request, const retry_later& refusal);
+    void send(live_request& request, const placement_result& placement);
     void on_response_head(std::uint64_t attempt, const http_head& head,
-                          const response_metadata& facts);
-    void apply_server_hints(const live_request& item, int status, const response_metadata& facts);
+                          const response_metadata& metadata);
+    void apply_server_hints(const live_request& request, int status,
+                            const response_metadata& metadata);
     void on_response_body(std::uint64_t attempt, std::string_view bytes);
     void on_attempt_end(const attempt_outcome& end);
-    void record_outcome(const live_request& item, const attempt_outcome& end, instant time);
-    void abandon_silent_attempt(live_request& item, instant time);
-    void finish_answer(live_request& item);
-    void on_refused_attempt(live_request& item, const attempt_outcome& end);
-    void retry_or_fail(live_request& item, bool may_have_run, const char* step,
+    void record_outcome(const live_request& request, const attempt_outcome& end, instant time);
+    void abandon_silent_attempt(live_request& request, instant time);
+    void finish_answer(live_request& request);
+    void on_refused_attempt(live_request& request, const attempt_outcome& end);
+    void retry_or_fail(live_request& request, bool may_have_run, const char* step,
                        const std::string& detail);
-    [[nodiscard]] bool may_retry(live_request& item, bool may_have_run);
-    void fail(live_request& item, const char* step, const std::string& detail);
-    void answer_locally(live_request& item, int status, std::string text,
+    [[nodiscard]] bool may_retry(live_request& request, bool may_have_run);
+    void fail(live_request& request, const char* step, const std::string& detail);
+    void answer_locally(live_request& request, int status, std::string text,
                         duration retry_after = {});
-    void release(live_request& item);
-    void end(live_request& item, std::string_view outcome, int status);
-    void leave(std::uint64_t request);
-    void check_silence(live_request& item, instant now);
-    void on_deadline(live_request& item);
+    void release(live_request& request);
+    void end(live_request& request, std::string_view outcome, int status);
+    void on_caller_disconnected(std::uint64_t request_id);
+    void check_silence(live_request& request, instant now);
+    void on_deadline(live_request& request);
     live_request* find_attempt(std::uint64_t attempt);
-    void log_attempt(const live_request& item, std::string_view outcome, std::string_view step,
+    void log_attempt(const live_request& request, std::string_view outcome, std::string_view step,
                      std::string_view detail) const;
 
     caller_connections& callers;
@@ -123,7 +124,7 @@
     metrics& telemetry;
     router_config_ptr config;
     fleet_retry_settings budget_settings;
-    std::size_t vms = 1;
+    std::size_t fleet_size = 1; ///< VMs
     std::unordered_map<std::uint64_t, std::unique_ptr<live_request>> requests;
     std::map<service_id, fleet_retry_budget> budgets;
     std::vector<std::uint64_t> finished;        ///< erased in the next tick
--- a/src/server_notices.h
+++ b/src/server_notices.h
@@ -53,7 +53,7 @@
         return found == this->backoffs.end() ? instant{} : found->second;
     }
     /** Drops back-off periods that are over. */
-    void forget(instant now)
+    void expire_backoffs(instant now)
     {
         std::erase_if(this->backoffs, [now](const auto& entry) { return entry.second <= now; });
     }
--- a/src/server_table.cpp
+++ b/src/server_table.cpp
@@ -24,9 +24,9 @@
     return total / static_cast<double>(rows.size());
 }
 
-std::uint32_t short_hash(const data_centre_id& place)
+std::uint32_t short_hash(const data_centre_id& data_centre)
 {
-    return static_cast<std::uint32_t>(place.hash());
+    return static_cast<std::uint32_t>(data_centre.hash());
 }
 
 double as_seconds(duration span)
@@ -78,9 +78,9 @@
 std::uint64_t weight_at(std::vector<std::uint64_t> weights, std::size_t rank)
 {
     const std::size_t at = std::clamp<std::size_t>(rank, 1, weights.size()) - 1;
-    const auto place = weights.begin() + static_cast<std::ptrdiff_t>(at);
-    std::ranges::nth_element(weights, place, std::greater{});
-    return *place;
+    const auto position = weights.begin() + static_cast<std::ptrdiff_t>(at);
+    std::ranges::nth_element(weights, position, std::greater{});
+    return *position;
 }
 
 } // namespace
@@ -119,10 +119,10 @@
 {
     this->evacuated = std::move(data_centres);
     for (auto& [id, row] : this->table) {
-        const bool before = std::exchange(
+        const bool was_evacuated = std::exchange(
             row.evacuated, this->evacuated.contains(short_hash(row.record.data_centre)));
         const milliseconds cold_start = this->services[row.record.service].traits.cold_start;
-        if (before && !row.evacuated) mark_cold(row, cold_start, "evacuation", now);
+        if (was_evacuated && !row.evacuated) mark_cold(row, cold_start, "evacuation", now);
     }
 }
 
@@ -224,8 +224,8 @@
     row.record = record;
     row.hash = record.id.hash();
     row.incarnation = incarnation_of(record);
-    row.leaving = this->words.leaving(row.incarnation);
-    row.backoff_until = this->words.backoff_until(row.incarnation);
+    row.leaving = this->notices.leaving(row.incarnation);
+    row.backoff_until = this->notices.backoff_until(row.incarnation);
     row.outcomes.set_decay_time(decay_time_of(this->services[record.service].traits));
     row.evacuated = this->evacuated.contains(short_hash(record.data_centre));
     const auto region = this->regions.find(record.data_centre);
@@ -274,13 +274,13 @@
 bool server_table::mark_leaving(server_entry& row)
 {
     row.leaving = true;
-    return this->words.note_leaving(row.incarnation);
+    return this->notices.note_leaving(row.incarnation);
 }
 
 void server_table::mark_backing_off(server_entry& row, duration span, instant now)
 {
-    this->words.note_backoff(row.incarnation, now + span);
-    row.backoff_until = this->words.backoff_until(row.incarnation);
+    this->notices.note_backoff(row.incarnation, now + span);
+    row.backoff_until = this->notices.backoff_until(row.incarnation);
 }
 
 bool server_table::mark_leaving(server_incarnation incarnation)
@@ -302,7 +302,7 @@
 
 void server_table::sweep(instant now)
 {
-    this->words.forget(now);
+    this->notices.expire_backoffs(now);
     for (auto& [service, group] : this->services) {
         std::erase_if(group.rows, [](const server_entry* row) { return row->is_removable(); });
     }
@@ -355,14 +355,14 @@
     return found;
 }
 
-void server_table::apply_reported_load(const reported_load& item, instant received_at)
+void server_table::apply_reported_load(const reported_load& report, instant received_at)
 {
-    const auto found = this->by_short_hash.find(item.server);
+    const auto found = this->by_short_hash.find(report.server);
     if (found == this->by_short_hash.end()) return;
-    const instant load_reported_at = received_at - item.age * reported_age_unit;
+    const instant load_reported_at = received_at - report.age * reported_age_unit;
     // An older report may come from the previous incarnation of the server.
     if (load_reported_at < found->second->listed_at) return;
-    found->second->state(item.requests, load_reported_at);
+    found->second->state(report.requests, load_reported_at);
 }
 
 std::vector<reported_load> server_table::drain_reported_loads(instant now)
@@ -393,11 +393,12 @@
     }
 }
 
-void server_table::apply_outcomes(const outcome_counts& item, instant now)
+void server_table::apply_outcomes(const outcome_counts& report, instant now)
 {
-    const auto found = this->by_short_hash.find(item.server);
+    const auto found = this->by_short_hash.find(report.server);
     if (found == this->by_short_hash.end()) return;
-    found->second->outcomes.add(item.answered, item.failed, item.mean * outcome_time_unit, now);
+    found->second->outcomes.add(report.answered, report.failed, report.mean * outcome_time_unit,
+                                now);
 }
 
 std::vector<outcome_counts> server_table::drain_outcomes()
@@ -415,8 +416,8 @@
         reports.push_back({static_cast<std::uint32_t>(row.hash), byte(sum.answered),
                            byte(sum.failed), byte(mean / outcome_time_unit)});
     }
-    std::ranges::sort(reports, std::greater{}, [](const outcome_counts& item) {
-        return std::tuple(item.failed, item.answered);
+    std::ranges::sort(reports, std::greater{}, [](const outcome_counts& report) {
+        return std::tuple(report.failed, report.answered);
     });
     reports.resize(std::min(reports.size(), max_outcome_counts));
     return reports;
@@ -543,8 +544,8 @@
     const auto found = this->services.find(wanted.service);
     if (found == this->services.end()) return {};
     const service_state& group = found->second;
-    candidate_list made;
-    row_list& open = made.rows;
+    candidate_list result;
+    row_list& open = result.rows;
     std::ranges::copy_if(group.rows, std::back_inserter(open),
                          [&wanted](const server_entry* row) { return may_serve(*row, wanted); });
     row_list healthy;
@@ -554,9 +555,9 @@
     // If more than half of the servers look unhealthy, the cause is probably elsewhere, and
     // excluding them would leave the remaining ones overloaded.
     if (healthy.size() * 2 >= open.size() && !healthy.empty()) open = std::move(healthy);
-    if (!open.empty()) made.mean_load = mean_load(open);
+    if (!open.empty()) result.mean_load = mean_load(open);
     std::erase_if(open, [&](const server_entry* row) { return !this->is_open(group, *row, now); });
-    return made;
+    return result;
 }
 
 placement_result server_table::choose(const placement_request& wanted, instant now)
@@ -568,9 +569,9 @@
     if (wanted.engine) {
         result = this->choose_engine(wanted, open);
     } else {
-        const plain_choice made = choose_plain(rows, this->here, now, this->random);
-        result.row = made.row;
-        result.expected_s = made.expected_s;
+        const plain_choice choice = choose_plain(rows, this->here, now, this->random);
+        result.row = choice.row;
+        result.expected_s = choice.expected_s;
     }
     result.candidates = rows.size();
     result.load = result.row->load();
@@ -586,8 +587,8 @@
  * fleet of 87 VMs: `worth` of 0.869 without the margin, 0.837 with it). */
 double server_table::load_bound_of(const service_state& group, double mean) const
 {
-    const bool free = group.sum.requests < this->policy.free_share * group.sum.slots;
-    if (free) return load_bound(mean);
+    const bool lightly_loaded = group.sum.requests < this->policy.free_share * group.sum.slots;
+    if (lightly_loaded) return load_bound(mean);
     return std::max(load_bound(mean) - this->policy.lateness_margin * load_deviation(group.sum),
                     mean + 1);
 }
@@ -623,21 +624,22 @@
         wanted.affinity == 0
             ? rows.size()
             : std::max(static_cast<std::size_t>(this->policy.ranks_to_wait_at), wanted.engines);
-    const std::uint64_t high_ranked = weight_at(weights, ranks);
-    std::uniform_real_distribution<double> spreads(-1, 1);
-    const double spread = spreads(this->random) * this->policy.load_spread;
+    const std::uint64_t min_high_rank_weight = weight_at(weights, ranks);
+    std::uniform_real_distribution<double> distribution(-1, 1);
+    const double spread = distribution(this->random) * this->policy.load_spread;
     const auto grade = [&](std::size_t at) {
         const server_entry& row = *rows[at];
-        const bool open = row.load() + 1 <= bound &&
-                          this->has_slot(group, row, weights[at] >= high_ranked, spread);
-        const bool to_try = open && row.failing && wanted.repeatable;
-        return std::tuple(open, to_try, open && !row.slow, weights[at]);
+        const bool has_capacity =
+            row.load() + 1 <= bound &&
+            this->has_slot(group, row, weights[at] >= min_high_rank_weight, spread);
+        const bool trial_due = has_capacity && row.failing && wanted.repeatable;
+        return std::tuple(has_capacity, trial_due, has_capacity && !row.slow, weights[at]);
     };
     const auto all = std::views::iota(std::size_t{0}, rows.size());
     const std::size_t best = std::ranges::max(all, {}, grade);
-    result.crowded = !std::get<0>(grade(best));
-    const bool least = result.crowded || wanted.affinity == 0;
-    result.row = least ? *std::ranges::min_element(rows, {}, &server_entry::load) : rows[best];
+    result.all_engines_full = !std::get<0>(grade(best));
+    const bool by_load = result.all_engines_full || wanted.affinity == 0;
+    result.row = by_load ? *std::ranges::min_element(rows, {}, &server_entry::load) : rows[best];
     result.wait = group.wait_at(*result.row);
     const auto at = std::ranges::find(rows, result.row) - rows.begin();
     const std::uint64_t weight = weights[static_cast<std::size_t>(at)];
--- a/src/server_table.h
+++ b/src/server_table.h
@@ -60,9 +60,9 @@
     std::size_t candidates = 0;
     std::uint32_t load = 0; ///< requests at the selected server, without this one
     double mean_load = 0;
-    duration wait{};       ///< forecast waiting time for a slot of the selected server
-    bool crowded = false;  ///< no engine is below its bounds on load and on waiting for a slot
-    double expected_s = 0; ///< expected time to a successful response; plain servers only
+    duration wait{};               ///< forecast waiting time for a slot of the selected server
+    bool all_engines_full = false; ///< no engine is below its bounds on load and slot wait
+    double expected_s = 0;         ///< expected time to a successful response; plain servers only
     /** Server that probably has the shared part of the prompt cached if the selected one does not;
      * nullptr if there is none. */
     const server_entry* cached_at = nullptr;
@@ -154,13 +154,13 @@
     /** Servers near their load bound, which are reported to other VMs first. */
     [[nodiscard]] std::vector<const server_entry*> busy() const;
     /** Applies the load of a server that another VM received from it. */
-    void apply_reported_load(const reported_load& item, instant received_at);
+    void apply_reported_load(const reported_load& report, instant received_at);
     /** Returns the loads that servers reported to this VM since the last call, the newest first. */
     std::vector<reported_load> drain_reported_loads(instant now);
     /** An attempt at a server ended. \p failed: without a usable response. */
     static void on_answered(server_entry& row, duration span, bool failed, instant now);
     /** Applies the results that another VM reports of its attempts at a server. */
-    void apply_outcomes(const outcome_counts& item, instant now);
+    void apply_outcomes(const outcome_counts& report, instant now);
     /** Returns the results of this VM's attempts since the last call, servers with the most
      * failures first. Engines without recent failures are left out to save bandwidth. */
     std::vector<outcome_counts> drain_outcomes();
@@ -239,7 +239,7 @@
     std::unordered_map<service_id, service_state> services;
     std::unordered_map<std::uint32_t, server_entry*> by_short_hash;
     std::unordered_map<server_incarnation, server_entry*> by_incarnation;
-    server_notices words;
+    server_notices notices;
     std::minstd_rand random;
 };
 
--- a/test/fuzz/choice_keeps_the_load_bound.cpp
+++ b/test/fuzz/choice_keeps_the_load_bound.cpp
@@ -15,8 +15,8 @@
 
 class choice_keeps_the_load_bound : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(choice_keeps_the_load_bound);
-    CPPUNIT_TEST(engines);
-    CPPUNIT_TEST(retries_of_the_fleet);
+    CPPUNIT_TEST(selected_engine_is_eligible);
+    CPPUNIT_TEST(retries_stay_within_the_fleet_budget);
     CPPUNIT_TEST_SUITE_END();
 
     static void fill(server_table& table, const std::vector<unsigned>& loads,
@@ -34,9 +34,9 @@
 
 public:
     /** Random loads, draining engines and prompts. */
-    static void engines()
+    static void selected_engine_is_eligible()
     {
-        const bool held = rc::check("the chosen engine is one that may be chosen", [] {
+        const bool passed = rc::check("the chosen engine is one that may be chosen", [] {
             const auto count = *rc::gen::inRange<std::size_t>(1, 24);
             const auto loads = *rc::gen::container<std::vector<unsigned>>(
                 count, rc::gen::inRange<unsigned>(0, 40));
@@ -73,18 +73,18 @@
             RC_ASSERT(there.choose(wanted, now).row->record.id == chosen.row->record.id);
             RC_ASSERT(chosen.cached_at != chosen.row);
         });
-        CPPUNIT_ASSERT(held);
+        CPPUNIT_ASSERT(passed);
     }
 
     /** Random requests at several VMs that share one retry budget. */
-    static void retries_of_the_fleet()
+    static void retries_stay_within_the_fleet_budget()
     {
-        const bool held = rc::check("repeats of all VMs stay within the window's bound", [] {
+        const bool passed = rc::check("repeats of all VMs stay within the window's bound", [] {
             const auto vms = *rc::gen::inRange<std::size_t>(1, 12);
             const fleet_retry_settings settings{0.2, seconds(10), 56};
             std::vector<fleet_retry_budget> budgets(vms);
             std::vector<instant> requests;
-            std::vector<instant> repeats;
+            std::vector<instant> retries;
             instant now(seconds(100));
             const auto steps = *rc::gen::inRange<std::size_t>(1, 600);
             for (std::size_t i = 0; i < steps; ++i) {
@@ -94,15 +94,15 @@
                     budget.on_request(now);
                     requests.push_back(now);
                 }
-                if (budget.take(now, settings, vms)) repeats.push_back(now);
+                if (budget.withdraw(now, settings, vms)) retries.push_back(now);
                 const auto within = [&](const instant& at) { return now - at <= settings.window; };
-                const auto asked = std::ranges::count_if(requests, within);
-                const auto again = std::ranges::count_if(repeats, within);
-                RC_ASSERT(static_cast<double>(again) <=
-                          settings.ratio * static_cast<double>(asked) + settings.slack);
+                const auto request_count = std::ranges::count_if(requests, within);
+                const auto retry_count = std::ranges::count_if(retries, within);
+                RC_ASSERT(static_cast<double>(retry_count) <=
+                          settings.ratio * static_cast<double>(request_count) + settings.slack);
             }
         });
-        CPPUNIT_ASSERT(held);
+        CPPUNIT_ASSERT(passed);
     }
 };
 
--- a/test/fuzz/crash_reports_reach_every_vm.cpp
+++ b/test/fuzz/crash_reports_reach_every_vm.cpp
@@ -101,16 +101,16 @@
 
 class crash_reports_reach_every_vm : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(crash_reports_reach_every_vm);
-    CPPUNIT_TEST(at_all_sizes);
-    CPPUNIT_TEST(while_digests_get_lost);
-    CPPUNIT_TEST(when_it_comes_rarely);
+    CPPUNIT_TEST(all_fleet_sizes);
+    CPPUNIT_TEST(lost_digests);
+    CPPUNIT_TEST(rare_requests);
     CPPUNIT_TEST(vms_that_start);
-    CPPUNIT_TEST(those_beside_stay_free);
-    CPPUNIT_TEST(lost_answers_block_nothing);
-    CPPUNIT_TEST(an_answer_frees);
-    CPPUNIT_TEST(one_vm_tries_again);
-    CPPUNIT_TEST(many_ends_stay_bounded);
-    CPPUNIT_TEST(other_vms_nonsense);
+    CPPUNIT_TEST(concurrent_contents_are_not_blocked);
+    CPPUNIT_TEST(lost_responses_do_not_count);
+    CPPUNIT_TEST(response_clears_a_content);
+    CPPUNIT_TEST(one_vm_makes_trials);
+    CPPUNIT_TEST(many_crashes_stay_bounded);
+    CPPUNIT_TEST(random_digests);
     CPPUNIT_TEST_SUITE_END();
 
     /** Checks that the harmful request is hardly sent any more once the reports have arrived. */
@@ -125,7 +125,7 @@
     }
 
 public:
-    static void at_all_sizes()
+    static void all_fleet_sizes()
     {
         for (const std::size_t vms : {7, 65, 480}) {
             suspect_fleet fleet(vms, vms < 12 ? 3 : 6);
@@ -134,7 +134,7 @@
         }
     }
 
-    static void while_digests_get_lost()
+    static void lost_digests()
     {
         for (const std::size_t vms : {7, 65}) {
             suspect_fleet fleet(vms, vms < 12 ? 3 : 4);
@@ -143,7 +143,7 @@
         }
     }
 
-    static void when_it_comes_rarely()
+    static void rare_requests()
     {
         suspect_fleet fleet(65, 4);
         check_blocked_in_time(fleet, 0.2, seconds(60));
@@ -167,7 +167,7 @@
 
     /** Other requests in flight at the crashed servers are not blocked, even those that were at two
      * of the three because they were resent from one crashed server to the next. */
-    static void those_beside_stay_free()
+    static void concurrent_contents_are_not_blocked()
     {
         suspect_fleet fleet(7, 3);
         constexpr content_key followed{1};
@@ -190,7 +190,7 @@
     }
 
     /** Broken attempts at servers that still run do not count. */
-    static void lost_answers_block_nothing()
+    static void lost_responses_do_not_count()
     {
         suspect_fleet fleet(7, 3);
         for (std::size_t i = 0; i < 20; ++i) {
@@ -202,25 +202,26 @@
     }
 
     /** A content in flight at crashed servers that got a response since is not blocked. */
-    static void an_answer_frees()
+    static void response_clears_a_content()
     {
         suspect_fleet fleet(7, 3);
-        constexpr content_key often{6};
+        constexpr content_key content{6};
         for (std::size_t i = 0; i < 6; ++i) {
-            fleet.fail_server(i, {&often, 1});
+            fleet.fail_server(i, {&content, 1});
             fleet.fleet.run(milliseconds(400));
-            fleet.known[(i + 1) % 7].on_answered(often, fleet.fleet.now);
+            fleet.known[(i + 1) % 7].on_answered(content, fleet.fleet.now);
             fleet.fleet.run(milliseconds(400));
         }
-        CPPUNIT_ASSERT_EQUAL(std::size_t{0}, fleet.blocked_at(often));
+        CPPUNIT_ASSERT_EQUAL(std::size_t{0}, fleet.blocked_at(content));
     }
 
     /** A blocked content is retried by one VM, at growing intervals, until a server responds. */
-    static void one_vm_tries_again()
+    static void one_vm_makes_trials()
     {
         suspect_fleet fleet(7, 3);
         const auto trial_due = [&fleet](std::size_t vm) {
-            const std::optional<block> found = fleet.known[vm].blocked(harmful, fleet.fleet.now);
+            const std::optional<block_state> found =
+                fleet.known[vm].blocked(harmful, fleet.fleet.now);
             CPPUNIT_ASSERT(found);
             CPPUNIT_ASSERT(found->until_trial > duration::zero());
             return found->trial_due;
@@ -247,7 +248,7 @@
 
     /** Many crashes with many contents in flight neither exceed the memory bound nor hide the
      * harmful request. */
-    static void many_ends_stay_bounded()
+    static void many_crashes_stay_bounded()
     {
         suspect_fleet fleet(7, 3);
         std::uint64_t contents = 1000;
@@ -261,7 +262,7 @@
             fleet.fleet.run(milliseconds(10));
         }
         for (const auto& [vm, known] : fleet.known)
-            CPPUNIT_ASSERT(known.remembered() <= max_suspects);
+            CPPUNIT_ASSERT(known.suspect_count() <= max_suspects);
         CPPUNIT_ASSERT_EQUAL(std::size_t{0}, fleet.known[0].blocked_contents());
         // The harmful request is still detected.
         fleet.ask_harmful(10, max_propagation_time);
@@ -269,7 +270,7 @@
     }
 
     /** Digests with random contents neither exceed the bounds nor block an unrelated content. */
-    static void other_vms_nonsense()
+    static void random_digests()
     {
         crash_suspects known;
         fleet_digest digest;
@@ -281,7 +282,7 @@
                                static_cast<std::uint16_t>(random())}};
             known.handle_digest(digest, random() % 2 == 0, now);
         }
-        CPPUNIT_ASSERT(known.remembered() <= max_suspects);
+        CPPUNIT_ASSERT(known.suspect_count() <= max_suspects);
         fleet_digest own;
         known.describe(own, now);
         CPPUNIT_ASSERT(own.blocked.size() <= max_blocked_contents);
--- a/test/fuzz/path_keeps_promises.cpp
+++ b/test/fuzz/request_path_keeps_guarantees.cpp
@@ -26,16 +26,16 @@
     resets,
     answers_twice,
     fails,
-    unproved_refusal, ///< a 503 without the header that proves that the request did not run
+    unproven_refusal, ///< a 503 without the header that proves that the request did not run
     breaks_stream,
 };
 
 constexpr std::size_t requests_at_once = 24;
 constexpr std::array targets{"/safe/x", "/unsafe/x", "/stream/x", "/once/x"};
 
-class path_keeps_promises : public CppUnit::TestFixture {
-    CPPUNIT_TEST_SUITE(path_keeps_promises);
-    CPPUNIT_TEST(under_drawn_failures);
+class request_path_keeps_guarantees : public CppUnit::TestFixture {
+    CPPUNIT_TEST_SUITE(request_path_keeps_guarantees);
+    CPPUNIT_TEST(random_server_failures);
     CPPUNIT_TEST_SUITE_END();
 
     std::map<std::string, std::size_t> runs;  ///< executions at servers, by request id
@@ -62,7 +62,7 @@
         return text;
     }
 
-    static std::string whole(const std::string& request)
+    static std::string complete_response(const std::string& request)
     {
         if (!is_stream(request)) return answer_text(200, request, "answer to " + id_of(request));
         return stream_head(request) + events_of(request, 4) + "0\r\n\r\n";
@@ -78,7 +78,7 @@
         if (current == server_behaviour::other_server)
             return {answer_text(421, request, ""), then::keep};
         ++this->runs[id_of(request)];
-        const std::string text = whole(request);
+        const std::string text = complete_response(request);
         switch (current) {
         case server_behaviour::truncates:
             return {text.substr(0, text.size() - 4), then::close};
@@ -90,7 +90,7 @@
             return {text + text, then::keep};
         case server_behaviour::fails:
             return {answer_text(500, request, "failed"), then::keep};
-        case server_behaviour::unproved_refusal:
+        case server_behaviour::unproven_refusal:
             return {answer_text(503, request, "failed"), then::keep};
         case server_behaviour::breaks_stream:
             if (!is_stream(request)) return {text.substr(0, 30), then::reset};
@@ -174,7 +174,7 @@
 
 public:
     /** Guards against a violated guarantee under any mix of server failures. */
-    void under_drawn_failures()
+    void random_server_failures()
     {
         const bool passed = rc::check("promises hold whatever the servers do", [this] {
             const auto any = rc::gen::weightedOneOf<server_behaviour>(
@@ -182,7 +182,7 @@
                  {5, rc::gen::element(server_behaviour::refuses, server_behaviour::other_server,
                                       server_behaviour::truncates, server_behaviour::garbage,
                                       server_behaviour::resets, server_behaviour::answers_twice,
-                                      server_behaviour::fails, server_behaviour::unproved_refusal,
+                                      server_behaviour::fails, server_behaviour::unproven_refusal,
                                       server_behaviour::breaks_stream)}});
             this->behaviours = *rc::gen::container<std::vector<server_behaviour>>(31, any);
             this->run_once();
@@ -191,6 +191,6 @@
     }
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(path_keeps_promises);
+CPPUNIT_TEST_SUITE_REGISTRATION(request_path_keeps_guarantees);
 
 } // namespace
