--- a/test/correctness/admission_refuses_what_cannot_begin.cpp
+++ b/test/correctness/admission_refuses_late_requests.cpp
@@ -17,22 +17,22 @@
 constexpr std::uint32_t slots = 10;
 constexpr std::size_t engines = 6;
 
-class admission_refuses_what_cannot_begin : public CppUnit::TestFixture {
-    CPPUNIT_TEST_SUITE(admission_refuses_what_cannot_begin);
+class admission_refuses_late_requests : public CppUnit::TestFixture {
+    CPPUNIT_TEST_SUITE(admission_refuses_late_requests);
     CPPUNIT_TEST(free_slots);
-    CPPUNIT_TEST(less_urgent_with_free_slots);
+    CPPUNIT_TEST(low_priority_with_free_slots);
     CPPUNIT_TEST(no_slot_in_time);
-    CPPUNIT_TEST(what_may_have_run);
+    CPPUNIT_TEST(requests_that_may_have_run);
     CPPUNIT_TEST(retry_after_grows);
-    CPPUNIT_TEST(by_rate_while_busy);
+    CPPUNIT_TEST(limited_to_service_rate_while_busy);
     CPPUNIT_TEST(slow_engine);
     CPPUNIT_TEST(hot_prompt);
-    CPPUNIT_TEST(stated_load_goes_before_sums);
+    CPPUNIT_TEST(reported_load_overrides_sums);
     CPPUNIT_TEST_SUITE_END();
 
     instant now{seconds(100)};
     std::unique_ptr<server_table> table;
-    std::unique_ptr<admission> admitting;
+    std::unique_ptr<admission> admission_control;
 
     server_entry& engine(std::size_t at) { return *this->table->find({"e" + std::to_string(at)}); }
 
@@ -46,7 +46,7 @@
 
     admission_decision ask(std::uint64_t prompt = 7, bool may_refuse = true)
     {
-        return this->admitting->decide({llm, true, prompt, {}, 0}, may_refuse, this->now);
+        return this->admission_control->decide({llm, true, prompt, {}, 0}, may_refuse, this->now);
     }
 
     bool is_sent(std::uint64_t prompt = 7, bool may_refuse = true)
@@ -59,7 +59,7 @@
     {
         this->table = std::make_unique<server_table>(data_centre_id{"dc"}, 1U);
         this->table->policy.load_spread = 0;
-        this->admitting = std::make_unique<admission>(*this->table, 1U);
+        this->admission_control = std::make_unique<admission>(*this->table, 1U);
         for (std::size_t i = 0; i < engines; ++i) {
             server_record record;
             record.id = {"e" + std::to_string(i)};
@@ -80,14 +80,14 @@
     }
 
     /** Guards against refusing low-priority requests while slots are free. */
-    void less_urgent_with_free_slots()
+    void low_priority_with_free_slots()
     {
         this->load_all(1);
         for (int i = 0; i < 400; ++i) {
             this->now += milliseconds(20);
             const unsigned priority = i % 4;
             const admission_decision decided =
-                this->admitting->decide({llm, true, 7, {}, priority}, true, this->now);
+                this->admission_control->decide({llm, true, 7, {}, priority}, true, this->now);
             CPPUNIT_ASSERT(std::holds_alternative<admit_to>(decided));
         }
     }
@@ -100,14 +100,14 @@
         CPPUNIT_ASSERT(this->is_sent());
         this->load_all(slots + 2);
         const admission_decision decided = this->ask();
-        const auto* answer = std::get_if<retry_later>(&decided);
-        CPPUNIT_ASSERT(answer != nullptr);
-        CPPUNIT_ASSERT(answer->where.wait > milliseconds(200));
-        CPPUNIT_ASSERT(answer->retry_after >= overload_tracker::min_overload_retry_after);
+        const auto* refusal = std::get_if<retry_later>(&decided);
+        CPPUNIT_ASSERT(refusal != nullptr);
+        CPPUNIT_ASSERT(refusal->where.wait > milliseconds(200));
+        CPPUNIT_ASSERT(refusal->retry_after >= overload_tracker::min_overload_retry_after);
     }
 
     /** Guards against refusing a request as "not run" that may have run. */
-    void what_may_have_run()
+    void requests_that_may_have_run()
     {
         this->load_all(slots * 3);
         CPPUNIT_ASSERT(this->is_sent(7, false));
@@ -133,13 +133,13 @@
 
     /** Guards against admitting more than the engines complete: 200 requests per second arrive, and
      * 60 are completed. */
-    void by_rate_while_busy()
+    void limited_to_service_rate_while_busy()
     {
         const auto admitted_of_200 = [&] {
             int admitted = 0;
             for (int i = 0; i < 200; ++i) {
                 this->now += milliseconds(5);
-                this->admitting->on_request(llm, 0, this->now);
+                this->admission_control->on_request(llm, 0, this->now);
                 admitted += this->is_sent(0) ? 1 : 0;
             }
             return admitted;
@@ -156,16 +156,16 @@
     void slow_engine()
     {
         this->load_all(0);
-        const placement_result usual = std::get<admit_to>(this->ask()).where;
+        const placement_result first_choice = std::get<admit_to>(this->ask()).where;
         for (std::size_t i = 0; i < engines; ++i)
             this->engine(i).first_delay.add(milliseconds(60), this->now);
         for (int i = 0; i < 20; ++i)
-            usual.row->first_delay.add(milliseconds(900), this->now);
+            first_choice.row->first_delay.add(milliseconds(900), this->now);
         this->table->mark_slow(this->now);
-        CPPUNIT_ASSERT(std::get<admit_to>(this->ask()).where.row != usual.row);
+        CPPUNIT_ASSERT(std::get<admit_to>(this->ask()).where.row != first_choice.row);
         // The slow engine is still used if no other has a slot.
         this->load_all(slots * 3);
-        usual.row->peers_in_flight = 0;
+        first_choice.row->peers_in_flight = 0;
         this->table->sum_loads(this->now);
         CPPUNIT_ASSERT(this->is_sent());
     }
@@ -183,7 +183,7 @@
         CPPUNIT_ASSERT_EQUAL(std::size_t{1}, engines_used(8));
         for (int i = 0; i < 200; ++i) {
             this->now += milliseconds(40);
-            this->admitting->on_request(llm, 8, this->now);
+            this->admission_control->on_request(llm, 8, this->now);
         }
         CPPUNIT_ASSERT(engines_used(8) > 3);
         CPPUNIT_ASSERT_EQUAL(std::size_t{1}, engines_used(9));
@@ -191,7 +191,7 @@
 
     /** Guards against ignoring a load that an engine reported, using an older one, or keeping it
      * after it expired. */
-    void stated_load_goes_before_sums()
+    void reported_load_overrides_sums()
     {
         this->load_all(0);
         server_entry& row = this->engine(2);
@@ -206,6 +206,6 @@
     }
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(admission_refuses_what_cannot_begin);
+CPPUNIT_TEST_SUITE_REGISTRATION(admission_refuses_late_requests);
 
 } // namespace
--- a/test/correctness/cold_servers_are_spared.cpp
+++ b/test/correctness/cold_server_rate_limit_holds.cpp
@@ -56,7 +56,7 @@
     void resume(std::size_t vm)
     {
         this->suspended.erase(vm);
-        this->join(vm);
+        this->reconnect(vm);
     }
     void cut_off(std::size_t vm)
     {
@@ -64,7 +64,7 @@
             if (other != vm) this->fleet.cut.insert(std::minmax(vm, other));
         }
     }
-    void join(std::size_t vm)
+    void reconnect(std::size_t vm)
     {
         std::erase_if(this->fleet.cut,
                       [vm](const auto& pair) { return pair.first == vm || pair.second == vm; });
@@ -72,7 +72,7 @@
     void restart(std::size_t vm)
     {
         this->fleet.kill(vm);
-        this->gates.erase(vm);
+        this->limiters_by_vm.erase(vm);
         this->fleet.start(vm);
     }
 
@@ -82,7 +82,7 @@
     std::size_t sent = 0;
 
     /** Requests sent, as a share of the rate that the servers tolerate in \p span. */
-    [[nodiscard]] double used(duration span) const
+    [[nodiscard]] double used_share(duration span) const
     {
         const double seconds = std::chrono::duration<double>(span).count();
         return static_cast<double>(this->sent) / (rate * seconds * servers);
@@ -90,37 +90,38 @@
 
 private:
     static constexpr std::size_t servers = 2;
-    struct vm_gates {
+    struct vm_limiters {
         std::array<cold_request_limiter, 2> servers;
-        instant shared_at{};
+        instant updated_at{};
     };
 
     void send(std::size_t vm)
     {
         if (this->suspended.contains(vm)) return;
-        vm_gates& own = this->gates[vm];
-        if (this->fleet.now - own.shared_at >= milliseconds(100)) this->share(vm, own);
+        vm_limiters& limiters = this->limiters_by_vm[vm];
+        if (this->fleet.now - limiters.updated_at >= milliseconds(100))
+            this->update_shares(vm, limiters);
         for (std::size_t server = 0; server < servers; ++server) {
-            cold_request_limiter& gate = own.servers[server];
-            if (!gate.open(this->fleet.now)) continue;
-            gate.on_sent(this->fleet.now);
+            cold_request_limiter& limiter = limiters.servers[server];
+            if (!limiter.open(this->fleet.now)) continue;
+            limiter.on_sent(this->fleet.now);
             this->arrive(server);
         }
     }
 
     /** Updates a VM's shares; called at the interval that routers use. */
-    void share(std::size_t vm, vm_gates& own)
+    void update_shares(std::size_t vm, vm_limiters& limiters)
     {
         const instant now = this->fleet.now;
-        own.shared_at = now;
+        limiters.updated_at = now;
         fleet_members members = this->fleet.vms.at(vm).rounds.fleet().members(now);
         // Routers know all data centres from their settings.
-        for (std::uint32_t place = 1; place <= this->data_centres; ++place)
-            members.add(place);
+        for (std::uint32_t data_centre = 1; data_centre <= this->data_centres; ++data_centre)
+            members.add(data_centre);
         for (std::size_t server = 0; server < servers; ++server) {
-            cold_request_limiter& gate = own.servers[server];
-            gate.extend(now + seconds(1));
-            gate.set_share(
+            cold_request_limiter& limiter = limiters.servers[server];
+            limiter.extend(now + seconds(1));
+            limiter.set_share(
                 compute_cold_share({rate, tolerance}, server * 7919 + 1, members, this->senders),
                 now, this->random);
         }
@@ -129,38 +130,38 @@
     /** A request reaches the server after a few milliseconds. */
     void arrive(std::size_t server)
     {
-        const auto late = std::uniform_int_distribution<int>(0, 8)(this->random);
-        std::deque<instant>& came = this->arrivals[server];
-        came.push_back(this->fleet.now + milliseconds(late));
-        std::ranges::sort(came);
-        while (came.back() - came.front() > seconds(1))
-            came.pop_front();
-        this->most_in_a_second = std::max(this->most_in_a_second, came.size());
+        const auto delay_ms = std::uniform_int_distribution<int>(0, 8)(this->random);
+        std::deque<instant>& times = this->arrivals[server];
+        times.push_back(this->fleet.now + milliseconds(delay_ms));
+        std::ranges::sort(times);
+        while (times.back() - times.front() > seconds(1))
+            times.pop_front();
+        this->most_in_a_second = std::max(this->most_in_a_second, times.size());
         ++this->sent;
     }
 
     std::minstd_rand random;
     double senders;
-    std::map<std::size_t, vm_gates> gates;
+    std::map<std::size_t, vm_limiters> limiters_by_vm;
     std::map<std::size_t, std::deque<instant>> arrivals;
     std::set<std::size_t> suspended;
 };
 
-class cold_servers_are_spared : public CppUnit::TestFixture {
-    CPPUNIT_TEST_SUITE(cold_servers_are_spared);
+class cold_server_rate_limit_holds : public CppUnit::TestFixture {
+    CPPUNIT_TEST_SUITE(cold_server_rate_limit_holds);
     CPPUNIT_TEST(fleet_of_7);
     CPPUNIT_TEST(fleet_of_65);
     CPPUNIT_TEST(fleet_of_295);
     CPPUNIT_TEST(fleet_of_480);
     CPPUNIT_TEST(even_shares_use_less);
-    CPPUNIT_TEST(bounds_that_allow_nothing);
-    CPPUNIT_TEST(few_senders_are_chosen);
-    CPPUNIT_TEST(that_started_again);
-    CPPUNIT_TEST(that_turn_cold_while_at_work);
-    CPPUNIT_TEST(that_could_not_be_reached);
-    CPPUNIT_TEST(prompts_are_not_copied_from_them);
-    CPPUNIT_TEST(all_of_them_cold);
-    CPPUNIT_TEST(services_without_a_bound);
+    CPPUNIT_TEST(limits_that_allow_no_request);
+    CPPUNIT_TEST(senders_differ_by_server);
+    CPPUNIT_TEST(restarted_server_is_cold);
+    CPPUNIT_TEST(server_that_becomes_cold_with_requests_in_flight);
+    CPPUNIT_TEST(unreachable_server_is_cold);
+    CPPUNIT_TEST(cold_server_is_no_copy_source);
+    CPPUNIT_TEST(all_servers_cold);
+    CPPUNIT_TEST(services_without_a_rate_limit);
     CPPUNIT_TEST_SUITE_END();
 
     static constexpr double bound = rate * tolerance.over + tolerance.slack;
@@ -168,9 +169,9 @@
 
     instant now{seconds(1000)};
     std::unique_ptr<server_table> table;
-    std::unique_ptr<admission> admitting;
+    std::unique_ptr<admission> admission_control;
 
-    static std::string seen(const eager_fleet& fleet)
+    static std::string describe(const eager_fleet& fleet)
     {
         return std::to_string(fleet.fleet.vms.size()) +
                " VMs: " + std::to_string(fleet.most_in_a_second) + " in a second";
@@ -179,26 +180,26 @@
     /** Membership of a fleet of \p count VMs in one data centre, as its first VM knows it. */
     static fleet_members known_vms(std::uint32_t count)
     {
-        fleet_members made;
-        made.self = 1;
-        made.data_centre = 1;
-        made.data_centres = {1};
+        fleet_members members;
+        members.self = 1;
+        members.data_centre = 1;
+        members.data_centres = {1};
         for (std::uint32_t vm = 1; vm <= count; ++vm)
-            made.local_vms.push_back(vm);
-        made.complete = true;
-        return made;
+            members.local_vms.push_back(vm);
+        members.complete = true;
+        return members;
     }
 
-    static server_record record(const std::string& id, std::uint64_t born, int cold_ms)
+    static server_record record(const std::string& id, std::uint64_t started_at_ms, int cold_ms)
     {
-        server_record made;
-        made.id = {id};
-        made.service = llm;
-        made.data_centre = {"dc"};
-        made.slots = 10;
-        made.started_at_ms = born;
-        made.cold_remaining = milliseconds(cold_ms);
-        return made;
+        server_record record;
+        record.id = {id};
+        record.service = llm;
+        record.data_centre = {"dc"};
+        record.slots = 10;
+        record.started_at_ms = started_at_ms;
+        record.cold_remaining = milliseconds(cold_ms);
+        return record;
     }
 
     placement_result choose(std::uint64_t prompt = 7)
@@ -207,7 +208,7 @@
     }
 
     /** Number of prompts, of a thousand, that are placed on a server. */
-    std::size_t chosen(const std::string& id)
+    std::size_t count_placed_on(const std::string& id)
     {
         std::size_t count = 0;
         for (std::uint64_t prompt = 1; prompt <= 1000; ++prompt) {
@@ -219,7 +220,7 @@
 
     static void check_rate_bound(const eager_fleet& fleet, const std::string& phase)
     {
-        CPPUNIT_ASSERT_MESSAGE(phase + ", " + seen(fleet), fleet.most_in_a_second <= bound);
+        CPPUNIT_ASSERT_MESSAGE(phase + ", " + describe(fleet), fleet.most_in_a_second <= bound);
     }
 
     /** While all VMs have requests to send, the servers get nearly all that they tolerate. */
@@ -227,8 +228,8 @@
     {
         constexpr duration span = seconds(5);
         fleet.run(span);
-        CPPUNIT_ASSERT_MESSAGE(seen(fleet) + ", used " + std::to_string(fleet.used(span)),
-                               fleet.used(span) >= 0.9);
+        CPPUNIT_ASSERT_MESSAGE(describe(fleet) + ", used " + std::to_string(fleet.used_share(span)),
+                               fleet.used_share(span) >= 0.9);
     }
 
     /** VMs are suspended, restart and leave while others send. */
@@ -236,13 +237,13 @@
     {
         const std::size_t vms = fleet.fleet.vms.size();
         std::minstd_rand random(2);
-        const auto drawn = [&] { return std::size_t{random()} % vms; };
+        const auto random_vm = [&] { return std::size_t{random()} % vms; };
         for (int round = 0; round < 4; ++round) {
-            const std::size_t suspended = drawn();
+            const std::size_t suspended = random_vm();
             fleet.suspend(suspended);
             for (int i = 0; i < 2; ++i)
-                fleet.restart(drawn());
-            if (round % 3 == 0) fleet.fleet.vms.at(drawn()).leaving = true;
+                fleet.restart(random_vm());
+            if (round % 3 == 0) fleet.fleet.vms.at(random_vm()).leaving = true;
             fleet.run(milliseconds(900));
             fleet.resume(suspended);
         }
@@ -259,7 +260,7 @@
             fleet.restart(vm);
         fleet.run(seconds(5));
         for (std::size_t vm = 0; vm < vms; vm += 3)
-            fleet.join(vm);
+            fleet.reconnect(vm);
         fleet.run(seconds(6));
     }
 
@@ -293,7 +294,7 @@
         this->table->set_traits(llm, {true, seconds(3), rate});
         for (const std::string id : {"a", "b", "c"})
             this->table->put(record(id, 1, 0), this->now);
-        this->admitting = std::make_unique<admission>(*this->table);
+        this->admission_control = std::make_unique<admission>(*this->table);
     }
 
     static void fleet_of_7() { all_phases(7); }
@@ -316,12 +317,12 @@
         even.run(span);
         eager_fleet few(vms, 1, senders);
         few.run(span);
-        const std::string text = seen(even) + ", " + std::to_string(even.used(span));
-        CPPUNIT_ASSERT_MESSAGE(text, even.used(span) < 0.75 * few.used(span));
+        const std::string text = describe(even) + ", " + std::to_string(even.used_share(span));
+        CPPUNIT_ASSERT_MESSAGE(text, even.used_share(span) < 0.75 * few.used_share(span));
     }
 
     /** No VM may send if the limit is below one request, or if it does not know the fleet. */
-    static void bounds_that_allow_nothing()
+    static void limits_that_allow_no_request()
     {
         fleet_members members = known_vms(3);
         CPPUNIT_ASSERT(!compute_cold_share({0, {1.5, 5}}, 1, members, senders).pause);
@@ -333,64 +334,64 @@
     }
 
     /** The senders differ from server to server, so that no VM serves all the cold ones. */
-    static void few_senders_are_chosen()
+    static void senders_differ_by_server()
     {
         fleet_members members = known_vms(65);
-        std::map<std::uint32_t, std::size_t> watches_by_vm;
+        std::map<std::uint32_t, std::size_t> servers_by_vm;
         constexpr std::size_t servers = 100;
         for (std::uint64_t server = 1; server <= servers; ++server) {
             std::size_t count = 0;
             for (members.self = 1; members.self <= 65; ++members.self) {
                 if (!compute_cold_share({rate, tolerance}, server, members, senders).pause)
                     continue;
-                ++watches_by_vm[members.self];
+                ++servers_by_vm[members.self];
                 ++count;
             }
             CPPUNIT_ASSERT_EQUAL(static_cast<std::size_t>(bound * senders), count);
         }
-        CPPUNIT_ASSERT_EQUAL(std::size_t{65}, watches_by_vm.size());
-        for (const auto& [vm, count] : watches_by_vm)
+        CPPUNIT_ASSERT_EQUAL(std::size_t{65}, servers_by_vm.size());
+        for (const auto& [vm, count] : servers_by_vm)
             CPPUNIT_ASSERT(count < servers / 2);
     }
 
     /** A restarted server is cold for the cold-start time of its service. */
-    void that_started_again()
+    void restarted_server_is_cold()
     {
-        CPPUNIT_ASSERT(this->chosen("a") > 0);
+        CPPUNIT_ASSERT(this->count_placed_on("a") > 0);
         this->table->put(record("a", 2, 0), this->now);
-        CPPUNIT_ASSERT_EQUAL(std::size_t{0}, this->chosen("a"));
+        CPPUNIT_ASSERT_EQUAL(std::size_t{0}, this->count_placed_on("a"));
         this->now += seconds(4);
-        CPPUNIT_ASSERT(this->chosen("a") > 0);
+        CPPUNIT_ASSERT(this->count_placed_on("a") > 0);
     }
 
     /** A server that becomes cold keeps its requests in flight and gets no new ones beyond this
      * VM's share. */
-    void that_turn_cold_while_at_work()
+    void server_that_becomes_cold_with_requests_in_flight()
     {
         server_entry& row = *this->table->find({"a"});
         row.in_flight = 1;
         this->table->put(record("a", 1, 2500), this->now);
-        CPPUNIT_ASSERT_EQUAL(std::size_t{0}, this->chosen("a"));
+        CPPUNIT_ASSERT_EQUAL(std::size_t{0}, this->count_placed_on("a"));
         this->table->update_cold_shares(known_vms(1), this->now);
         this->now += milliseconds(100);
         row.last_received_at = this->now;
-        CPPUNIT_ASSERT(this->chosen("a") > 0);
+        CPPUNIT_ASSERT(this->count_placed_on("a") > 0);
         row.cold.on_sent(this->now);
-        CPPUNIT_ASSERT_EQUAL(std::size_t{0}, this->chosen("a"));
+        CPPUNIT_ASSERT_EQUAL(std::size_t{0}, this->count_placed_on("a"));
         CPPUNIT_ASSERT_EQUAL(1U, row.in_flight);
     }
 
     /** An unreachable server may restart before the registry says so, so it is treated as cold. */
-    void that_could_not_be_reached()
+    void unreachable_server_is_cold()
     {
         this->table->mark_unreachable(*this->table->find({"a"}), this->now);
-        CPPUNIT_ASSERT_EQUAL(std::size_t{0}, this->chosen("a"));
+        CPPUNIT_ASSERT_EQUAL(std::size_t{0}, this->count_placed_on("a"));
         this->now += seconds(4);
-        CPPUNIT_ASSERT(this->chosen("a") > 0);
+        CPPUNIT_ASSERT(this->count_placed_on("a") > 0);
     }
 
     /** A cold server has no cached tokens to copy. */
-    void prompts_are_not_copied_from_them()
+    void cold_server_is_no_copy_source()
     {
         this->table->put(record("a", 2, 3000), this->now);
         for (std::uint64_t prompt = 1; prompt <= 100; ++prompt) {
@@ -401,26 +402,26 @@
 
     /** If all servers are cold, the request is refused at once, with the time until one accepts it.
      */
-    void all_of_them_cold()
+    void all_servers_cold()
     {
         for (const std::string id : {"a", "b", "c"})
             this->table->put(record(id, 2, 3000), this->now);
         const admission_decision decided =
-            this->admitting->decide({llm, true, 7, {}, 0}, true, this->now);
+            this->admission_control->decide({llm, true, 7, {}, 0}, true, this->now);
         const auto* none = std::get_if<no_server>(&decided);
         CPPUNIT_ASSERT(none != nullptr);
         CPPUNIT_ASSERT(none->available_in == seconds(3));
     }
 
     /** Cold servers are not limited if the configuration states no rate. */
-    void services_without_a_bound()
+    void services_without_a_rate_limit()
     {
         this->table->set_traits(llm, {true, seconds(3), std::nullopt});
         this->table->put(record("a", 2, 3000), this->now);
-        CPPUNIT_ASSERT(this->chosen("a") > 0);
+        CPPUNIT_ASSERT(this->count_placed_on("a") > 0);
     }
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(cold_servers_are_spared);
+CPPUNIT_TEST_SUITE_REGISTRATION(cold_server_rate_limit_holds);
 
 } // namespace
--- a/test/correctness/failing_engines_are_left.cpp
+++ b/test/correctness/failing_engines_are_avoided.cpp
@@ -23,9 +23,9 @@
 
 const service_id llm{"llm"};
 constexpr duration step = milliseconds(25);
-constexpr duration answer_takes = milliseconds(300);
+constexpr duration response_time = milliseconds(300);
 constexpr duration report_interval = milliseconds(500);
-constexpr duration marked_every = milliseconds(100);
+constexpr duration mark_interval = milliseconds(100);
 
 /** The VMs of one data centre; the other data centres behave alike and are not simulated. */
 class data_centre_of_vms {
@@ -87,22 +87,22 @@
     struct attempt {
         std::size_t vm;
         server_entry* row;
-        instant ends;
+        instant ends_at;
     };
 
     static server_record record(std::size_t engine)
     {
-        server_record made;
-        made.id = {std::to_string(engine)};
-        made.service = llm;
-        made.data_centre = {"dc"};
-        made.slots = 12;
-        return made;
+        server_record record;
+        record.id = {std::to_string(engine)};
+        record.service = llm;
+        record.data_centre = {"dc"};
+        record.slots = 12;
+        return record;
     }
 
     void send(std::size_t vm)
     {
-        constexpr double usual_failures = 0.01;
+        constexpr double normal_failure_share = 0.01;
         server_table& table = *this->tables[vm];
         placement_request wanted{llm, true, this->random() % 2000 + 1, {}, 0};
         wanted.repeatable = this->random() % 3 == 0;
@@ -110,22 +110,22 @@
         row.trial.on_sent(this->now);
         row.last_received_at = this->now;
         const auto faulty = this->failing.find(std::stoul(row.record.id.text));
-        const double share = faulty == this->failing.end() ? usual_failures : faulty->second;
+        const double share = faulty == this->failing.end() ? normal_failure_share : faulty->second;
         if (std::uniform_real_distribution<>()(this->random) < share) {
             ++this->failed;
             server_table::on_answered(row, {}, true, this->now);
             return;
         }
         ++row.in_flight;
-        this->attempts.push_back({vm, &row, this->now + answer_takes});
+        this->attempts.push_back({vm, &row, this->now + response_time});
     }
 
     void finish()
     {
-        std::erase_if(this->attempts, [this](const attempt& item) {
-            if (item.ends > this->now) return false;
-            --item.row->in_flight;
-            server_table::on_answered(*item.row, answer_takes, false, this->now);
+        std::erase_if(this->attempts, [this](const attempt& current) {
+            if (current.ends_at > this->now) return false;
+            --current.row->in_flight;
+            server_table::on_answered(*current.row, response_time, false, this->now);
             return true;
         });
     }
@@ -138,13 +138,13 @@
                 const std::vector<outcome_counts> reports = from->drain_outcomes();
                 for (const auto& to : this->tables) {
                     if (from == to) continue;
-                    for (const outcome_counts& item : reports)
-                        to->apply_outcomes(item, this->now);
+                    for (const outcome_counts& report : reports)
+                        to->apply_outcomes(report, this->now);
                 }
             }
         }
-        if (this->now < this->next_marked) return;
-        this->next_marked = this->now + marked_every;
+        if (this->now < this->next_mark) return;
+        this->next_mark = this->now + mark_interval;
         for (std::size_t vm = 0; vm < this->tables.size(); ++vm) {
             this->members.self = static_cast<std::uint32_t>(vm + 1);
             this->tables[vm]->mark_failing(this->members, this->now);
@@ -159,16 +159,16 @@
     fleet_members members;
     std::vector<attempt> attempts;
     instant next_report{};
-    instant next_marked{};
+    instant next_mark{};
     std::size_t failed = 0;
 };
 
-class failing_engines_are_left : public CppUnit::TestFixture {
-    CPPUNIT_TEST_SUITE(failing_engines_are_left);
-    CPPUNIT_TEST(a_fifth_fails);
-    CPPUNIT_TEST(taken_back_when_sound);
+class failing_engines_are_avoided : public CppUnit::TestFixture {
+    CPPUNIT_TEST_SUITE(failing_engines_are_avoided);
+    CPPUNIT_TEST(a_fifth_of_the_engines_fails);
+    CPPUNIT_TEST(recovered_engines_are_used_again);
     CPPUNIT_TEST(all_fail_alike);
-    CPPUNIT_TEST(usual_failures);
+    CPPUNIT_TEST(normal_failure_rate);
     CPPUNIT_TEST_SUITE_END();
 
     static constexpr std::size_t vms = 16;
@@ -176,11 +176,11 @@
     static constexpr std::size_t faulty = 22;
     static constexpr double requests_per_s = 450; ///< of one data centre
 
-    static data_centre_of_vms started(double failing_share)
+    static data_centre_of_vms start(double failing_share)
     {
-        data_centre_of_vms made(vms, requests_per_s, engines, failing_share);
-        made.run(seconds(4));
-        return made;
+        data_centre_of_vms fleet(vms, requests_per_s, engines, failing_share);
+        fleet.run(seconds(4));
+        return fleet;
     }
 
     static void make_faulty(data_centre_of_vms& fleet, double share)
@@ -192,7 +192,7 @@
     /** Number of failures in the seven seconds after the first second of the fault. */
     static std::size_t failures_after_the_first_second(double failing_share)
     {
-        data_centre_of_vms fleet = started(failing_share);
+        data_centre_of_vms fleet = start(failing_share);
         make_faulty(fleet, 0.6);
         fleet.run(seconds(1));
         return fleet.run(seconds(7));
@@ -200,18 +200,18 @@
 
 public:
     /** Avoiding the failing engines reduces failures to two fifths or less. */
-    static void a_fifth_fails()
+    static void a_fifth_of_the_engines_fails()
     {
         const std::size_t with = failures_after_the_first_second(placement_policy{}.failing_share);
         const std::size_t without = failures_after_the_first_second(0);
-        const std::string seen = std::to_string(with) + " against " + std::to_string(without);
-        CPPUNIT_ASSERT_MESSAGE(seen, with * 5 <= without * 2);
+        const std::string message = std::to_string(with) + " against " + std::to_string(without);
+        CPPUNIT_ASSERT_MESSAGE(message, with * 5 <= without * 2);
     }
 
     /** Engines that have recovered are used again. */
-    static void taken_back_when_sound()
+    static void recovered_engines_are_used_again()
     {
-        data_centre_of_vms fleet = started(placement_policy{}.failing_share);
+        data_centre_of_vms fleet = start(placement_policy{}.failing_share);
         make_faulty(fleet, 0.6);
         fleet.run(seconds(6));
         CPPUNIT_ASSERT(fleet.avoided(0) >= faulty * 3 / 4);
@@ -224,7 +224,7 @@
      * rest. */
     static void all_fail_alike()
     {
-        data_centre_of_vms fleet = started(placement_policy{}.failing_share);
+        data_centre_of_vms fleet = start(placement_policy{}.failing_share);
         for (std::size_t engine = 0; engine < engines; ++engine)
             fleet.failing[engine] = 0.45;
         std::size_t most = 0;
@@ -236,9 +236,9 @@
     }
 
     /** The normal failure rate must not lead to avoided engines. */
-    static void usual_failures()
+    static void normal_failure_rate()
     {
-        data_centre_of_vms fleet = started(placement_policy{}.failing_share);
+        data_centre_of_vms fleet = start(placement_policy{}.failing_share);
         std::size_t most = 0;
         for (int i = 0; i < 20; ++i) {
             fleet.run(milliseconds(500));
@@ -248,6 +248,6 @@
     }
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(failing_engines_are_left);
+CPPUNIT_TEST_SUITE_REGISTRATION(failing_engines_are_avoided);
 
 } // namespace
--- a/test/correctness/heavy_days_are_served.cpp
+++ b/test/correctness/peak_load_is_served.cpp
@@ -1,8 +1,8 @@
 /** \file
- * Days of the highest load, simulated with fixed seeds. Guards against placement and admission that
- * serve callers worse than a router that admits every request, or much worse than one that sees all
- * loads without delay. Each pattern file states the load that it represents and the source of its
- * figures.
+ * Days of the highest and of low load, simulated with fixed seeds. Guards against placement and
+ * admission that serve callers worse than a router that admits every request, or much worse than
+ * one that sees all loads without delay. Each pattern file states the load that it represents and
+ * the source of its figures.
  */
 #include <algorithm>
 
@@ -19,15 +19,15 @@
 /** Upper bound on the share of sends to an engine whose load exceeds twice the mean plus three. */
 constexpr double max_over_bound = 0.03;
 
-class heavy_days_are_served : public CppUnit::TestFixture {
-    CPPUNIT_TEST_SUITE(heavy_days_are_served);
+class peak_load_is_served : public CppUnit::TestFixture {
+    CPPUNIT_TEST_SUITE(peak_load_is_served);
     CPPUNIT_TEST(long_prompts);
     CPPUNIT_TEST(hot_prompt);
     CPPUNIT_TEST(slow_engines);
     CPPUNIT_TEST(long_prompts_large_fleet);
     CPPUNIT_TEST(hot_prompt_large_fleet);
-    CPPUNIT_TEST(engines_dark);
-    CPPUNIT_TEST(quiet_days);
+    CPPUNIT_TEST(unresponsive_engines);
+    CPPUNIT_TEST(low_load);
     CPPUNIT_TEST_SUITE_END();
 
     static pattern read(const std::string& name)
@@ -50,8 +50,9 @@
         return sum / static_cast<double>(seeds);
     }
 
-    /** The product earns at least \p more than a router that admits every request. */
-    static void better_than_admitting_all(const std::string& name, double more,
+    /** The earned share of the product exceeds by at least \p min_gain that of a router that admits
+     * every request. */
+    static void better_than_admitting_all(const std::string& name, double min_gain,
                                           std::uint64_t seeds = 1)
     {
         const double product = earned(name, "product", seeds);
@@ -60,22 +61,23 @@
         const std::string message = name + ": " + std::to_string(product) + " against " +
                                     std::to_string(admit_all_share) + " and " +
                                     std::to_string(all_knowing_share);
-        CPPUNIT_ASSERT_MESSAGE(message, product >= admit_all_share + more);
+        CPPUNIT_ASSERT_MESSAGE(message, product >= admit_all_share + min_gain);
         CPPUNIT_ASSERT_MESSAGE(message, product >= min_share_of_all_knowing * all_knowing_share);
     }
 
     /** The share of a kind that is served is at most 0.05 below that of any less urgent kind. */
     static void urgent_kinds_first(const std::string& name)
     {
-        const pattern given = read(name);
+        const pattern load = read(name);
         outcome result = run(name, "product");
         const auto served = [&](const request_kind& kind) {
-            const kind_outcome& item = result.kinds[kind.name];
-            return static_cast<double>(item.on_time + item.late) / static_cast<double>(item.asked);
+            const kind_outcome& result_of_kind = result.kinds[kind.name];
+            return static_cast<double>(result_of_kind.on_time + result_of_kind.late) /
+                   static_cast<double>(result_of_kind.asked);
         };
         constexpr double slack = 0.05;
-        for (const request_kind& urgent : given.kinds) {
-            for (const request_kind& other : given.kinds) {
+        for (const request_kind& urgent : load.kinds) {
+            for (const request_kind& other : load.kinds) {
                 if (urgent.priority >= other.priority) continue;
                 CPPUNIT_ASSERT_MESSAGE(urgent.name + " and " + other.name,
                                        served(urgent) + slack >= served(other));
@@ -119,7 +121,7 @@
     }
 
     /** Guards against losing most of the value when 60 % of the engines stop responding. */
-    static void engines_dark()
+    static void unresponsive_engines()
     {
         const double product = run("engines_dark_small", "product").earned_share();
         const double all_knowing_share = run("engines_dark_small", "all-knowing").earned_share();
@@ -127,7 +129,7 @@
     }
 
     /** Guards against refusals and late responses while slots are free. */
-    static void quiet_days()
+    static void low_load()
     {
         for (const char* name : {"quiet_small", "quiet_large"}) {
             const outcome result = run(name, "product");
@@ -138,6 +140,6 @@
     }
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(heavy_days_are_served);
+CPPUNIT_TEST_SUITE_REGISTRATION(peak_load_is_served);
 
 } // namespace
--- a/test/correctness/rendezvous_moves_only_its_share.cpp
+++ b/test/correctness/rendezvous_join_moves_few_keys.cpp
@@ -10,13 +10,13 @@
 
 using namespace worksshift;
 
-class rendezvous_moves_only_its_share : public CppUnit::TestFixture {
-    CPPUNIT_TEST_SUITE(rendezvous_moves_only_its_share);
-    CPPUNIT_TEST(join_moves_one_share);
+class rendezvous_join_moves_few_keys : public CppUnit::TestFixture {
+    CPPUNIT_TEST_SUITE(rendezvous_join_moves_few_keys);
+    CPPUNIT_TEST(new_candidate_takes_one_share);
     CPPUNIT_TEST_SUITE_END();
 
 public:
-    void join_moves_one_share()
+    void new_candidate_takes_one_share()
     {
         std::vector<std::uint64_t> before;
         before.reserve(20);
@@ -38,6 +38,6 @@
     }
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(rendezvous_moves_only_its_share);
+CPPUNIT_TEST_SUITE_REGISTRATION(rendezvous_join_moves_few_keys);
 
 } // namespace
--- a/test/correctness/requests_stay_in_their_regions.cpp
+++ b/test/correctness/requests_stay_in_their_regions.cpp
@@ -17,14 +17,14 @@
 
 class requests_stay_in_their_regions : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(requests_stay_in_their_regions);
-    CPPUNIT_TEST(anywhere);
-    CPPUNIT_TEST(of_the_route);
-    CPPUNIT_TEST(of_route_and_account);
+    CPPUNIT_TEST(no_region_lists);
+    CPPUNIT_TEST(regions_of_the_route);
+    CPPUNIT_TEST(regions_of_route_and_account);
     CPPUNIT_TEST(regions_without_a_server);
-    CPPUNIT_TEST(repeats);
-    CPPUNIT_TEST(copies_of_prompts);
-    CPPUNIT_TEST(data_centres_of_no_known_region);
-    CPPUNIT_TEST(as_the_configuration_says);
+    CPPUNIT_TEST(retries);
+    CPPUNIT_TEST(prompt_copies);
+    CPPUNIT_TEST(data_centres_of_unknown_region);
+    CPPUNIT_TEST(region_lists_in_the_configuration);
     CPPUNIT_TEST_SUITE_END();
 
     instant now{seconds(1000)};
@@ -54,27 +54,27 @@
     void setUp() override
     {
         this->table.set_regions({{{"n1"}, {"north"}}, {{"s1"}, {"south"}}, {{"w1"}, {"west"}}});
-        for (const std::string place : {"n1", "s1", "w1"}) {
+        for (const std::string data_centre : {"n1", "s1", "w1"}) {
             for (const service_id& service : {llm, desk}) {
                 for (int i = 0; i < 3; ++i) {
-                    server_record made;
-                    made.id = {place + service.text + std::to_string(i)};
-                    made.service = service;
-                    made.data_centre = {place};
-                    made.slots = 4;
-                    this->table.put(made, this->now);
+                    server_record record;
+                    record.id = {data_centre + service.text + std::to_string(i)};
+                    record.service = service;
+                    record.data_centre = {data_centre};
+                    record.slots = 4;
+                    this->table.put(record, this->now);
                 }
             }
         }
     }
 
     /** Empty lists allow all regions. */
-    void anywhere()
+    void no_region_lists()
     {
         CPPUNIT_ASSERT((this->served_in({}, {}) == names{"north", "south", "west"}));
     }
 
-    void of_the_route()
+    void regions_of_the_route()
     {
         CPPUNIT_ASSERT((this->served_in({{"south"}}, {}) == names{"south"}));
         CPPUNIT_ASSERT((this->served_in({{"south"}, {"west"}}, {}) == names{"south", "west"}));
@@ -82,7 +82,7 @@
 
     /** An empty list allows all regions. With two lists, a request may go only to regions that are
      * in both. */
-    void of_route_and_account()
+    void regions_of_route_and_account()
     {
         CPPUNIT_ASSERT((this->served_in({}, {{"west"}}) == names{"west"}));
         CPPUNIT_ASSERT(
@@ -98,16 +98,16 @@
             if (row.region.text == "south") this->table.remove(id);
         }
         CPPUNIT_ASSERT(this->served_in({{"south"}}, {}).empty());
-        admission admitting(this->table);
+        admission admission_control(this->table);
         placement_request wanted{llm, true, 1, {}, 0};
         const std::vector<region_id> route{{"south"}};
         wanted.allowed_regions = {route, {}};
-        const admission_decision decided = admitting.decide(wanted, true, this->now);
+        const admission_decision decided = admission_control.decide(wanted, true, this->now);
         CPPUNIT_ASSERT(std::holds_alternative<no_server>(decided));
     }
 
     /** A retry does not leave the region, even if all servers there have been tried. */
-    void repeats()
+    void retries()
     {
         const std::vector<server_id> tried{{"s1llm0"},  {"s1llm1"},  {"s1llm2"},
                                            {"s1desk0"}, {"s1desk1"}, {"s1desk2"}};
@@ -116,7 +116,7 @@
 
     /** Prompts are copied only within the region, also while one of its servers is over its bound
      * and another takes its overflow. */
-    void copies_of_prompts()
+    void prompt_copies()
     {
         for (auto& [id, row] : this->table.rows())
             row.peers_in_flight = row.region.text == "south" && id.text.ends_with("0") ? 50 : 0;
@@ -124,7 +124,7 @@
     }
 
     /** A data centre of unknown region serves only requests that may go anywhere. */
-    void data_centres_of_no_known_region()
+    void data_centres_of_unknown_region()
     {
         this->table.set_regions({{{"s1"}, {"south"}}});
         CPPUNIT_ASSERT((this->served_in({{"north"}, {"south"}}, {}) == names{"south"}));
@@ -132,7 +132,7 @@
     }
 
     /** Lists in the configuration that cannot be read must not open all regions. */
-    static void as_the_configuration_says()
+    static void region_lists_in_the_configuration()
     {
         const auto decode = [](const std::string& regions) {
             return platform_protocol().decode_config(
@@ -142,21 +142,21 @@
                 regions + R"(}],"tenants":[{"name":"one","apiKeys":["k"],"allowedRegions":)" +
                 regions + "}]}");
         };
-        const auto sound = decode(R"(["north","west"])");
+        const auto valid = decode(R"(["north","west"])");
         const std::vector<region_id> expected{{"north"}, {"west"}};
-        CPPUNIT_ASSERT(sound->find("h", "/a/x")->allowed_regions.empty());
-        CPPUNIT_ASSERT(sound->find("h", "/b/x")->allowed_regions == expected);
-        CPPUNIT_ASSERT(sound->account_by_key.at("k").allowed_regions == expected);
-        for (const std::string nothing : {"[]", "null"})
-            CPPUNIT_ASSERT(decode(nothing)->find("h", "/b/x")->allowed_regions.empty());
+        CPPUNIT_ASSERT(valid->find("h", "/a/x")->allowed_regions.empty());
+        CPPUNIT_ASSERT(valid->find("h", "/b/x")->allowed_regions == expected);
+        CPPUNIT_ASSERT(valid->account_by_key.at("k").allowed_regions == expected);
+        for (const std::string empty_list : {"[]", "null"})
+            CPPUNIT_ASSERT(decode(empty_list)->find("h", "/b/x")->allowed_regions.empty());
         // An unreadable list allows no region, and the rest of the configuration is still used.
-        for (const std::string other : {"7", R"("north")", "[7]", "{}", R"([""])", "[[]]"}) {
-            const auto made = decode(other);
-            CPPUNIT_ASSERT(made->find("h", "/a/x")->allowed_regions.empty());
+        for (const std::string unreadable : {"7", R"("north")", "[7]", "{}", R"([""])", "[[]]"}) {
+            const auto config = decode(unreadable);
+            CPPUNIT_ASSERT(config->find("h", "/a/x")->allowed_regions.empty());
             const std::vector<region_id> none{region_id{}};
-            CPPUNIT_ASSERT_MESSAGE(other, made->find("h", "/b/x")->allowed_regions == none);
-            CPPUNIT_ASSERT(made->account_by_key.at("k").allowed_regions == none);
-            CPPUNIT_ASSERT_EQUAL(std::size_t{2}, made->unreadable_regions);
+            CPPUNIT_ASSERT_MESSAGE(unreadable, config->find("h", "/b/x")->allowed_regions == none);
+            CPPUNIT_ASSERT(config->account_by_key.at("k").allowed_regions == none);
+            CPPUNIT_ASSERT_EQUAL(std::size_t{2}, config->unreadable_regions);
         }
     }
 };
--- a/test/correctness/requests_that_end_servers.cpp
+++ b/test/correctness/requests_that_crash_servers.cpp
@@ -32,12 +32,12 @@
     return request.find("harmful") != std::string::npos;
 }
 
-class requests_that_end_servers : public CppUnit::TestFixture {
-    CPPUNIT_TEST_SUITE(requests_that_end_servers);
-    CPPUNIT_TEST(are_not_sent_by_any_vm);
-    CPPUNIT_TEST(are_known_to_vms_that_start);
-    CPPUNIT_TEST(do_no_harm_to_those_beside);
-    CPPUNIT_TEST(that_may_not_be_repeated);
+class requests_that_crash_servers : public CppUnit::TestFixture {
+    CPPUNIT_TEST_SUITE(requests_that_crash_servers);
+    CPPUNIT_TEST(blocked_by_every_vm);
+    CPPUNIT_TEST(blocked_by_restarted_vms);
+    CPPUNIT_TEST(concurrent_requests_are_served);
+    CPPUNIT_TEST(blocked_if_not_repeatable);
     CPPUNIT_TEST_SUITE_END();
 
     std::unique_ptr<router_fleet> fleet;
@@ -118,7 +118,7 @@
     }
 
     /** Once blocked, the request is refused by every VM, with a long Retry-After. */
-    void are_not_sent_by_any_vm()
+    void blocked_by_every_vm()
     {
         this->start(5);
         this->ask_harmful(8);
@@ -136,7 +136,7 @@
     }
 
     /** A VM that restarts learns of the blocked request from the others. */
-    void are_known_to_vms_that_start()
+    void blocked_by_restarted_vms()
     {
         this->start(3);
         this->ask_harmful(6);
@@ -155,30 +155,30 @@
 
     /** Other requests in flight at the crashing servers are served, during the crashes and later.
      */
-    void do_no_harm_to_those_beside()
+    void concurrent_requests_are_served()
     {
         this->start(3);
-        std::vector<std::unique_ptr<raw_caller>> beside;
+        std::vector<std::unique_ptr<raw_caller>> concurrent;
         for (int round = 0; round < 4; ++round) {
             for (std::size_t router = 0; router < 3; ++router) {
-                beside.push_back(this->fleet->connect(router));
-                beside.back()->send(
+                concurrent.push_back(this->fleet->connect(router));
+                concurrent.back()->send(
                     request_text("POST", "/stream/x", std::to_string(++this->ids), "other"));
             }
             this->ask_harmful(1);
         }
-        const auto whole = [](const auto& caller) {
+        const auto is_complete = [](const auto& caller) {
             return is_complete_response(caller->received);
         };
-        CPPUNIT_ASSERT(
-            this->fleet->run_until([&] { return std::ranges::all_of(beside, whole); }, seconds(3)));
+        CPPUNIT_ASSERT(this->fleet->run_until(
+            [&] { return std::ranges::all_of(concurrent, is_complete); }, seconds(3)));
         this->wait(max_propagation_time);
         for (std::size_t router = 0; router < 3; ++router)
             CPPUNIT_ASSERT_EQUAL(200, status_in(this->ask(router, "/stream/x", "other")));
     }
 
     /** A request that may not be repeated crashes one server each time its caller sends it. */
-    void that_may_not_be_repeated()
+    void blocked_if_not_repeatable()
     {
         this->start(4);
         this->ask_harmful(8, "/once/x");
@@ -189,6 +189,6 @@
     }
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(requests_that_end_servers);
+CPPUNIT_TEST_SUITE_REGISTRATION(requests_that_crash_servers);
 
 } // namespace
--- a/test/error/busy_is_not_silent.cpp
+++ b/test/error/busy_servers_are_not_timed_out.cpp
@@ -13,11 +13,11 @@
 using namespace worksshift;
 using then = scripted_answer::then;
 
-class busy_is_not_silent : public CppUnit::TestFixture {
-    CPPUNIT_TEST_SUITE(busy_is_not_silent);
-    CPPUNIT_TEST(silent_is_left);
-    CPPUNIT_TEST(busy_is_waited_for);
-    CPPUNIT_TEST(busy_turns_silent);
+class busy_servers_are_not_timed_out : public CppUnit::TestFixture {
+    CPPUNIT_TEST_SUITE(busy_servers_are_not_timed_out);
+    CPPUNIT_TEST(silent_server_is_abandoned);
+    CPPUNIT_TEST(busy_server_is_awaited);
+    CPPUNIT_TEST(busy_server_becomes_silent);
     CPPUNIT_TEST_SUITE_END();
 
     std::unique_ptr<path_rig> rig;
@@ -99,7 +99,7 @@
     void tearDown() override { this->engines.clear(); }
 
     /** Guards against waiting for a silent server beyond the silence timeout. */
-    void silent_is_left()
+    void silent_server_is_abandoned()
     {
         this->ask_and_wait();
         this->rig->run_for(min_silence_timeout + milliseconds(200));
@@ -107,14 +107,14 @@
     }
 
     /** Guards against a retry while the server answers other requests. */
-    void busy_is_waited_for()
+    void busy_server_is_awaited()
     {
         this->wait_during_answers(min_silence_timeout + milliseconds(300));
         CPPUNIT_ASSERT_EQUAL(std::size_t{1}, this->times_sent());
     }
 
     /** Guards against waiting on when a busy server stops answering. */
-    void busy_turns_silent()
+    void busy_server_becomes_silent()
     {
         this->wait_during_answers(min_silence_timeout);
         CPPUNIT_ASSERT_EQUAL(std::size_t{1}, this->times_sent());
@@ -123,6 +123,6 @@
     }
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(busy_is_not_silent);
+CPPUNIT_TEST_SUITE_REGISTRATION(busy_servers_are_not_timed_out);
 
 } // namespace
--- a/test/error/servers_that_leave_or_ask_for_rest.cpp
+++ b/test/error/servers_that_leave_or_back_off.cpp
@@ -25,18 +25,18 @@
 /** Requests that may reach a server after it asked for a back-off: those already on their way. */
 constexpr std::size_t max_late_requests = 2;
 
-class servers_that_leave_or_ask_for_rest : public CppUnit::TestFixture {
-    CPPUNIT_TEST_SUITE(servers_that_leave_or_ask_for_rest);
-    CPPUNIT_TEST(leaving_gets_nothing_more);
-    CPPUNIT_TEST(leaving_engine_ends_its_streams);
-    CPPUNIT_TEST(leaving_is_not_forgotten);
-    CPPUNIT_TEST(leaving_ends_with_its_life);
-    CPPUNIT_TEST(leaving_that_means_nothing);
-    CPPUNIT_TEST(rest_is_kept_to);
-    CPPUNIT_TEST(rest_of_all_is_told_to_callers);
-    CPPUNIT_TEST(rest_is_not_forgotten);
-    CPPUNIT_TEST(rest_that_means_nothing);
-    CPPUNIT_TEST(rest_without_end);
+class servers_that_leave_or_back_off : public CppUnit::TestFixture {
+    CPPUNIT_TEST_SUITE(servers_that_leave_or_back_off);
+    CPPUNIT_TEST(leaving_server_gets_no_requests);
+    CPPUNIT_TEST(leaving_engine_gets_no_requests);
+    CPPUNIT_TEST(leaving_state_persists);
+    CPPUNIT_TEST(restart_ends_leaving_state);
+    CPPUNIT_TEST(invalid_leaving_headers);
+    CPPUNIT_TEST(backing_off_server_gets_no_requests);
+    CPPUNIT_TEST(callers_get_the_remaining_backoff);
+    CPPUNIT_TEST(backoff_persists);
+    CPPUNIT_TEST(invalid_backoff_periods);
+    CPPUNIT_TEST(excessive_backoff_periods);
     CPPUNIT_TEST_SUITE_END();
 
     std::unique_ptr<path_rig> rig;
@@ -72,7 +72,7 @@
         if (second) this->rig->add_server("second", service, answer_second);
     }
 
-    [[nodiscard]] std::size_t asked(std::size_t server) const
+    [[nodiscard]] std::size_t received(std::size_t server) const
     {
         return this->rig->all_servers()[server]->requests.size();
     }
@@ -82,12 +82,12 @@
         raw_caller& caller = this->rig->add_caller();
         const std::string body = method == "POST" ? "x" : "";
         caller.send(request_text(method, target, std::to_string(++this->ids), body));
-        const auto whole = [&caller] {
+        const auto complete = [&caller] {
             const std::string length = header_in(caller.received, "content-length");
             return caller.received.ends_with("0\r\n\r\n") ||
                    (!length.empty() && body_in(caller.received).size() >= std::stoul(length));
         };
-        CPPUNIT_ASSERT(this->rig->run_until(whole));
+        CPPUNIT_ASSERT(this->rig->run_until(complete));
         return caller.received;
     }
 
@@ -96,21 +96,21 @@
     void ask_until_first_answers(const std::string& method = "GET",
                                  const std::string& target = "/safe/x")
     {
-        const std::size_t before = this->asked(0);
-        for (int i = 0; i < 200 && this->asked(0) == before; ++i)
+        const std::size_t before = this->received(0);
+        for (int i = 0; i < 200 && this->received(0) == before; ++i)
             this->ask(method, target);
-        CPPUNIT_ASSERT(this->asked(0) > before);
+        CPPUNIT_ASSERT(this->received(0) > before);
     }
 
     /** Sends many requests, which all must be answered with \p status. Returns the number that the
      * first server got. */
-    std::size_t first_gets(int status = 200, const std::string& method = "GET",
-                           const std::string& target = "/safe/x")
+    std::size_t count_sent_to_first(int status = 200, const std::string& method = "GET",
+                                    const std::string& target = "/safe/x")
     {
-        const std::size_t before = this->asked(0);
+        const std::size_t before = this->received(0);
         for (int i = 0; i < 40; ++i)
             CPPUNIT_ASSERT_EQUAL(status, status_of(this->ask(method, target)));
-        return this->asked(0) - before;
+        return this->received(0) - before;
     }
 
     /** Checks that the first server gets requests. The second one is removed first, because the
@@ -118,9 +118,9 @@
     void check_first_serves()
     {
         this->rig->table.remove(server_id{"second"});
-        const std::size_t before = this->asked(0);
+        const std::size_t before = this->received(0);
         CPPUNIT_ASSERT_EQUAL(200, status_of(this->ask()));
-        CPPUNIT_ASSERT_EQUAL(before + 1, this->asked(0));
+        CPPUNIT_ASSERT_EQUAL(before + 1, this->received(0));
     }
 
     void reject_with_retry_after(const std::string& retry_after)
@@ -153,12 +153,12 @@
     }
 
     /** A leaving server gets no further requests. */
-    void leaving_gets_nothing_more()
+    void leaving_server_gets_no_requests()
     {
         this->start("desk", true);
         this->first_headers = "Server-Leaving: 1\r\n";
         this->ask_until_first_answers();
-        CPPUNIT_ASSERT_EQUAL(std::size_t{0}, this->first_gets());
+        CPPUNIT_ASSERT_EQUAL(std::size_t{0}, this->count_sent_to_first());
         // Without another server, the request is refused as not run, with a time for the retry.
         this->rig->table.remove(server_id{"second"});
         const std::string answer = this->ask();
@@ -167,16 +167,16 @@
     }
 
     /** The same for an engine that says so in the head of a stream. */
-    void leaving_engine_ends_its_streams()
+    void leaving_engine_gets_no_requests()
     {
         this->start("llm", true);
         this->first_headers = "Server-Leaving: 1\r\n";
         this->ask_until_first_answers("POST", "/stream/x");
-        CPPUNIT_ASSERT_EQUAL(std::size_t{0}, this->first_gets(200, "POST", "/stream/x"));
+        CPPUNIT_ASSERT_EQUAL(std::size_t{0}, this->count_sent_to_first(200, "POST", "/stream/x"));
     }
 
     /** Neither a response without the header nor a new registry entry ends the leaving state. */
-    void leaving_is_not_forgotten()
+    void leaving_state_persists()
     {
         this->start("desk", true);
         this->first_headers = "Server-Leaving: 1\r\n";
@@ -185,13 +185,13 @@
         this->serve_again();
         const server_record ready = this->rig->table.find(server_id{"first"})->record;
         this->rig->table.put(ready, std::chrono::steady_clock::now());
-        CPPUNIT_ASSERT_EQUAL(std::size_t{0}, this->first_gets());
+        CPPUNIT_ASSERT_EQUAL(std::size_t{0}, this->count_sent_to_first());
         this->recreate_entry();
-        CPPUNIT_ASSERT_EQUAL(std::size_t{0}, this->first_gets());
+        CPPUNIT_ASSERT_EQUAL(std::size_t{0}, this->count_sent_to_first());
     }
 
     /** A server that restarted under its id gets requests again. */
-    void leaving_ends_with_its_life()
+    void restart_ends_leaving_state()
     {
         this->start("desk", true);
         this->first_headers = "Server-Leaving: 1\r\n";
@@ -202,7 +202,7 @@
     }
 
     /** Invalid values of the header are ignored. */
-    void leaving_that_means_nothing()
+    void invalid_leaving_headers()
     {
         for (const char* value : {"0", "", "no", "-1", "99999999999999999999999999"}) {
             this->start("desk", true);
@@ -213,44 +213,44 @@
     }
 
     /** The server gets nothing during the back-off period, and requests again after it. */
-    void rest_is_kept_to()
+    void backing_off_server_gets_no_requests()
     {
         this->start("desk", true);
         this->reject_with_retry_after("1.5");
         const instant begin = std::chrono::steady_clock::now();
         this->ask_until_first_answers();
         this->rig->run_for(milliseconds(500));
-        const std::size_t before = this->asked(0);
+        const std::size_t before = this->received(0);
         // Paced to limit the connections, as each caller's stays open until the test ends.
         while (std::chrono::steady_clock::now() - begin < milliseconds(1400)) {
             CPPUNIT_ASSERT_EQUAL(200, status_of(this->ask()));
             this->rig->run_for(milliseconds(5));
         }
-        CPPUNIT_ASSERT(this->asked(0) - before <= max_late_requests);
+        CPPUNIT_ASSERT(this->received(0) - before <= max_late_requests);
         this->serve_again();
         this->rig->run_for(milliseconds(300));
         this->check_first_serves();
     }
 
     /** If all servers are backing off, callers get the remaining time as Retry-After. */
-    void rest_of_all_is_told_to_callers()
+    void callers_get_the_remaining_backoff()
     {
         this->start("desk", false);
         this->reject_with_retry_after("1.5");
         this->ask();
         this->rig->run_for(milliseconds(500));
-        const std::size_t before = this->asked(0);
+        const std::size_t before = this->received(0);
         const instant begin = std::chrono::steady_clock::now();
         const std::string answer = this->ask();
         CPPUNIT_ASSERT(std::chrono::steady_clock::now() - begin < milliseconds(200));
         CPPUNIT_ASSERT_EQUAL(503, status_of(answer));
         const double retry_after = std::stod(header_in(answer, "retry-after"));
         CPPUNIT_ASSERT(retry_after > 0.6 && retry_after <= 1.1);
-        CPPUNIT_ASSERT_EQUAL(before, this->asked(0));
+        CPPUNIT_ASSERT_EQUAL(before, this->received(0));
     }
 
     /** A registry entry that expires and reappears does not end the back-off period. */
-    void rest_is_not_forgotten()
+    void backoff_persists()
     {
         this->start("desk", true);
         this->reject_with_retry_after("3");
@@ -258,11 +258,11 @@
         // The server would now accept requests, so only the remembered back-off keeps them away.
         this->serve_again();
         this->recreate_entry();
-        CPPUNIT_ASSERT_EQUAL(std::size_t{0}, this->first_gets());
+        CPPUNIT_ASSERT_EQUAL(std::size_t{0}, this->count_sent_to_first());
     }
 
     /** Invalid back-off periods, and those of zero length, are ignored. */
-    void rest_that_means_nothing()
+    void invalid_backoff_periods()
     {
         for (const char* value : {"-5", "-1e999", "1e-999", "nan", "inf", "abc", "", "0", "1e",
                                   "Wed, 21 Oct 2015 07:28:00 GMT"}) {
@@ -275,13 +275,13 @@
     }
 
     /** An excessive back-off period ends with a restart of the server. */
-    void rest_without_end()
+    void excessive_backoff_periods()
     {
         for (const char* value : {"1e300", "1e999", "99999999999999999999999999"}) {
             this->start("desk", true);
             this->reject_with_retry_after(value);
             this->ask_until_first_answers();
-            CPPUNIT_ASSERT(this->first_gets() <= max_late_requests);
+            CPPUNIT_ASSERT(this->count_sent_to_first() <= max_late_requests);
             // The server restarts, and gets requests again.
             this->serve_again();
             this->recreate_entry(7000);
@@ -290,6 +290,6 @@
     }
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(servers_that_leave_or_ask_for_rest);
+CPPUNIT_TEST_SUITE_REGISTRATION(servers_that_leave_or_back_off);
 
 } // namespace
--- a/test/error/streams_that_break.cpp
+++ b/test/error/streams_that_break.cpp
@@ -17,12 +17,12 @@
 
 class streams_that_break : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(streams_that_break);
-    CPPUNIT_TEST(whole);
-    CPPUNIT_TEST(resumed_behind_the_last_whole_event);
+    CPPUNIT_TEST(unbroken);
+    CPPUNIT_TEST(resumed_after_the_last_complete_event);
     CPPUNIT_TEST(ended_inside_an_event);
     CPPUNIT_TEST(not_resumable);
-    CPPUNIT_TEST(caller_asks_to_go_on);
-    CPPUNIT_TEST(caller_leaves);
+    CPPUNIT_TEST(caller_resumes);
+    CPPUNIT_TEST(caller_disconnects);
     CPPUNIT_TEST(silent_midway);
     CPPUNIT_TEST_SUITE_END();
 
@@ -48,9 +48,9 @@
      * with the rest of the stream. */
     raw_caller& ask_two(const scripted_server::script& broken, const std::string& target)
     {
-        auto asked = std::make_shared<std::size_t>(0);
-        const auto answer = [asked, broken](const std::string& request) {
-            return ++*asked == 1 ? broken(request) : events_to_the_end(request);
+        auto sends = std::make_shared<std::size_t>(0);
+        const auto answer = [sends, broken](const std::string& request) {
+            return ++*sends == 1 ? broken(request) : events_to_the_end(request);
         };
         this->rig->add_server("a", "llm", answer);
         this->rig->add_server("b", "llm", answer);
@@ -72,7 +72,7 @@
     }
 
     /** Guards against changing or holding back an unbroken stream. */
-    void whole()
+    void unbroken()
     {
         raw_caller& caller = this->ask_two(events_to_the_end, "/stream/x");
         CPPUNIT_ASSERT(this->rig->run_until([&] { return appears_complete(caller); }));
@@ -80,13 +80,13 @@
     }
 
     /** Guards against a lost, repeated or partial event when a server resets midway in an event. */
-    void resumed_behind_the_last_whole_event()
+    void resumed_after_the_last_complete_event()
     {
-        const auto half = [](const std::string& request) -> scripted_answer {
+        const auto broken = [](const std::string& request) -> scripted_answer {
             const std::string second = event_chunk(2, "d2");
             return {stream_head(request) + event_chunk(1, "d1") + second.substr(0, 9), then::reset};
         };
-        raw_caller& caller = this->ask_two(half, "/stream/x");
+        raw_caller& caller = this->ask_two(broken, "/stream/x");
         CPPUNIT_ASSERT(this->rig->run_until([&] { return appears_complete(caller); }));
         CPPUNIT_ASSERT_EQUAL(all_events(), body_in(caller.received));
         // The second server gets the last event id, so that it does not produce the first event
@@ -104,11 +104,11 @@
      * early. */
     void ended_inside_an_event()
     {
-        const auto half = [](const std::string& request) -> scripted_answer {
+        const auto broken = [](const std::string& request) -> scripted_answer {
             return {stream_head(request) + event_chunk(1, "d1") + "6\r\nid: 2\n\r\n0\r\n\r\n",
                     then::keep};
         };
-        raw_caller& caller = this->ask_two(half, "/stream/x");
+        raw_caller& caller = this->ask_two(broken, "/stream/x");
         CPPUNIT_ASSERT(this->rig->run_until([&] { return appears_complete(caller); }));
         CPPUNIT_ASSERT_EQUAL(all_events(), body_in(caller.received));
     }
@@ -117,17 +117,17 @@
      * resumption. */
     void not_resumable()
     {
-        const auto half = [](const std::string& request) -> scripted_answer {
+        const auto broken = [](const std::string& request) -> scripted_answer {
             return {stream_head(request) + event_chunk(1, "d1"), then::close};
         };
-        raw_caller& caller = this->ask_two(half, "/once/x");
+        raw_caller& caller = this->ask_two(broken, "/once/x");
         CPPUNIT_ASSERT(this->rig->run_until([&] { return caller.closed; }));
         CPPUNIT_ASSERT(!appears_complete(caller));
         CPPUNIT_ASSERT_EQUAL(std::string("id: 1\ndata: d1\n\n"), body_in(caller.received));
     }
 
     /** Guards against ignoring the `Last-Event-Id` of the caller. */
-    void caller_asks_to_go_on()
+    void caller_resumes()
     {
         this->rig->add_server("a", "llm", events_to_the_end);
         raw_caller& caller = this->rig->add_caller();
@@ -139,7 +139,7 @@
     }
 
     /** Guards against a server that keeps running for a caller that has disconnected. */
-    void caller_leaves()
+    void caller_disconnects()
     {
         scripted_server& server =
             this->rig->add_server("a", "llm", [](const std::string& request) -> scripted_answer {
