--- a/src/call_limit.h
+++ b/src/call_limit.h
@@ -10,7 +10,7 @@
 struct call_limit {
     /** Timeout of the complete call. */
     duration whole{};
-    /** Longest time without a received byte; zero: as long as the whole. Distinguishes a long
+    /** Longest time without a received byte; zero: limited only by `whole`. Distinguishes a long
      * response from a peer that does not respond. */
     duration silence{};
 };
--- a/src/config_follower.cpp
+++ b/src/config_follower.cpp
@@ -19,30 +19,30 @@
                               std::uint64_t own,
                               const std::function<std::uint64_t(const fleet_vm&)>& revision_of)
 {
-    std::vector<const fleet_vm*> ahead = fleet.responsive_vms(now);
-    std::erase_if(ahead, [&](const fleet_vm* item) { return revision_of(*item) <= own; });
-    const auto local_end = std::ranges::partition(ahead, [&](const fleet_vm* item) {
-                               return fleet.is_local(*item);
+    std::vector<const fleet_vm*> candidates = fleet.responsive_vms(now);
+    std::erase_if(candidates, [&](const fleet_vm* vm) { return revision_of(*vm) <= own; });
+    const auto local_end = std::ranges::partition(candidates, [&](const fleet_vm* vm) {
+                               return fleet.is_local(*vm);
                            }).begin();
-    if (local_end != ahead.begin()) ahead.erase(local_end, ahead.end());
-    std::ranges::shuffle(ahead, random);
+    if (local_end != candidates.begin()) candidates.erase(local_end, candidates.end());
+    std::ranges::shuffle(candidates, random);
     const auto newest = std::ranges::max_element(
-        ahead, {}, [&](const fleet_vm* item) { return revision_of(*item); });
-    return newest == ahead.end() ? nullptr : *newest;
+        candidates, {}, [&](const fleet_vm* vm) { return revision_of(*vm); });
+    return newest == candidates.end() ? nullptr : *newest;
 }
 
 config_follower::config_follower(event_base* base, http_client& caller, const link_address& store,
                                  const protocol& adapter, fleet_gossip& gossip)
     : caller(caller), adapter(adapter), gossip(gossip),
-      calls(base, caller, store, adapter, follow.watch)
+      client(base, caller, store, adapter, follow.watch)
 {
-    const auto take_all = [this](const std::vector<stored_object>& objects) {
-        for (const stored_object& item : objects) {
-            if (!item.removed) this->take(item.document, "store");
+    const auto apply_all = [this](const std::vector<stored_object>& objects) {
+        for (const stored_object& object : objects) {
+            if (!object.removed) this->apply(object.document, "store");
         }
     };
-    this->follow.watch.on_list.connect(take_all);
-    this->follow.watch.on_changes.connect(take_all);
+    this->follow.watch.on_list.connect(apply_all);
+    this->follow.watch.on_changes.connect(apply_all);
 }
 
 std::uint64_t config_follower::version() const
@@ -50,16 +50,16 @@
     return this->current == nullptr ? 0 : this->current->version;
 }
 
-void config_follower::take(const std::string& document, std::string_view source)
+void config_follower::apply(const std::string& document, std::string_view source)
 {
     try {
         const std::shared_ptr<router_config> received = this->adapter.decode_config(document);
-        const std::uint64_t before = this->version();
-        const bool newer = received->version > before;
+        const std::uint64_t previous = this->version();
+        const bool newer = received->version > previous;
         log_event(log_level::info, "config_received",
                   {{"source", source},
                    {"version", received->version},
-                   {"in_force", before},
+                   {"in_force", previous},
                    {"bytes", document.size()},
                    {"outcome", newer ? "in_force" : "ignored"}});
         if (!newer) return;
@@ -89,15 +89,14 @@
 {
     const bool behind = this->newest_version_reported > this->version();
     this->follow.update(watched, this->current != nullptr, behind, now);
-    this->calls.proceed();
+    this->client.proceed();
     if (this->follow.fetching.due(now)) this->request_from_peer(now);
 }
 
 void config_follower::request_from_peer(instant now)
 {
-    const fleet_vm* peer =
-        choose_newest(this->gossip.fleet(), now, this->random, this->version(),
-                      [](const fleet_vm& item) { return item.last.config_version; });
+    const fleet_vm* peer = choose_newest(this->gossip.fleet(), now, this->random, this->version(),
+                                         [](const fleet_vm& vm) { return vm.last.config_version; });
     if (peer == nullptr) return;
     this->follow.fetching.begin();
     const link_address from = this->gossip.address_of(*peer);
@@ -111,7 +110,7 @@
                 return;
             }
             try {
-                this->take(unpack(response.body, from.address), from.address);
+                this->apply(unpack(response.body, from.address), from.address);
             } catch (const error& fault) {
                 log_event(
                     log_level::error, "config_unreadable",
@@ -122,10 +121,10 @@
 
 void config_follower::serve(evhttp_request* request) const
 {
-    const bool have = this->current != nullptr;
+    const bool available = this->current != nullptr;
     evbuffer_add(evhttp_request_get_output_buffer(request), this->packed.data(),
                  this->packed.size());
-    evhttp_send_reply(request, have ? ok : unavailable, nullptr, nullptr);
+    evhttp_send_reply(request, available ? ok : unavailable, nullptr, nullptr);
 }
 
 } // namespace worksshift
--- a/src/config_follower.h
+++ b/src/config_follower.h
@@ -30,10 +30,10 @@
     config_follower(event_base* base, http_client& caller, const link_address& store,
                     const protocol& adapter, fleet_gossip& gossip);
 
-    void start() { this->calls.proceed(); }
+    void start() { this->client.proceed(); }
     /** \p watched: how this VM reads the store; std::nullopt if it does not watch it. */
     void tick(instant now, std::optional<read_mode> watched);
-    /** Takes the version of another VM's configuration from its digest. */
+    /** Notes the configuration version that another VM reports in its digest. */
     void handle_digest(const fleet_vm& from);
     /** Answers another VM's request for the configuration. */
     void serve(evhttp_request* request) const;
@@ -43,21 +43,21 @@
     [[nodiscard]] bool follows() const { return this->follow.watch.follows(); }
     [[nodiscard]] std::uint64_t store_calls(read_mode mode) const
     {
-        return this->calls.calls(mode);
+        return this->client.calls(mode);
     }
 
     /** A newer configuration was received and is to be applied. */
     sigc::signal<void()> on_config;
 
 private:
-    void take(const std::string& document, std::string_view source);
+    void apply(const std::string& document, std::string_view source);
     void request_from_peer(instant now);
 
     http_client& caller;
     const protocol& adapter;
     fleet_gossip& gossip;
     store_follow follow{object_kind::configuration};
-    store_watch_client calls;
+    store_watch_client client;
     router_config_ptr current;
     std::string packed; ///< the document, compressed for other VMs
     std::uint64_t newest_version_reported = 0;
--- a/src/evacuation_follower.cpp
+++ b/src/evacuation_follower.cpp
@@ -10,7 +10,7 @@
                                          const link_address& store, const protocol& adapter,
                                          server_table& servers, fleet_gossip& gossip)
     : gossip(gossip), servers(servers), state(adapter),
-      calls(base, caller, store, adapter, follow.watch)
+      client(base, caller, store, adapter, follow.watch)
 {
     store_watch& watch = this->follow.watch;
     watch.on_list.connect([this](const std::vector<stored_object>& all) {
@@ -25,7 +25,7 @@
 void evacuation_follower::tick(instant now, std::optional<read_mode> watched)
 {
     this->follow.update(watched, this->state.known(), false, now);
-    this->calls.proceed();
+    this->client.proceed();
 }
 
 void evacuation_follower::handle_digest(const fleet_digest& digest)
--- a/src/evacuation_follower.h
+++ b/src/evacuation_follower.h
@@ -20,7 +20,7 @@
     evacuation_follower(event_base* base, http_client& caller, const link_address& store,
                         const protocol& adapter, server_table& servers, fleet_gossip& gossip);
 
-    void start() { this->calls.proceed(); }
+    void start() { this->client.proceed(); }
     /** \p watched: how this VM reads the store; std::nullopt if it does not watch it. */
     void tick(instant now, std::optional<read_mode> watched);
     /** Applies the evacuations in another VM's digest, if they are newer. */
@@ -35,7 +35,7 @@
     [[nodiscard]] std::vector<data_centre_id> evacuated() const;
     [[nodiscard]] std::uint64_t store_calls(read_mode mode) const
     {
-        return this->calls.calls(mode);
+        return this->client.calls(mode);
     }
 
 private:
@@ -46,7 +46,7 @@
     server_table& servers;
     evacuation_state state;
     store_follow follow{object_kind::evacuations};
-    store_watch_client calls;
+    store_watch_client client;
 };
 
 } // namespace worksshift
--- a/src/evacuations.cpp
+++ b/src/evacuations.cpp
@@ -8,24 +8,24 @@
 
 void evacuation_state::apply_list(std::span<const stored_object> all, std::uint64_t revision)
 {
-    std::set<std::uint32_t> places;
-    for (const stored_object& item : all) {
-        if (!item.removed) places.insert(this->data_centre_hash(item));
+    std::set<std::uint32_t> data_centres;
+    for (const stored_object& object : all) {
+        if (!object.removed) data_centres.insert(this->data_centre_hash(object));
     }
-    this->replace(std::move(places), revision);
+    this->replace(std::move(data_centres), revision);
 }
 
 void evacuation_state::apply_changes(std::span<const stored_object> changed, std::uint64_t revision)
 {
-    std::set<std::uint32_t> places = this->current;
-    for (const stored_object& item : changed) {
-        if (item.removed) {
-            places.erase(this->data_centre_hash(item));
+    std::set<std::uint32_t> data_centres = this->current;
+    for (const stored_object& object : changed) {
+        if (object.removed) {
+            data_centres.erase(this->data_centre_hash(object));
         } else {
-            places.insert(this->data_centre_hash(item));
+            data_centres.insert(this->data_centre_hash(object));
         }
     }
-    this->replace(std::move(places), revision);
+    this->replace(std::move(data_centres), revision);
 }
 
 void evacuation_state::handle_digest(const fleet_digest& digest)
@@ -33,11 +33,12 @@
     this->replace({digest.evacuated.begin(), digest.evacuated.end()}, digest.evacuations_revision);
 }
 
-void evacuation_state::replace(std::set<std::uint32_t> places, std::uint64_t revision)
+void evacuation_state::replace(std::set<std::uint32_t> data_centres, std::uint64_t revision)
 {
     if (revision <= this->newest) return;
     this->newest = revision;
-    if (std::exchange(this->current, std::move(places)) != this->current) this->on_change.emit();
+    if (std::exchange(this->current, std::move(data_centres)) != this->current)
+        this->on_change.emit();
 }
 
 void evacuation_state::describe(fleet_digest& digest, const std::set<std::uint32_t>& known) const
--- a/src/evacuations.h
+++ b/src/evacuations.h
@@ -40,21 +40,21 @@
     [[nodiscard]] std::uint64_t revision() const { return this->newest; }
     /** The evacuated data centres, by the low 32 bits of the hashes of their names. */
     [[nodiscard]] const std::set<std::uint32_t>& places() const { return this->current; }
-    [[nodiscard]] bool includes(const data_centre_id& place) const
+    [[nodiscard]] bool includes(const data_centre_id& data_centre) const
     {
-        return this->current.contains(static_cast<std::uint32_t>(place.hash()));
+        return this->current.contains(static_cast<std::uint32_t>(data_centre.hash()));
     }
 
     /** Emitted when the set of data centres has changed. */
     sigc::signal<void()> on_change;
 
 private:
-    [[nodiscard]] std::uint32_t data_centre_hash(const stored_object& item) const
+    [[nodiscard]] std::uint32_t data_centre_hash(const stored_object& object) const
     {
-        return static_cast<std::uint32_t>(this->adapter.decode_evacuation(item).hash());
+        return static_cast<std::uint32_t>(this->adapter.decode_evacuation(object).hash());
     }
-    /** Replaces the state unless \p revision is older than or the same as the known one. */
-    void replace(std::set<std::uint32_t> places, std::uint64_t revision);
+    /** Replaces the state if \p revision is newer than the known one. */
+    void replace(std::set<std::uint32_t> data_centres, std::uint64_t revision);
 
     const protocol& adapter;
     std::set<std::uint32_t> current;
--- a/src/registry_follower.cpp
+++ b/src/registry_follower.cpp
@@ -23,7 +23,7 @@
                                      const link_address& store, const protocol& adapter,
                                      server_table& table, fleet_gossip& gossip)
     : caller(caller), gossip(gossip), table(table), registry(table, adapter),
-      calls(base, caller, store, adapter, follow.watch)
+      client(base, caller, store, adapter, follow.watch)
 {
     store_watch& watch = this->follow.watch;
     watch.on_partial_list.connect([this](const std::vector<stored_object>& part) {
@@ -51,15 +51,15 @@
         this->registry.apply_list(newer_part->objects, origin, time);
         return;
     }
-    for (const stored_object& item : newer_part->objects)
-        this->registry.apply_change(item, origin, time);
+    for (const stored_object& object : newer_part->objects)
+        this->registry.apply_change(object, origin, time);
 }
 
 void registry_follower::tick(instant now, std::optional<read_mode> watched)
 {
     const bool behind = this->gossip.fleet().servers_revision() > this->revision();
     this->follow.update(watched, this->known(), behind, now);
-    this->calls.proceed();
+    this->client.proceed();
     if (this->follow.fetching.due(now)) this->request_from_peer(now);
     this->outage.update(this->follow.watch.failing_call(), this->follow.watch.answered_at(),
                         this->gossip.fleet().store(), this->gossip.fleet().is_isolated(now));
@@ -78,7 +78,7 @@
     const std::uint64_t own = this->feed.revision();
     const fleet_vm* newest =
         choose_newest(this->gossip.fleet(), now, this->random, own,
-                      [](const fleet_vm& item) { return item.last.servers_revision; });
+                      [](const fleet_vm& vm) { return vm.last.servers_revision; });
     if (newest == nullptr) return;
     this->follow.fetching.begin();
     const link_address from = this->gossip.address_of(*newest);
@@ -87,12 +87,12 @@
     this->caller.call(from, EVHTTP_REQ_GET, path, {}, {}, {peer_fetch_schedule::call_timeout},
                       [this, from, now](const http_response& response) {
                           this->follow.fetching.end(std::chrono::steady_clock::now());
-                          this->take(response, from.address, now);
+                          this->handle_response(response, from.address, now);
                       });
 }
 
-void registry_follower::take(const http_response& response, const std::string& peer,
-                             instant requested_at)
+void registry_follower::handle_response(const http_response& response, const std::string& peer,
+                                        instant requested_at)
 {
     if (response.status != ok) {
         log_event(log_level::warn, "registry_not_fetched",
@@ -135,12 +135,12 @@
     }
     const instant time = std::chrono::steady_clock::now();
     const bool changed =
-        std::exchange(this->answers_at, this->feed.revision()) != this->feed.revision();
-    if (changed || time - this->answers_made > answer_cache_lifetime) {
-        this->answers.clear();
-        this->answers_made = time;
+        std::exchange(this->cached_revision, this->feed.revision()) != this->feed.revision();
+    if (changed || time - this->cached_at > response_cache_lifetime) {
+        this->cached_responses.clear();
+        this->cached_at = time;
     }
-    const auto [found, added] = this->answers.try_emplace(since);
+    const auto [found, added] = this->cached_responses.try_emplace(since);
     if (added) {
         registry_update update = this->feed.since(since);
         update.kept = this->registry.kept(time);
--- a/src/registry_follower.h
+++ b/src/registry_follower.h
@@ -21,12 +21,12 @@
 public:
     /** Responses to other VMs are cached for at most this time, because they give the ages of
      * missing servers that are still in use. */
-    static constexpr duration answer_cache_lifetime = milliseconds(50);
+    static constexpr duration response_cache_lifetime = milliseconds(50);
 
     registry_follower(event_base* base, http_client& caller, const link_address& store,
                       const protocol& adapter, server_table& table, fleet_gossip& gossip);
 
-    void start() { this->calls.proceed(); }
+    void start() { this->client.proceed(); }
     /** \p watched: how this VM reads the store; std::nullopt if it does not watch it. */
     void tick(instant now, std::optional<read_mode> watched);
     /** Fills in this VM's revision of the registry and its view of the store. */
@@ -43,7 +43,7 @@
     [[nodiscard]] bool follows() const { return this->follow.watch.follows(); }
     [[nodiscard]] std::uint64_t store_calls(read_mode mode) const
     {
-        return this->calls.calls(mode);
+        return this->client.calls(mode);
     }
     /** What this VM and others know about the store's availability. */
     [[nodiscard]] store_status store() const;
@@ -51,7 +51,7 @@
     /** Number of entries received so far that no server can have written. */
     [[nodiscard]] std::uint64_t unreadable() const
     {
-        return this->registry.unreadable() + this->calls.unreadable();
+        return this->registry.unreadable() + this->client.unreadable();
     }
 
     /** The server takes no new work. */
@@ -61,7 +61,8 @@
 
 private:
     void request_from_peer(instant now);
-    void take(const http_response& response, const std::string& peer, instant requested_at);
+    void handle_response(const http_response& response, const std::string& peer,
+                         instant requested_at);
     void apply(const registry_update& update, const update_origin& origin);
 
     http_client& caller;
@@ -70,13 +71,13 @@
     server_registry registry;
     store_follow follow{object_kind::servers};
     store_outage outage;
-    store_watch_client calls;
+    store_watch_client client;
     registry_feed feed;
     /** Cached responses to other VMs, by the revision from which they ask; most of them ask from
      * the same one. */
-    mutable std::map<std::uint64_t, std::string> answers;
-    mutable std::uint64_t answers_at = 0; ///< revision of the registry in the cached responses
-    mutable instant answers_made{};       ///< when the oldest cached response was made
+    mutable std::map<std::uint64_t, std::string> cached_responses;
+    mutable std::uint64_t cached_revision = 0; ///< revision of the registry in the cached responses
+    mutable instant cached_at{};               ///< when the oldest cached response was made
     std::minstd_rand random{std::random_device{}()};
 };
 
