--- a/src/fleet_digest.h
+++ b/src/fleet_digest.h
@@ -61,8 +61,8 @@
     std::uint8_t mean = 0; ///< response time of answered attempts, in units of `outcome_time_unit`
 };
 constexpr duration outcome_time_unit = milliseconds(4);
-/** Maximum number of servers with outcomes in one digest. In a large fleet, a VM has one or two of
- * them between two of its digests. */
+/** Maximum number of servers with outcomes in one digest. In a large fleet, a VM has outcomes of
+ * one or two servers to report per digest. */
 constexpr std::size_t max_outcome_counts = 12;
 
 /** A server crashed while a request was in flight there. */
--- a/src/fleet_gossip.cpp
+++ b/src/fleet_gossip.cpp
@@ -22,16 +22,16 @@
     return std::chrono::steady_clock::now();
 }
 
-std::uint32_t to_host_order(const link_address& from)
+std::uint32_t to_host_order(const link_address& address)
 {
-    return ntohl(to_socket_address(from).sin_addr.s_addr);
+    return ntohl(to_socket_address(address).sin_addr.s_addr);
 }
 
-std::vector<std::uint32_t> all_to_host_order(std::span<const link_address> from)
+std::vector<std::uint32_t> all_to_host_order(std::span<const link_address> vms)
 {
-    std::vector<std::uint32_t> numbers(from.size());
-    std::ranges::transform(from, numbers.begin(), to_host_order);
-    return numbers;
+    std::vector<std::uint32_t> addresses(vms.size());
+    std::ranges::transform(vms, addresses.begin(), to_host_order);
+    return addresses;
 }
 
 fleet_table::identity identify(const link_address& listen, const data_centre_id& data_centre)
@@ -47,9 +47,9 @@
     : own(listen), rounds(identify(listen, data_centre), all_to_host_order(seeds), now()),
       socket(::socket(AF_INET, SOCK_DGRAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0))
 {
-    const sockaddr_in at = to_socket_address(listen);
-    if (this->socket < 0 ||
-        ::bind(this->socket, reinterpret_cast<const sockaddr*>(&at), sizeof at) != 0) {
+    const sockaddr_in listen_address = to_socket_address(listen);
+    if (this->socket < 0 || ::bind(this->socket, reinterpret_cast<const sockaddr*>(&listen_address),
+                                   sizeof listen_address) != 0) {
         throw user_error("listen", to_string(listen), "the address for other VMs cannot be bound");
     }
     const auto on_readable = [](evutil_socket_t, short, void* self) {
@@ -65,9 +65,9 @@
     if (this->socket >= 0) ::close(this->socket);
 }
 
-link_address fleet_gossip::address_of(const fleet_vm& item) const
+link_address fleet_gossip::address_of(const fleet_vm& vm) const
 {
-    return {to_text(item.address), this->own.port};
+    return {to_text(vm.address), this->own.port};
 }
 
 void fleet_gossip::add_seeds(std::span<const link_address> seeds)
@@ -78,9 +78,9 @@
 void fleet_gossip::tick(instant time, const std::function<local_state()>& describe)
 {
     if (!this->rounds.due(time)) return;
-    for (const outgoing_digest& item : this->rounds.next(describe(), time)) {
-        for (const std::uint32_t address : item.to)
-            this->send(address, item.bytes);
+    for (const outgoing_digest& digest : this->rounds.next(describe(), time)) {
+        for (const std::uint32_t address : digest.to)
+            this->send(address, digest.bytes);
     }
 }
 
@@ -115,13 +115,13 @@
 {
     try {
         fleet_table& fleet = this->rounds.fleet();
-        const auto before = fleet.vms().find(from);
+        const auto entry = fleet.vms().find(from);
         const bool known =
-            before != fleet.vms().end() && before->second.last_received_at != instant{};
-        const fleet_vm* item = fleet.take(from, decode_digest(bytes, to_text(from)), now());
-        if (item == nullptr) return;
+            entry != fleet.vms().end() && entry->second.last_received_at != instant{};
+        const fleet_vm* sender = fleet.take(from, decode_digest(bytes, to_text(from)), now());
+        if (sender == nullptr) return;
         if (!known) log_event(log_level::info, "vm_found", {{"peer", to_text(from)}});
-        this->on_digest.emit(*item);
+        this->on_digest.emit(*sender);
     } catch (const error& fault) {
         log_event(log_level::warn, "digest_refused",
                   {{"peer", to_text(from)}, {"reason", fault.what()}});
--- a/src/fleet_gossip.h
+++ b/src/fleet_gossip.h
@@ -45,7 +45,7 @@
         return this->rounds.loads_of_others(now);
     }
     [[nodiscard]] std::uint64_t bytes_sent() const { return this->sent_bytes; }
-    [[nodiscard]] link_address address_of(const fleet_vm& item) const;
+    [[nodiscard]] link_address address_of(const fleet_vm& vm) const;
 
     /** A digest arrived that is newer than the last one of its sender. */
     sigc::signal<void(const fleet_vm&)> on_digest;
--- a/src/fleet_rounds.cpp
+++ b/src/fleet_rounds.cpp
@@ -36,27 +36,28 @@
     digest.data_centre = this->table.self().data_centre;
     digest.period_ms = static_cast<std::uint16_t>(this->round_period / milliseconds(1));
     digest.joining = this->table.is_joining(now);
-    std::vector<outgoing_digest> all;
-    all.push_back(this->make_local_digest(digest, now));
+    std::vector<outgoing_digest> messages;
+    messages.push_back(this->make_local_digest(digest, now));
     digest.crash_reports = std::move(state.remote_crash_reports);
-    this->add_remote_digests(all, digest, now);
-    all.push_back(this->make_joining_digest(digest, now));
+    this->add_remote_digests(messages, digest, now);
+    messages.push_back(this->make_joining_digest(digest, now));
     ++this->rounds;
-    this->update_period(all);
+    this->update_period(messages);
     this->last_round = now;
     this->next_round = now + this->round_period;
-    return all;
+    return messages;
 }
 
 /** Sets the interval so that rounds of this size stay within the byte budget. */
 void fleet_rounds::update_period(std::span<const outgoing_digest> sent)
 {
     const auto bytes = std::accumulate(sent.begin(), sent.end(), std::size_t{0},
-                                       [](std::size_t sum, const outgoing_digest& item) {
-                                           return sum + item.bytes.size() * item.to.size();
+                                       [](std::size_t sum, const outgoing_digest& message) {
+                                           return sum + message.bytes.size() * message.to.size();
                                        });
-    const std::chrono::duration<double> wanted(static_cast<double>(bytes) / digest_bytes_per_s);
-    this->round_period = std::clamp(std::chrono::duration_cast<duration>(wanted),
+    const std::chrono::duration<double> required_period(static_cast<double>(bytes) /
+                                                        digest_bytes_per_s);
+    this->round_period = std::clamp(std::chrono::duration_cast<duration>(required_period),
                                     duration(min_digest_period), duration(max_digest_period));
     this->loads.set_period(this->round_period);
 }
@@ -66,26 +67,26 @@
     digest.sequence = ++this->sequence;
     digest.vms = this->table.liveness_reports(liveness_reports_per_digest, this->delegates, now);
     this->loads.describe(digest);
-    outgoing_digest made{encode(digest), {}};
+    outgoing_digest message{encode(digest), {}};
     const bool retry_silent = this->rounds % silent_vm_retry_rounds == 0;
-    for (const auto& [address, item] : this->table.vms()) {
-        if (!this->table.is_local(item)) continue;
-        const bool is_new = now - item.known_since < new_vm_contact_period;
-        if (retry_silent || is_new || fleet_table::is_responsive(item, now))
-            made.to.push_back(address);
+    for (const auto& [address, vm] : this->table.vms()) {
+        if (!this->table.is_local(vm)) continue;
+        const bool is_new = now - vm.known_since < new_vm_contact_period;
+        if (retry_silent || is_new || fleet_table::is_responsive(vm, now))
+            message.to.push_back(address);
     }
-    return made;
+    return message;
 }
 
-void fleet_rounds::add_remote_digests(std::vector<outgoing_digest>& all, fleet_digest digest,
+void fleet_rounds::add_remote_digests(std::vector<outgoing_digest>& messages, fleet_digest digest,
                                       instant now)
 {
     digest.sequence = ++this->sequence;
-    for (remote_message& message : this->loads.make_remote_messages()) {
+    for (remote_message& sums : this->loads.make_remote_messages()) {
         digest.vms =
             this->table.liveness_reports(liveness_reports_per_digest, this->delegates, now);
-        digest.centre_loads = std::move(message.centre_loads);
-        all.push_back({encode(digest), {message.address}});
+        digest.centre_loads = std::move(sums.centre_loads);
+        messages.push_back({encode(digest), {sums.address}});
     }
 }
 
@@ -93,17 +94,17 @@
  * this VM is joining. */
 outgoing_digest fleet_rounds::make_joining_digest(fleet_digest digest, instant now)
 {
-    outgoing_digest made;
-    for (auto& [address, item] : this->table.vms()) {
+    outgoing_digest message;
+    for (auto& [address, vm] : this->table.vms()) {
         const bool contact_seed =
             digest.joining && std::ranges::find(this->seeds, address) != this->seeds.end();
-        if (std::exchange(item.answer_pending, false) || contact_seed) made.to.push_back(address);
+        if (std::exchange(vm.answer_pending, false) || contact_seed) message.to.push_back(address);
     }
-    if (made.to.empty()) return made;
+    if (message.to.empty()) return message;
     digest.sequence = ++this->sequence;
     digest.vms = this->table.liveness_reports(liveness_reports_to_joining, this->delegates, now);
-    made.bytes = encode(digest);
-    return made;
+    message.bytes = encode(digest);
+    return message;
 }
 
 } // namespace worksshift
--- a/src/fleet_rounds.h
+++ b/src/fleet_rounds.h
@@ -71,7 +71,8 @@
 
 private:
     outgoing_digest make_local_digest(fleet_digest digest, instant now);
-    void add_remote_digests(std::vector<outgoing_digest>& all, fleet_digest digest, instant now);
+    void add_remote_digests(std::vector<outgoing_digest>& messages, fleet_digest digest,
+                            instant now);
     outgoing_digest make_joining_digest(fleet_digest digest, instant now);
     void update_period(std::span<const outgoing_digest> sent);
 
--- a/src/fleet_table.cpp
+++ b/src/fleet_table.cpp
@@ -67,15 +67,15 @@
 {
     if (address == 0 || address == this->own.address) return;
     const auto [found, added] = this->table.try_emplace(address);
-    fleet_vm& item = found->second;
+    fleet_vm& vm = found->second;
     if (added) {
-        item.address = address;
-        item.known_since = now;
+        vm.address = address;
+        vm.known_since = now;
     }
-    const bool was_local = item.data_centre == this->own.data_centre;
-    if (data_centre != 0) item.data_centre = data_centre;
-    if (!was_local && item.data_centre == this->own.data_centre) this->local_vm_discovered_at = now;
-    item.alive_at = std::max(item.alive_at, alive);
+    const bool was_local = vm.data_centre == this->own.data_centre;
+    if (data_centre != 0) vm.data_centre = data_centre;
+    if (!was_local && vm.data_centre == this->own.data_centre) this->local_vm_discovered_at = now;
+    vm.alive_at = std::max(vm.alive_at, alive);
 }
 
 const fleet_vm* fleet_table::take(std::uint32_t from, fleet_digest digest, instant now)
@@ -83,29 +83,29 @@
     this->record_vm(from, digest.data_centre, now, now);
     const auto found = this->table.find(from);
     if (found == this->table.end()) return nullptr;
-    fleet_vm& item = found->second;
-    const bool same_incarnation = item.last.incarnation == digest.incarnation;
-    if (same_incarnation && digest.sequence <= item.last.sequence) return nullptr;
+    fleet_vm& vm = found->second;
+    const bool same_incarnation = vm.last.incarnation == digest.incarnation;
+    if (same_incarnation && digest.sequence <= vm.last.sequence) return nullptr;
     if (!same_incarnation) {
-        item.own_loads = {};
-        item.centre_loads = {};
-        item.remote_loads = {};
+        vm.own_loads = {};
+        vm.centre_loads = {};
+        vm.remote_loads = {};
     }
-    item.last_received_at = now;
+    vm.last_received_at = now;
     if (this->receives_nothing(now)) this->receiving_since = now;
     this->last_digest_at = now;
     this->reported_store.merge(
         {from_age(digest.store_restored_age, store_restored_age_unit, now),
          from_age(digest.store_confirmed_age, store_confirmed_age_unit, now)});
     this->max_servers_revision = std::max(this->max_servers_revision, digest.servers_revision);
-    item.answer_pending = digest.joining;
+    vm.answer_pending = digest.joining;
     for (const vm_liveness_report& report : digest.vms)
         this->record_vm(report.address, report.data_centre, now - report.age * age_unit, now);
-    item.own_loads.take(std::exchange(digest.own_loads, {}));
-    item.centre_loads.take(std::exchange(digest.centre_loads, {}));
-    item.remote_loads.take(std::exchange(digest.remote_loads, {}));
-    item.last = std::move(digest);
-    return &item;
+    vm.own_loads.take(std::exchange(digest.own_loads, {}));
+    vm.centre_loads.take(std::exchange(digest.centre_loads, {}));
+    vm.remote_loads.take(std::exchange(digest.remote_loads, {}));
+    vm.last = std::move(digest);
+    return &vm;
 }
 
 void fleet_table::remove_dead_vms(instant now)
@@ -117,29 +117,29 @@
     });
 }
 
-bool fleet_table::is_local(const fleet_vm& item) const
+bool fleet_table::is_local(const fleet_vm& vm) const
 {
-    return item.data_centre == this->own.data_centre || this->table.size() < max_small_fleet_vms;
+    return vm.data_centre == this->own.data_centre || this->table.size() < max_small_fleet_vms;
 }
 
-bool fleet_table::is_responsive(const fleet_vm& item, instant now)
+bool fleet_table::is_responsive(const fleet_vm& vm, instant now)
 {
-    const duration limit = std::max<duration>(
-        milliseconds(item.last.period_ms) * max_silent_periods, min_vm_silence_timeout);
-    return item.last_received_at != instant{} && now - item.last_received_at <= limit;
+    const duration limit = std::max<duration>(milliseconds(vm.last.period_ms) * max_silent_periods,
+                                              min_vm_silence_timeout);
+    return vm.last_received_at != instant{} && now - vm.last_received_at <= limit;
 }
 
-bool fleet_table::is_alive(const fleet_vm& item, instant now) const
+bool fleet_table::is_alive(const fleet_vm& vm, instant now) const
 {
-    if (this->is_local(item)) return this->is_responsive(item, now);
-    return item.alive_at != instant{} && now - item.alive_at <= remote_vm_timeout;
+    if (this->is_local(vm)) return this->is_responsive(vm, now);
+    return vm.alive_at != instant{} && now - vm.alive_at <= remote_vm_timeout;
 }
 
 std::vector<const fleet_vm*> fleet_table::local_vms(instant now) const
 {
     std::vector<const fleet_vm*> found;
-    for (const auto& [address, item] : this->table) {
-        if (this->is_local(item) && this->is_responsive(item, now)) found.push_back(&item);
+    for (const auto& [address, vm] : this->table) {
+        if (this->is_local(vm) && this->is_responsive(vm, now)) found.push_back(&vm);
     }
     return found;
 }
@@ -147,8 +147,8 @@
 std::vector<const fleet_vm*> fleet_table::responsive_vms(instant now) const
 {
     std::vector<const fleet_vm*> found;
-    for (const auto& [address, item] : this->table) {
-        if (this->is_responsive(item, now)) found.push_back(&item);
+    for (const auto& [address, vm] : this->table) {
+        if (this->is_responsive(vm, now)) found.push_back(&vm);
     }
     return found;
 }
@@ -186,11 +186,11 @@
                      now - this->local_vm_discovered_at >= membership_settle_period;
     found.local_vms.push_back(this->own.address);
     found.data_centres.push_back(this->own.data_centre);
-    for (const auto& [address, item] : this->table) {
+    for (const auto& [address, vm] : this->table) {
         // A seed that was never seen may not exist.
-        if (item.alive_at == instant{}) continue;
-        if (item.data_centre == this->own.data_centre) found.local_vms.push_back(address);
-        found.add(item.data_centre);
+        if (vm.alive_at == instant{}) continue;
+        if (vm.data_centre == this->own.data_centre) found.local_vms.push_back(address);
+        found.add(vm.data_centre);
     }
     return found;
 }
@@ -200,8 +200,8 @@
     constexpr std::uint64_t delegate_rank_key = 0x64656c;
     std::vector<std::pair<std::uint64_t, std::uint32_t>> first{
         {rendezvous_weight(delegate_rank_key, this->own.address), this->own.address}};
-    for (const auto& [address, item] : this->table) {
-        if (item.last.leaving || !this->is_alive(item, now)) continue;
+    for (const auto& [address, vm] : this->table) {
+        if (vm.last.leaving || !this->is_alive(vm, now)) continue;
         first.emplace_back(rendezvous_weight(delegate_rank_key, address), address);
         std::ranges::sort(first, std::greater{});
         first.resize(std::min(first.size(), delegates_per_fleet));
@@ -211,11 +211,11 @@
     return chosen;
 }
 
-std::optional<vm_liveness_report> fleet_table::make_liveness_report(const fleet_vm& item,
+std::optional<vm_liveness_report> fleet_table::make_liveness_report(const fleet_vm& vm,
                                                                     instant now) const
 {
-    if (!this->is_alive(item, now) || item.data_centre == 0) return std::nullopt;
-    return vm_liveness_report{item.address, item.data_centre, to_age(now - item.alive_at)};
+    if (!this->is_alive(vm, now) || vm.data_centre == 0) return std::nullopt;
+    return vm_liveness_report{vm.address, vm.data_centre, to_age(now - vm.alive_at)};
 }
 
 std::vector<vm_liveness_report>
@@ -232,12 +232,13 @@
         }
     }
     auto next = this->table.upper_bound(this->last_reported);
-    for (std::size_t seen = 0; seen < this->table.size() && reports.size() < count; ++seen) {
+    for (std::size_t visited = 0; visited < this->table.size() && reports.size() < count;
+         ++visited) {
         if (next == this->table.end()) next = this->table.begin();
-        const fleet_vm& item = next->second;
-        this->last_reported = item.address;
+        const fleet_vm& vm = next->second;
+        this->last_reported = vm.address;
         ++next;
-        if (const auto report = this->make_liveness_report(item, now)) reports.push_back(*report);
+        if (const auto report = this->make_liveness_report(vm, now)) reports.push_back(*report);
     }
     return reports;
 }
--- a/src/fleet_table.h
+++ b/src/fleet_table.h
@@ -80,12 +80,12 @@
     [[nodiscard]] std::map<std::uint32_t, fleet_vm>& vms() { return this->table; }
     [[nodiscard]] const std::map<std::uint32_t, fleet_vm>& vms() const { return this->table; }
     /** Whether the VM is treated as one of the same data centre. */
-    [[nodiscard]] bool is_local(const fleet_vm& item) const;
+    [[nodiscard]] bool is_local(const fleet_vm& vm) const;
     /** Whether digests of the VM arrive, that is, it is not silent. */
-    [[nodiscard]] static bool is_responsive(const fleet_vm& item, instant now);
+    [[nodiscard]] static bool is_responsive(const fleet_vm& vm, instant now);
     /** Whether the VM is considered alive: in the same data centre by its own digests, in another
      * one also by liveness reports. */
-    [[nodiscard]] bool is_alive(const fleet_vm& item, instant now) const;
+    [[nodiscard]] bool is_alive(const fleet_vm& vm, instant now) const;
     /** All VMs of the same data centre that are not silent. */
     [[nodiscard]] std::vector<const fleet_vm*> local_vms(instant now) const;
     /** All VMs that are not silent. */
@@ -113,7 +113,7 @@
     liveness_reports(std::size_t count, std::span<const std::uint32_t> delegates, instant now);
 
 private:
-    [[nodiscard]] std::optional<vm_liveness_report> make_liveness_report(const fleet_vm& item,
+    [[nodiscard]] std::optional<vm_liveness_report> make_liveness_report(const fleet_vm& vm,
                                                                          instant now) const;
     [[nodiscard]] bool receives_nothing(instant now) const;
     void record_vm(std::uint32_t address, std::uint32_t data_centre, instant alive, instant now);
--- a/src/link_address.cpp
+++ b/src/link_address.cpp
@@ -16,10 +16,10 @@
 
 std::string to_text(std::uint32_t address)
 {
-    in_addr number{};
-    number.s_addr = htonl(address);
+    in_addr binary{};
+    binary.s_addr = htonl(address);
     std::array<char, INET_ADDRSTRLEN> text{};
-    inet_ntop(AF_INET, &number, text.data(), text.size());
+    inet_ntop(AF_INET, &binary, text.data(), text.size());
     return text.data();
 }
 
@@ -49,9 +49,9 @@
     const std::string_view port = text.substr(colon + 1);
     const auto [end, fault] = std::from_chars(port.data(), port.data() + port.size(), result.port);
     in_addr parsed{};
-    const bool fits = fault == std::errc{} && end == port.data() + port.size() && result.port > 0 &&
-                      inet_pton(AF_INET, result.address.c_str(), &parsed) == 1;
-    if (!fits) fail();
+    const bool valid = fault == std::errc{} && end == port.data() + port.size() &&
+                       result.port > 0 && inet_pton(AF_INET, result.address.c_str(), &parsed) == 1;
+    if (!valid) fail();
     return result;
 }
 
--- a/src/load_exchange.cpp
+++ b/src/load_exchange.cpp
@@ -34,15 +34,16 @@
 
 } // namespace
 
-void load_exchange::set_own(load_table given, std::size_t servers,
-                            std::vector<std::uint32_t> busy_now)
+void load_exchange::set_own(load_table own_loads, std::size_t servers,
+                            std::vector<std::uint32_t> busy_servers)
 {
-    this->own = std::move(given);
+    this->own = std::move(own_loads);
     normalize(this->own);
-    this->busy = std::move(busy_now);
+    this->busy = std::move(busy_servers);
     std::ranges::sort(this->busy);
-    const std::size_t wanted = (servers + target_servers_per_slice - 1) / target_servers_per_slice;
-    this->slices = std::bit_ceil(std::clamp<std::size_t>(wanted, 1, max_slices));
+    const std::size_t needed_slices =
+        (servers + target_servers_per_slice - 1) / target_servers_per_slice;
+    this->slices = std::bit_ceil(std::clamp<std::size_t>(needed_slices, 1, max_slices));
 }
 
 std::size_t load_exchange::slice_of(std::uint32_t server) const
@@ -55,11 +56,11 @@
     this->own_slices.clear();
     this->remote_aggregators.clear();
     std::map<std::uint32_t, std::vector<std::uint32_t>> by_centre;
-    const std::uint32_t here = this->fleet.self().data_centre;
-    by_centre[here].push_back(this->fleet.self().address);
-    for (const auto& [address, item] : this->fleet.vms()) {
-        if (!this->fleet.is_alive(item, now) || item.data_centre == 0) continue;
-        by_centre[this->fleet.is_local(item) ? here : item.data_centre].push_back(address);
+    const std::uint32_t own_centre = this->fleet.self().data_centre;
+    by_centre[own_centre].push_back(this->fleet.self().address);
+    for (const auto& [address, vm] : this->fleet.vms()) {
+        if (!this->fleet.is_alive(vm, now) || vm.data_centre == 0) continue;
+        by_centre[this->fleet.is_local(vm) ? own_centre : vm.data_centre].push_back(address);
     }
     if (by_centre.size() < 2) return;
     std::map<std::size_t, std::vector<std::uint32_t>> remote_by_slice;
@@ -70,7 +71,7 @@
                 members, members.begin() + static_cast<std::ptrdiff_t>(count), std::greater{},
                 [slice](std::uint32_t address) { return rendezvous_weight(slice, address); });
             const std::span<const std::uint32_t> chosen(members.data(), count);
-            if (centre != here) {
+            if (centre != own_centre) {
                 remote_by_slice[slice].insert(remote_by_slice[slice].end(), chosen.begin(),
                                               chosen.end());
             } else if (std::ranges::find(chosen, this->fleet.self().address) != chosen.end()) {
@@ -88,8 +89,8 @@
 load_table load_exchange::centre_sums(instant now) const
 {
     load_table sums = this->own;
-    for (const fleet_vm* item : this->fleet.local_vms(now))
-        append(sums, item->own_loads.entries());
+    for (const fleet_vm* vm : this->fleet.local_vms(now))
+        append(sums, vm->own_loads.entries());
     normalize(sums);
     return sums;
 }
@@ -100,10 +101,10 @@
 {
     const duration limit = std::max<duration>(remote_sums_timeout, this->period * 3);
     std::map<std::uint32_t, load_table> by_centre;
-    for (const auto& [address, item] : this->fleet.vms()) {
-        if (this->fleet.is_local(item) || now - item.last_received_at > limit) continue;
-        load_table& centre = by_centre[item.data_centre];
-        centre = merge_by_max(centre, item.centre_loads.entries());
+    for (const auto& [address, vm] : this->fleet.vms()) {
+        if (this->fleet.is_local(vm) || now - vm.last_received_at > limit) continue;
+        load_table& centre = by_centre[vm.data_centre];
+        centre = merge_by_max(centre, vm.centre_loads.entries());
     }
     load_table sums;
     for (const auto& [centre, table] : by_centre)
@@ -144,12 +145,13 @@
     std::vector<remote_message> messages;
     if (this->remote_aggregators.empty()) return messages;
     const load_part part = this->centre_publisher.next(this->own_centre_sums, this->busy);
-    for (const auto& [address, wanted] : this->remote_aggregators) {
+    for (const auto& [address, slices_of_vm] : this->remote_aggregators) {
         remote_message message{address, {part.part, part.parts, {}}};
         std::ranges::copy_if(part.entries, std::back_inserter(message.centre_loads.entries),
                              [&](const load_entry& entry) {
-                                 return std::ranges::find(wanted, this->slice_of(entry.server)) !=
-                                        wanted.end();
+                                 return std::ranges::find(slices_of_vm,
+                                                          this->slice_of(entry.server)) !=
+                                        slices_of_vm.end();
                              });
         messages.push_back(std::move(message));
     }
@@ -160,9 +162,9 @@
 {
     load_table remote_all = this->remote_sums(now);
     load_table sums;
-    for (const fleet_vm* item : this->fleet.local_vms(now)) {
-        append(sums, item->own_loads.entries());
-        remote_all = merge_by_max(remote_all, item->remote_loads.entries());
+    for (const fleet_vm* vm : this->fleet.local_vms(now)) {
+        append(sums, vm->own_loads.entries());
+        remote_all = merge_by_max(remote_all, vm->remote_loads.entries());
     }
     append(sums, remote_all);
     normalize(sums);
--- a/src/load_tables.h
+++ b/src/load_tables.h
@@ -26,8 +26,8 @@
 /** Divides a table into parts and returns one of them in each round. */
 class load_publisher {
 public:
-    /** Entries in one part: a table of up to this many is sent whole in each round. Tables in a
-     * fleet of 8 VMs and 22 servers are smaller; with 80 VMs and 93 servers a table has about 25.
+    /** Entries in one part: a table of up to this many is sent completely in each round. Tables in
+     * a fleet of 8 VMs and 22 servers are smaller; with 80 VMs and 93 servers a table has about 25.
      */
     static constexpr std::size_t entries_per_part = 24;
     static constexpr std::size_t max_parts = 16;
