--- a/src/json_slices.h
+++ b/src/json_slices.h
@@ -2,7 +2,7 @@
  * Splits JSON text into the raw texts of its members or elements, without parsing them.
  *
  * A page of many entries can thus be decoded entry by entry: a value that no parser accepts (bytes
- * that are not UTF-8, a number out of range) costs only its own entry and not the page.
+ * that are not UTF-8, a number out of range) makes only its own entry unusable and not the page.
  */
 #pragma once
 
--- a/src/peer_fetch_schedule.h
+++ b/src/peer_fetch_schedule.h
@@ -9,7 +9,7 @@
 
 class peer_fetch_schedule {
 public:
-    /** Pause between two requests, so that a VM which cannot answer is not asked all the time. */
+    /** Pause between two requests, so that a VM which cannot answer is not asked continuously. */
     static constexpr duration min_interval = milliseconds(100);
     static constexpr duration call_timeout = milliseconds(800);
 
@@ -18,9 +18,9 @@
     void update(bool behind, duration grace, instant now)
     {
         if (!behind) {
-            this->since = instant{};
-        } else if (this->since == instant{}) {
-            this->since = now;
+            this->behind_since = instant{};
+        } else if (this->behind_since == instant{}) {
+            this->behind_since = now;
         }
         this->grace_period = grace;
     }
@@ -28,28 +28,29 @@
     /** Whether a request is to be made now. */
     [[nodiscard]] bool due(instant now) const
     {
-        return this->since != instant{} && !this->asking &&
-               now - this->since >= this->grace_period && now - this->answered >= min_interval;
+        return this->behind_since != instant{} && !this->request_pending &&
+               now - this->behind_since >= this->grace_period &&
+               now - this->last_response_at >= min_interval;
     }
 
     /** Whether another VM has had a newer state for longer than \p span. */
     [[nodiscard]] bool behind_for(duration span, instant now) const
     {
-        return this->since != instant{} && now - this->since > span;
+        return this->behind_since != instant{} && now - this->behind_since > span;
     }
 
-    void begin() { this->asking = true; }
+    void begin() { this->request_pending = true; }
     void end(instant now)
     {
-        this->asking = false;
-        this->answered = now;
+        this->request_pending = false;
+        this->last_response_at = now;
     }
 
 private:
-    instant since{}; ///< since when another VM has a newer state; the epoch: none has
+    instant behind_since{}; ///< since when another VM has a newer state; the epoch: none has
     duration grace_period{};
-    bool asking = false;
-    instant answered{};
+    bool request_pending = false;
+    instant last_response_at{};
 };
 
 } // namespace worksshift
--- a/src/registry_feed.cpp
+++ b/src/registry_feed.cpp
@@ -13,15 +13,15 @@
 namespace worksshift {
 
 template <class Archive>
-void serialize(Archive& archive, stored_object& item)
+void serialize(Archive& archive, stored_object& object)
 {
-    archive(item.name, item.revision, item.document, item.removed);
+    archive(object.name, object.revision, object.document, object.removed);
 }
 
 template <class Archive>
-void serialize(Archive& archive, retained_server& item)
+void serialize(Archive& archive, retained_server& server)
 {
-    archive(item.name, item.missing_ms);
+    archive(server.name, server.missing_ms);
 }
 
 template <class Archive>
@@ -57,43 +57,43 @@
 void registry_feed::apply_list(std::span<const stored_object> all, std::uint64_t revision)
 {
     this->entries.clear();
-    for (const stored_object& item : all)
-        this->entries[item.name] = item;
+    for (const stored_object& object : all)
+        this->entries[object.name] = object;
     this->changes.clear();
-    this->floor = revision;
-    this->newest = revision;
+    this->compacted_revision = revision;
+    this->newest_revision = revision;
 }
 
-void registry_feed::apply_change(const stored_object& item, std::uint64_t revision)
+void registry_feed::apply_change(const stored_object& object, std::uint64_t revision)
 {
-    if (item.removed) {
-        this->entries.erase(item.name);
+    if (object.removed) {
+        this->entries.erase(object.name);
     } else {
-        this->entries[item.name] = item;
+        this->entries[object.name] = object;
     }
-    this->changes.push_back({revision, item});
+    this->changes.push_back({revision, object});
     if (this->changes.size() > std::max(min_retained_changes, this->entries.size())) {
-        this->floor = this->changes.front().revision;
+        this->compacted_revision = this->changes.front().revision;
         this->changes.pop_front();
     }
 }
 
 /** Whether the object is newer than the known one. A list of several pages can hold an object that
  * is newer than the list's revision. */
-bool registry_feed::is_newer(const stored_object& item) const
+bool registry_feed::is_newer(const stored_object& object) const
 {
-    const auto known = this->entries.find(item.name);
+    const auto known = this->entries.find(object.name);
     // The removal of an object that was added and removed between two updates is new as well:
     // another VM may have sent the object to other VMs.
     if (known == this->entries.end()) return true;
-    return item.removed ? item.revision >= known->second.revision
-                        : item.revision > known->second.revision;
+    return object.removed ? object.revision >= known->second.revision
+                          : object.revision > known->second.revision;
 }
 
 std::optional<registry_update> registry_feed::take(const registry_update& update)
 {
-    if (update.revision <= this->newest && this->newest != 0) return std::nullopt;
-    if (this->newest == 0) this->first = update.revision;
+    if (update.revision <= this->newest_revision && this->newest_revision != 0) return std::nullopt;
+    if (this->newest_revision == 0) this->first = update.revision;
     if (update.whole) {
         this->apply_list(update.objects, update.revision);
         return update;
@@ -101,22 +101,22 @@
     registry_update newer_part{
         update.revision, false, {}, update.kept, update.oldest_known_revision};
     std::ranges::copy_if(update.objects, std::back_inserter(newer_part.objects),
-                         [this](const stored_object& item) { return this->is_newer(item); });
-    for (const stored_object& item : newer_part.objects)
-        this->apply_change(item, update.revision);
-    this->newest = update.revision;
+                         [this](const stored_object& object) { return this->is_newer(object); });
+    for (const stored_object& object : newer_part.objects)
+        this->apply_change(object, update.revision);
+    this->newest_revision = update.revision;
     return newer_part;
 }
 
 registry_update registry_feed::since(std::uint64_t revision) const
 {
     registry_update update;
-    update.revision = this->newest;
+    update.revision = this->newest_revision;
     update.oldest_known_revision = this->first;
-    update.whole = revision < this->floor;
+    update.whole = revision < this->compacted_revision;
     if (update.whole) {
-        for (const auto& [name, item] : this->entries)
-            update.objects.push_back(item);
+        for (const auto& [name, object] : this->entries)
+            update.objects.push_back(object);
         return update;
     }
     for (const change& item : this->changes) {
--- a/src/registry_feed.h
+++ b/src/registry_feed.h
@@ -55,7 +55,7 @@
      * seconds late. */
     std::optional<registry_update> take(const registry_update& update);
     [[nodiscard]] registry_update since(std::uint64_t revision) const;
-    [[nodiscard]] std::uint64_t revision() const { return this->newest; }
+    [[nodiscard]] std::uint64_t revision() const { return this->newest_revision; }
 
 private:
     struct change {
@@ -63,14 +63,14 @@
         stored_object object;
     };
 
-    [[nodiscard]] bool is_newer(const stored_object& item) const;
+    [[nodiscard]] bool is_newer(const stored_object& object) const;
     void apply_list(std::span<const stored_object> all, std::uint64_t revision);
-    void apply_change(const stored_object& item, std::uint64_t revision);
+    void apply_change(const stored_object& object, std::uint64_t revision);
 
     std::map<std::string, stored_object> entries;
     std::deque<change> changes;
-    std::uint64_t floor = 0; ///< all changes after this revision are held
-    std::uint64_t newest = 0;
+    std::uint64_t compacted_revision = 0; ///< all changes after this revision are held
+    std::uint64_t newest_revision = 0;
     std::uint64_t first = 0; ///< revision of the first update that was applied
 };
 
--- a/src/server_registry.cpp
+++ b/src/server_registry.cpp
@@ -22,8 +22,8 @@
 {
     this->listed = true;
     std::unordered_set<std::string_view> names;
-    for (const stored_object& item : all)
-        names.insert(item.name);
+    for (const stored_object& object : all)
+        names.insert(object.name);
     for (const auto& [id, row] : this->table.rows()) {
         if (!names.contains(id.text)) this->mark_missing(id, origin, now);
     }
@@ -35,8 +35,9 @@
 {
     const bool log_each = part.size() <= this->table.rows().size() + max_logged_individually;
     const logging log_detail = log_each ? logging::each : logging::none;
-    const auto changed = std::ranges::count_if(
-        part, [&](const stored_object& item) { return this->put(item, log_detail, origin, now); });
+    const auto changed = std::ranges::count_if(part, [&](const stored_object& object) {
+        return this->put(object, log_detail, origin, now);
+    });
     log_event(log_level::info, "servers_listed",
               {{"servers", part.size()},
                {"changed", changed},
@@ -44,13 +45,13 @@
                {"each_logged", log_each ? 1 : 0}});
 }
 
-void server_registry::apply_change(const stored_object& item, const update_origin& origin,
+void server_registry::apply_change(const stored_object& object, const update_origin& origin,
                                    instant now)
 {
-    if (!item.removed) {
-        this->put(item, logging::each, origin, now);
-    } else if (!this->is_former(item)) {
-        this->mark_missing(server_id{item.name}, origin, now);
+    if (!object.removed) {
+        this->put(object, logging::each, origin, now);
+    } else if (!this->is_of_former_incarnation(object)) {
+        this->mark_missing(server_id{object.name}, origin, now);
     }
 }
 
@@ -88,7 +89,7 @@
 }
 
 /** Whether the removed entry was written by an earlier incarnation of the server. */
-bool server_registry::is_former(const stored_object& removal) const
+bool server_registry::is_of_former_incarnation(const stored_object& removal) const
 {
     try {
         return this->table.is_former(this->adapter.decode_server(removal));
@@ -98,11 +99,11 @@
     }
 }
 
-bool server_registry::put(const stored_object& item, logging log_detail,
+bool server_registry::put(const stored_object& object, logging log_detail,
                           const update_origin& origin, instant now)
 {
     try {
-        const server_record record = this->adapter.decode_server(item);
+        const server_record record = this->adapter.decode_server(object);
         if (this->table.is_former(record)) return false;
         this->missing.erase(record.id);
         const server_entry* known = this->table.find(record.id);
@@ -115,7 +116,7 @@
                       {{"server", record.id.text},
                        {"born_ms", record.started_at_ms},
                        {"before_ms", before},
-                       {"revision", item.revision}});
+                       {"revision", object.revision}});
             this->on_restarted.emit(record.id);
         }
         if (log_detail == logging::each) {
@@ -124,25 +125,25 @@
                        {"service", record.service.text},
                        {"address", to_string(record.address)},
                        {"draining", record.draining ? 1 : 0},
-                       {"revision", item.revision}});
+                       {"revision", object.revision}});
         }
         if (record.draining) this->on_leaving.emit(record.id);
         return true;
     } catch (const error& fault) {
-        this->record_unreadable(item, fault.what(), origin, now);
+        this->record_unreadable(object, fault.what(), origin, now);
         return false;
     }
 }
 
 /** Counts an entry that does not decode to a server. If the name belonged to a known server, that
  * server is missing, as if its entry had been removed. */
-void server_registry::record_unreadable(const stored_object& item, std::string_view reason,
+void server_registry::record_unreadable(const stored_object& object, std::string_view reason,
                                         const update_origin& origin, instant now)
 {
-    this->mark_missing(server_id{item.name}, origin, now);
+    this->mark_missing(server_id{object.name}, origin, now);
     ++this->unreadable_total;
     if (this->unlogged_unreadable.count++ > 0) return;
-    this->unlogged_unreadable.first = item.name.substr(0, max_reason_length);
+    this->unlogged_unreadable.first = object.name.substr(0, max_reason_length);
     this->unlogged_unreadable.reason = reason.substr(0, max_reason_length);
 }
 
@@ -196,12 +197,12 @@
 
 /** When the server's retention ends. \p mass_expiry: most of its service is missing as well. \p
  * store_back: when the store last returned from an outage. */
-instant server_registry::used_until(const missing_entry& entry, bool mass_expiry,
-                                    instant store_back)
+instant server_registry::retention_end(const missing_entry& entry, bool mass_expiry,
+                                       instant store_recovered_at)
 {
     if (entry.has_left) return entry.since;
     const instant removal_grace_end = entry.since + removed_retention;
-    const instant store_grace_end = store_back + expired_retention;
+    const instant store_grace_end = store_recovered_at + expired_retention;
     if (entry.since < store_grace_end) {
         return mass_expiry ? std::max(store_grace_end, removal_grace_end)
                            : std::min(store_grace_end, removal_grace_end);
@@ -210,7 +211,7 @@
     return mass_expiry && entry.removal_observed ? removal_grace_end : entry.since;
 }
 
-void server_registry::sweep(instant now, instant store_back)
+void server_registry::sweep(instant now, instant store_recovered_at)
 {
     this->log_unreadable(now);
     if (this->missing.empty()) return;
@@ -221,8 +222,8 @@
     for (auto& [id, entry] : this->missing) {
         const server_entry* row = this->table.find(id);
         const bool mass_expiry = row != nullptr && mass_expired.contains(row->record.service);
-        const instant until = used_until(entry, mass_expiry, store_back);
-        if (now >= until) {
+        const instant removal_at = retention_end(entry, mass_expiry, store_recovered_at);
+        if (now >= removal_at) {
             to_remove.emplace_back(id, now - entry.since);
         } else if (!std::exchange(entry.logged, true)) {
             if (!log_each) {
@@ -232,15 +233,15 @@
             log_event(log_level::info, "server_missing",
                       {{"server", id.text},
                        {"together", mass_expiry ? 1 : 0},
-                       {"store_back_ms", (now - store_back) / milliseconds(1)},
-                       {"kept_ms", (until - entry.since) / milliseconds(1)}});
+                       {"store_back_ms", (now - store_recovered_at) / milliseconds(1)},
+                       {"kept_ms", (removal_at - entry.since) / milliseconds(1)}});
         }
     }
     if (unlogged > 0) {
         log_event(log_level::info, "servers_missing",
                   {{"servers", unlogged},
                    {"services_together", mass_expired.size()},
-                   {"store_back_ms", (now - store_back) / milliseconds(1)}});
+                   {"store_back_ms", (now - store_recovered_at) / milliseconds(1)}});
     }
     for (const auto& [id, retained_for] : to_remove) {
         this->missing.erase(id);
--- a/src/server_registry.h
+++ b/src/server_registry.h
@@ -74,12 +74,12 @@
     /** Applies part of a list: servers that are not in it are not missing. */
     void apply_partial_list(std::span<const stored_object> part, const update_origin& origin,
                             instant now);
-    void apply_change(const stored_object& item, const update_origin& origin, instant now);
+    void apply_change(const stored_object& object, const update_origin& origin, instant now);
     /** Servers that are missing from the registry and still in use, sorted by name. */
     [[nodiscard]] std::vector<retained_server> kept(instant now) const;
-    /** Removes the servers whose retention has ended, and logs unreadable entries. \p store_back is
-     * when the store last returned from an outage. */
-    void sweep(instant now, instant store_back);
+    /** Removes the servers whose retention has ended, and logs unreadable entries. \p
+     * store_recovered_at is when the store last returned from an outage. */
+    void sweep(instant now, instant store_recovered_at);
 
     /** Whether a complete list was applied. */
     [[nodiscard]] bool known() const { return this->listed; }
@@ -109,15 +109,15 @@
     };
 
     /** Returns whether the table changed. */
-    bool put(const stored_object& item, logging log_detail, const update_origin& origin,
+    bool put(const stored_object& object, logging log_detail, const update_origin& origin,
              instant now);
     void mark_missing(const server_id& id, const update_origin& origin, instant now);
-    [[nodiscard]] static instant used_until(const missing_entry& entry, bool mass_expiry,
-                                            instant store_back);
-    void record_unreadable(const stored_object& item, std::string_view reason,
+    [[nodiscard]] static instant retention_end(const missing_entry& entry, bool mass_expiry,
+                                               instant store_recovered_at);
+    void record_unreadable(const stored_object& object, std::string_view reason,
                            const update_origin& origin, instant now);
     void log_unreadable(instant now);
-    [[nodiscard]] bool is_former(const stored_object& removal) const;
+    [[nodiscard]] bool is_of_former_incarnation(const stored_object& removal) const;
     void remove(const server_id& id, duration retained_for);
     [[nodiscard]] std::set<service_id> services_with_mass_expiry() const;
 
