--- a/src/store_follow.h
+++ b/src/store_follow.h
@@ -14,8 +14,8 @@
 class store_follow {
 public:
     /** Time within which the store should deliver a change to a VM with a linearizable watch; only
-     * then does it ask another VM. The same holds for a VM that has just started and waits for its
-     * first list. */
+     * after that does the VM ask another VM. The same holds for a VM that has just started and
+     * waits for its first list. */
     static constexpr duration store_update_grace = milliseconds(500);
     /** If no other VM has delivered a newer configuration within this time, this VM asks the store
      * itself. */
@@ -23,7 +23,7 @@
 
     /** A VM that starts to watch delays the watch of evacuations by this time, to learn first from
      * the watch of the registry whether the store answers it. When the store is unavailable to
-     * all, every VM starts to watch, and each would make another call in vain. */
+     * all, every VM starts to watch, and each would make a second call that fails. */
     static constexpr duration evacuations_watch_delay = milliseconds(500);
 
     explicit store_follow(object_kind kind, unsigned seed = std::random_device{}())
--- a/src/store_outage.h
+++ b/src/store_outage.h
@@ -27,7 +27,7 @@
     instant recovered_at{}; ///< when it returned from an outage
     instant confirmed_at{}; ///< when it last answered a linearizable call of any VM
 
-    /** Takes over the newer values. The ends of two outages are at least `min_outage` apart,
+    /** Adopts the newer values. The ends of two outages are at least `min_outage` apart,
      * so a time that is newer by less is the same end: each VM that passes it on makes it newer by
      * the delay of its datagram. */
     void merge(const store_status& other)
@@ -49,26 +49,26 @@
 
 class store_outage {
 public:
-    /** The reported time of another VM's response is too late by at most this, as ages are rounded
-     * and take time to arrive. */
+    /** The reported time of another VM's response is later than the real one by at most this, as
+     * ages are rounded and take time to arrive. */
     static constexpr duration max_report_delay = milliseconds(500);
 
     /** \p failing: the first failed call since the last response; std::nullopt if the calls are
-     * answered or none was made. \p answered_here: when the store last answered this VM; the
-     * epoch: never. \p elsewhere: what the other VMs report. \p cut_off: no digest of another VM
+     * answered or none was made. \p own_response_at: when the store last answered this VM; the
+     * epoch: never. \p reported: what the other VMs report. \p isolated: no digest of another VM
      * is received, so the fault may be this VM's. */
-    void update(const std::optional<failed_call>& failing, instant answered_here,
-                const store_status& elsewhere, bool cut_off);
+    void update(const std::optional<failed_call>& failing, instant own_response_at,
+                const store_status& reported, bool isolated);
 
     /** When the store last returned from an outage; the epoch: never. */
     [[nodiscard]] instant recovered_at() const { return this->last_recovered_at; }
 
 private:
-    void end(instant answered_again);
+    void end(instant response_at);
 
     std::optional<instant> failure_noticed_at; ///< newest failure, until a VM is answered
     std::optional<failed_call> failing;        ///< value passed to the last update()
-    bool was_cut_off = false;                  ///< at any time since the newest failure
+    bool was_isolated = false;                 ///< at any time since the newest failure
     instant answered{};                        ///< newest response to any VM
     instant last_recovered_at{};
 };
--- a/src/store_watch.h
+++ b/src/store_watch.h
@@ -84,10 +84,10 @@
 
     /** Sets the read mode of the watches; std::nullopt: does not watch. If no list has been
      * completed, one is made in any case. */
-    void set_mode(std::optional<read_mode> wanted, instant now);
-    /** The changes up to revision \p known were received from another VM; the watch continues after
-     * it. */
-    void advance(std::uint64_t known);
+    void set_mode(std::optional<read_mode> new_mode, instant now);
+    /** The changes up to \p revision_received were received from another VM; the watch continues
+     * after it. */
+    void advance(std::uint64_t revision_received);
 
     /** The call to make now, or std::nullopt if none is due. Its response is to be passed to one of
      * the functions below. */
@@ -112,11 +112,11 @@
     /** Whether this VM watches the store and the store answers. */
     [[nodiscard]] bool follows() const
     {
-        return this->mode.has_value() && this->listed && this->answering;
+        return this->mode.has_value() && this->listed && this->responding;
     }
     /** Whether a response to the newest call is awaited. */
     [[nodiscard]] bool awaits() const { return this->awaiting; }
-    [[nodiscard]] bool reachable() const { return this->answering; }
+    [[nodiscard]] bool reachable() const { return this->responding; }
     /** The first failed call since the store last answered; std::nullopt if the last call was
      * answered or none has ended. */
     [[nodiscard]] const std::optional<failed_call>& failing_call() const { return this->failing; }
@@ -128,14 +128,14 @@
     [[nodiscard]] std::uint64_t changed_revision() const { return this->changed; }
 
 private:
-    [[nodiscard]] const watch_timing& pace() const;
-    void list(const std::string& after);
-    void watch();
+    [[nodiscard]] const watch_timing& timing() const;
+    void prepare_list(const std::string& after);
+    void prepare_watch();
     void wait_until(instant at) { this->due_at = at; }
     void apply_list(object_page page, instant now);
     void apply_changes(const object_page& page, instant now);
-    void note_answer(instant now);
-    bool answers(std::uint64_t number);
+    void record_response(instant now);
+    bool accept_response(std::uint64_t number);
 
     object_kind watched_kind;
     std::optional<read_mode> mode = read_mode::stale;
@@ -147,7 +147,7 @@
     /** The next list must be linearizable, as a stale one would again be older than the known
      * revision. */
     bool list_linearizably = false;
-    bool answering = false;
+    bool responding = false;
     std::optional<failed_call> failing;
     instant answered{};
     instant confirmed{};
--- a/src/store_watch_client.cpp
+++ b/src/store_watch_client.cpp
@@ -22,7 +22,7 @@
                                        const link_address& store, const protocol& adapter,
                                        store_watch& watch)
     : caller(caller), store(store), adapter(adapter), watch(watch),
-      next(base, [this] { this->proceed(); })
+      next_call(base, [this] { this->proceed(); })
 {
 }
 
@@ -36,13 +36,13 @@
     const instant time = now();
     if (!this->watch.awaits()) this->caller.cancel(this->newest_call);
     if (const std::optional<store_read> call = this->watch.next(time)) {
-        this->make(*call);
+        this->send(*call);
     } else if (const std::optional<instant> at = this->watch.next_at()) {
-        this->next.start_once(std::max(*at - time, duration::zero()));
+        this->next_call.start_once(std::max(*at - time, duration::zero()));
     }
 }
 
-void store_watch_client::make(const store_read& call)
+void store_watch_client::send(const store_read& call)
 {
     ++(call.mode == read_mode::stale ? this->stale_calls : this->linearizable_calls);
     const std::string path = std::visit(
@@ -57,11 +57,11 @@
     this->newest_call =
         this->caller.call(this->store, EVHTTP_REQ_GET, path, {}, {}, call.limit,
                           [this, number = call.number](const http_response& response) {
-                              this->take(number, response);
+                              this->handle_response(number, response);
                           });
 }
 
-void store_watch_client::take(std::uint64_t number, const http_response& response)
+void store_watch_client::handle_response(std::uint64_t number, const http_response& response)
 {
     if (response.status == gone) {
         this->watch.handle_history_gone(number, now());
--- a/src/store_watch_client.h
+++ b/src/store_watch_client.h
@@ -24,16 +24,16 @@
     [[nodiscard]] std::uint64_t calls(read_mode mode) const;
 
 private:
-    void make(const store_read& call);
-    void take(std::uint64_t number, const http_response& response);
+    void send(const store_read& call);
+    void handle_response(std::uint64_t number, const http_response& response);
     object_page decode(const std::string& body);
 
     http_client& caller;
     link_address store;
     const protocol& adapter;
     store_watch& watch;
-    timer next;
-    std::uint64_t newest_call = 0; ///< identifies the newest call at the HTTP caller
+    timer next_call;
+    std::uint64_t newest_call = 0; ///< number that `caller` gave the newest call
     std::uint64_t unreadable_total = 0;
     std::uint64_t stale_calls = 0;
     std::uint64_t linearizable_calls = 0;
--- a/src/suspension.h
+++ b/src/suspension.h
@@ -26,9 +26,9 @@
     static constexpr duration min_detected_gap = milliseconds(100);
 
     /** How long the VM was suspended since the last call; zero if it was not. */
-    duration update(const clock_pair& read)
+    duration update(const clock_pair& clocks)
     {
-        const duration ahead = read.boot - read.steady;
+        const duration ahead = clocks.boot - clocks.steady;
         if (!this->ahead) this->ahead = ahead;
         const duration gap = ahead - *this->ahead;
         if (gap < min_detected_gap) return duration::zero();
@@ -37,7 +37,8 @@
     }
 
 private:
-    std::optional<duration> ahead; ///< boot clock minus steady clock, as last seen
+    /** Boot clock minus steady clock, when first read or after the last suspension. */
+    std::optional<duration> ahead;
 };
 
 } // namespace worksshift
