--- a/test/correctness/evacuated_servers_get_nothing.cpp
+++ b/test/correctness/evacuated_servers_get_no_requests.cpp
@@ -13,15 +13,15 @@
 using namespace worksshift;
 using then = scripted_answer::then;
 
-class evacuated_servers_get_nothing : public CppUnit::TestFixture {
-    CPPUNIT_TEST_SUITE(evacuated_servers_get_nothing);
-    CPPUNIT_TEST(until_it_is_taken_back);
-    CPPUNIT_TEST(all_data_centres);
-    CPPUNIT_TEST(beside_entries_that_mean_nothing);
-    CPPUNIT_TEST(stream_under_way_goes_on);
+class evacuated_servers_get_no_requests : public CppUnit::TestFixture {
+    CPPUNIT_TEST_SUITE(evacuated_servers_get_no_requests);
+    CPPUNIT_TEST(until_the_evacuation_is_revoked);
+    CPPUNIT_TEST(all_data_centres_evacuated);
+    CPPUNIT_TEST(despite_thousands_of_invalid_entries);
+    CPPUNIT_TEST(stream_in_progress_completes);
     CPPUNIT_TEST_SUITE_END();
 
-    static scripted_answer good(const std::string& request)
+    static scripted_answer answer_ok(const std::string& request)
     {
         return {answer_text(200, request, header_in(request, "x-request-id")), then::keep};
     }
@@ -30,8 +30,8 @@
     {
         auto fleet = std::make_unique<router_fleet>(routers);
         fleet->set_config(example_config(1));
-        fleet->add_server("a", "desk", good, "here");
-        fleet->add_server("b", "desk", good, "there");
+        fleet->add_server("a", "desk", answer_ok, "here");
+        fleet->add_server("b", "desk", answer_ok, "there");
         fleet->start_all();
         CPPUNIT_ASSERT(fleet->wait_until_all_ready());
         return fleet;
@@ -48,7 +48,7 @@
     }
 
     /** Number of requests that a server gets while all routers send several rounds. */
-    static std::size_t asked(router_fleet& fleet, std::size_t server)
+    static std::size_t requests_received(router_fleet& fleet, std::size_t server)
     {
         const std::size_t before = fleet.servers[server]->requests.size();
         for (int round = 0; round < 6; ++round)
@@ -63,13 +63,13 @@
 
 public:
     /** The evacuation holds until it is revoked, also at a router that starts without the store. */
-    static void until_it_is_taken_back()
+    static void until_the_evacuation_is_revoked()
     {
         const auto fleet = served_fleet(5);
         wait(*fleet, seconds(2));
         fleet->store->put("evacuations", "here", "{}");
         wait(*fleet, seconds(2));
-        CPPUNIT_ASSERT_EQUAL(std::size_t{0}, asked(*fleet, 0));
+        CPPUNIT_ASSERT_EQUAL(std::size_t{0}, requests_received(*fleet, 0));
         const std::string line = "worksshift_evacuated{data_centre=\"here\"} 1";
         CPPUNIT_ASSERT(fleet->metrics(3).find(line) != std::string::npos);
         // A router that starts while the store does not answer learns the state from the others.
@@ -79,31 +79,32 @@
         fleet->routers[4].wait();
         fleet->start(4);
         CPPUNIT_ASSERT(fleet->run_until([&] { return fleet->ready(4); }, seconds(8)));
-        CPPUNIT_ASSERT_EQUAL(std::size_t{0}, asked(*fleet, 0));
+        CPPUNIT_ASSERT_EQUAL(std::size_t{0}, requests_received(*fleet, 0));
         fleet->store->fault = fakes::store_fault::none;
         wait(*fleet, seconds(2));
         fleet->store->remove("evacuations", "here");
-        CPPUNIT_ASSERT(fleet->run_until([&] { return asked(*fleet, 0) > 0; }, seconds(5)));
+        CPPUNIT_ASSERT(
+            fleet->run_until([&] { return requests_received(*fleet, 0) > 0; }, seconds(5)));
     }
 
     /** If all data centres are evacuated, callers learn at once that the request was not run,
      * and when to retry. */
-    static void all_data_centres()
+    static void all_data_centres_evacuated()
     {
         const auto fleet = served_fleet(3);
-        for (const std::string place : {"here", "there"})
-            fleet->store->put("evacuations", place, "{}");
+        for (const std::string data_centre : {"here", "there"})
+            fleet->store->put("evacuations", data_centre, "{}");
         wait(*fleet, seconds(2));
         const std::string answer = fleet->ask(1, request_text("GET", "/safe/x", "1"));
         CPPUNIT_ASSERT_EQUAL(503, status_in(answer));
         CPPUNIT_ASSERT(!header_in(answer, "retry-after").empty());
         fleet->store->remove("evacuations", "there");
         CPPUNIT_ASSERT(fleet->run_until([&] { return all_answer(*fleet, 200); }, seconds(5)));
-        CPPUNIT_ASSERT_EQUAL(std::size_t{0}, asked(*fleet, 0));
+        CPPUNIT_ASSERT_EQUAL(std::size_t{0}, requests_received(*fleet, 0));
     }
 
     /** Thousands of invalid entries neither hide the valid one nor appear in the metrics. */
-    static void beside_entries_that_mean_nothing()
+    static void despite_thousands_of_invalid_entries()
     {
         const auto fleet = served_fleet(3);
         fleet->store->page_size = 50;
@@ -112,12 +113,12 @@
         fleet->store->put("evacuations", "here", "\"?\"");
         fleet->store->forget_history();
         wait(*fleet, seconds(6));
-        CPPUNIT_ASSERT_EQUAL(std::size_t{0}, asked(*fleet, 0));
+        CPPUNIT_ASSERT_EQUAL(std::size_t{0}, requests_received(*fleet, 0));
         CPPUNIT_ASSERT(fleet->metrics(0).find("nowhere") == std::string::npos);
     }
 
     /** A stream that began before the evacuation completes; a new request is refused. */
-    static void stream_under_way_goes_on()
+    static void stream_in_progress_completes()
     {
         const auto fleet = served_fleet(1);
         std::string config = example_config(2);
@@ -135,8 +136,9 @@
         wait(*fleet, seconds(1));
         const auto caller = fleet->connect(0);
         caller->send(request);
-        const auto begun = [&] { return body_in(caller->received).find("first"); };
-        CPPUNIT_ASSERT(fleet->run_until([&] { return begun() != std::string::npos; }, seconds(2)));
+        const auto first_event_position = [&] { return body_in(caller->received).find("first"); };
+        CPPUNIT_ASSERT(fleet->run_until([&] { return first_event_position() != std::string::npos; },
+                                        seconds(2)));
         fleet->store->put("evacuations", "here", "{}");
         wait(*fleet, seconds(1));
         fleet->servers[2]->push(event_chunk(2, "last") + "0\r\n\r\n");
@@ -148,6 +150,6 @@
     }
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(evacuated_servers_get_nothing);
+CPPUNIT_TEST_SUITE_REGISTRATION(evacuated_servers_get_no_requests);
 
 } // namespace
--- a/test/correctness/leaving_servers_are_known_to_all.cpp
+++ b/test/correctness/leaving_servers_are_reported_to_all_vms.cpp
@@ -13,9 +13,9 @@
 using namespace worksshift;
 using then = scripted_answer::then;
 
-class leaving_servers_are_known_to_all : public CppUnit::TestFixture {
-    CPPUNIT_TEST_SUITE(leaving_servers_are_known_to_all);
-    CPPUNIT_TEST(by_one_answer);
+class leaving_servers_are_reported_to_all_vms : public CppUnit::TestFixture {
+    CPPUNIT_TEST_SUITE(leaving_servers_are_reported_to_all_vms);
+    CPPUNIT_TEST(after_one_response);
     CPPUNIT_TEST_SUITE_END();
 
     /** Number of requests that the first server gets while all routers send requests. */
@@ -30,7 +30,7 @@
     }
 
 public:
-    static void by_one_answer()
+    static void after_one_response()
     {
         router_fleet fleet(4);
         bool leaves = false;
@@ -63,6 +63,6 @@
     }
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(leaving_servers_are_known_to_all);
+CPPUNIT_TEST_SUITE_REGISTRATION(leaving_servers_are_reported_to_all_vms);
 
 } // namespace
