--- a/test/error/configurations_that_come_late.cpp
+++ b/test/error/configuration_from_store_or_peer.cpp
@@ -42,7 +42,7 @@
     config_follower follower;
     bool watching = true;
     bool serves_garbage = false;
-    bool never_answers = false;
+    bool never_responds = false;
 
 private:
     static std::vector<link_address> seeds(std::uint16_t port)
@@ -52,7 +52,7 @@
 
     void serve(evhttp_request* request)
     {
-        if (this->never_answers) return;
+        if (this->never_responds) return;
         if (this->serves_garbage) {
             evbuffer_add(evhttp_request_get_output_buffer(request), "rubbish", 7);
             evhttp_send_reply(request, 200, nullptr, nullptr);
@@ -78,12 +78,12 @@
     timer ticker;
 };
 
-class configurations_that_come_late : public CppUnit::TestFixture {
-    CPPUNIT_TEST_SUITE(configurations_that_come_late);
+class configuration_from_store_or_peer : public CppUnit::TestFixture {
+    CPPUNIT_TEST_SUITE(configuration_from_store_or_peer);
     CPPUNIT_TEST(from_another_vm);
-    CPPUNIT_TEST(older_ones_are_ignored);
-    CPPUNIT_TEST(rubbish_from_another_vm);
-    CPPUNIT_TEST(other_vms_do_not_answer);
+    CPPUNIT_TEST(older_versions_are_ignored);
+    CPPUNIT_TEST(invalid_response_from_another_vm);
+    CPPUNIT_TEST(other_vms_do_not_respond);
     CPPUNIT_TEST_SUITE_END();
 
     event_ptr<event_base> base;
@@ -104,12 +104,12 @@
         return true;
     }
 
-    bool version_of(const vm& item, std::uint64_t version)
+    bool reaches_version(const vm& receiver, std::uint64_t version)
     {
-        return this->run_until([&] { return item.follower.version() == version; });
+        return this->run_until([&] { return receiver.follower.version() == version; });
     }
 
-    std::unique_ptr<vm> make(const std::string& address, const link_address& store_at)
+    std::unique_ptr<vm> make_vm(const std::string& address, const link_address& store_at)
     {
         return std::make_unique<vm>(this->base.get(), address, this->port, store_at, this->adapter);
     }
@@ -122,7 +122,7 @@
         this->store_address = {"127.0.0.1", support::free_port()};
         this->store = std::make_unique<fakes::fake_store>(this->base.get(), this->store_address);
         this->store->put("config", "main", support::example_config(5));
-        this->first = this->make("127.0.0.41", this->store_address);
+        this->first = this->make_vm("127.0.0.41", this->store_address);
     }
 
     void tearDown() override
@@ -137,49 +137,50 @@
      * another VM. */
     void from_another_vm()
     {
-        this->second = this->make("127.0.0.42", {"127.0.0.1", support::free_port()});
-        CPPUNIT_ASSERT(this->version_of(*this->second, 5));
+        this->second = this->make_vm("127.0.0.42", {"127.0.0.1", support::free_port()});
+        CPPUNIT_ASSERT(this->reaches_version(*this->second, 5));
         this->store->put("config", "main", support::example_config(8));
-        CPPUNIT_ASSERT(this->version_of(*this->second, 8));
+        CPPUNIT_ASSERT(this->reaches_version(*this->second, 8));
     }
 
-    void older_ones_are_ignored()
+    /** Guards against replacing a configuration by an older one. */
+    void older_versions_are_ignored()
     {
-        CPPUNIT_ASSERT(this->version_of(*this->first, 5));
+        CPPUNIT_ASSERT(this->reaches_version(*this->first, 5));
         this->store->put("config", "main", support::example_config(3));
         CPPUNIT_ASSERT(!this->run_until([&] { return this->first->follower.version() != 5; },
                                         milliseconds(700)));
         this->store->put("config", "main", support::example_config(6));
-        CPPUNIT_ASSERT(this->version_of(*this->first, 6));
+        CPPUNIT_ASSERT(this->reaches_version(*this->first, 6));
     }
 
     /** Guards against accepting an invalid configuration from another VM. */
-    void rubbish_from_another_vm()
+    void invalid_response_from_another_vm()
     {
-        CPPUNIT_ASSERT(this->version_of(*this->first, 5));
-        this->second = this->make("127.0.0.42", this->store_address);
-        CPPUNIT_ASSERT(this->version_of(*this->second, 5));
+        CPPUNIT_ASSERT(this->reaches_version(*this->first, 5));
+        this->second = this->make_vm("127.0.0.42", this->store_address);
+        CPPUNIT_ASSERT(this->reaches_version(*this->second, 5));
         this->second->watching = false;
         this->first->serves_garbage = true;
         this->store->put("config", "main", support::example_config(9));
         // The other VM's response is rejected, so the store is asked instead.
-        CPPUNIT_ASSERT(this->version_of(*this->second, 9));
+        CPPUNIT_ASSERT(this->reaches_version(*this->second, 9));
     }
 
     /** Guards against waiting for an unresponsive VM instead of querying the store. */
-    void other_vms_do_not_answer()
+    void other_vms_do_not_respond()
     {
-        CPPUNIT_ASSERT(this->version_of(*this->first, 5));
-        this->second = this->make("127.0.0.42", this->store_address);
-        CPPUNIT_ASSERT(this->version_of(*this->second, 5));
+        CPPUNIT_ASSERT(this->reaches_version(*this->first, 5));
+        this->second = this->make_vm("127.0.0.42", this->store_address);
+        CPPUNIT_ASSERT(this->reaches_version(*this->second, 5));
         this->second->watching = false;
-        this->first->never_answers = true;
+        this->first->never_responds = true;
         this->store->put("config", "main", support::example_config(9));
         CPPUNIT_ASSERT(
             this->run_until([&] { return this->second->follower.version() == 9; }, seconds(2)));
     }
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(configurations_that_come_late);
+CPPUNIT_TEST_SUITE_REGISTRATION(configuration_from_store_or_peer);
 
 } // namespace
--- a/test/error/cold_times_that_mean_nothing.cpp
+++ b/test/error/invalid_cold_times.cpp
@@ -12,10 +12,10 @@
 
 using namespace worksshift;
 
-class cold_times_that_mean_nothing : public CppUnit::TestFixture {
-    CPPUNIT_TEST_SUITE(cold_times_that_mean_nothing);
-    CPPUNIT_TEST(of_a_server);
-    CPPUNIT_TEST(of_a_service);
+class invalid_cold_times : public CppUnit::TestFixture {
+    CPPUNIT_TEST_SUITE(invalid_cold_times);
+    CPPUNIT_TEST(in_a_server_entry);
+    CPPUNIT_TEST(in_a_service);
     CPPUNIT_TEST_SUITE_END();
 
     protocol adapter = platform_protocol();
@@ -39,7 +39,7 @@
 
 public:
     /** Remaining cold time in a server's entry: limited to 0..60 s, rejected if not a number. */
-    void of_a_server()
+    void in_a_server_entry()
     {
         CPPUNIT_ASSERT(this->cold_remaining("2500") == milliseconds(2500));
         CPPUNIT_ASSERT(this->cold_remaining("12.7") == milliseconds(12));
@@ -52,11 +52,11 @@
     }
 
     /** Cold-start time and rate of a service: limited likewise, ignored if not a number. */
-    void of_a_service()
+    void in_a_service()
     {
-        const service_traits sound = this->traits(R"(,"coldStartS":3.0,"coldPerS":13.0)");
-        CPPUNIT_ASSERT(sound.cold_start == seconds(3));
-        CPPUNIT_ASSERT(sound.cold_requests_per_s == 13);
+        const service_traits valid = this->traits(R"(,"coldStartS":3.0,"coldPerS":13.0)");
+        CPPUNIT_ASSERT(valid.cold_start == seconds(3));
+        CPPUNIT_ASSERT(valid.cold_requests_per_s == 13);
         CPPUNIT_ASSERT(this->traits(R"(,"coldPerS":0)").cold_requests_per_s == 0);
         CPPUNIT_ASSERT(this->traits(R"(,"coldPerS":-4)").cold_requests_per_s == 0);
         CPPUNIT_ASSERT(this->traits(R"(,"coldStartS":-4)").cold_start == milliseconds(0));
@@ -64,14 +64,14 @@
         for (const std::string other : {"null", "\"13\"", "[]", "{}"}) {
             std::string members = R"(,"coldStartS":)";
             members.append(other).append(R"(,"coldPerS":)").append(other);
-            const service_traits made = this->traits(members);
-            CPPUNIT_ASSERT(made.cold_start == milliseconds(0));
-            CPPUNIT_ASSERT(!made.cold_requests_per_s);
+            const service_traits parsed = this->traits(members);
+            CPPUNIT_ASSERT(parsed.cold_start == milliseconds(0));
+            CPPUNIT_ASSERT(!parsed.cold_requests_per_s);
         }
         CPPUNIT_ASSERT(!this->traits("").cold_requests_per_s);
     }
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(cold_times_that_mean_nothing);
+CPPUNIT_TEST_SUITE_REGISTRATION(invalid_cold_times);
 
 } // namespace
--- a/test/error/registry_entries_by_others.cpp
+++ b/test/error/invalid_registry_entries.cpp
@@ -33,7 +33,7 @@
 /** Documents that another writer may have left in the registry. */
 std::vector<std::string> invalid_documents()
 {
-    const std::string deep(100'000, '[');
+    const std::string deeply_nested(100'000, '[');
     return {
         "",
         "null",
@@ -78,19 +78,19 @@
         with_replacement(R"("v1")", "\"\x01\""),
         valid_document.substr(0, valid_document.size() - 1),
         valid_document + "}",
-        deep,
+        deeply_nested,
     };
 }
 
 stored_object entry(const std::string& name, const std::string& document)
 {
-    stored_object made;
-    made.name = name;
-    made.document = document;
-    return made;
+    stored_object object;
+    object.name = name;
+    object.document = document;
+    return object;
 }
 
-std::string item(const std::string& name, const std::string& document)
+std::string page_item(const std::string& name, const std::string& document)
 {
     return R"({"metadata":{"name":")" + name + R"(","revision":3},"spec":)" + document + "}";
 }
@@ -100,15 +100,15 @@
     return R"({"items":[)" + items + R"(],"truncated":false,"asOf":9})";
 }
 
-class registry_entries_by_others : public CppUnit::TestFixture {
-    CPPUNIT_TEST_SUITE(registry_entries_by_others);
-    CPPUNIT_TEST(unsound_entries_name_no_server);
-    CPPUNIT_TEST(further_fields_do_no_harm);
-    CPPUNIT_TEST(names_that_cannot_be_sent_are_refused);
-    CPPUNIT_TEST(entry_that_turns_unsound_is_a_server_gone);
-    CPPUNIT_TEST(page_with_one_unsound_entry_keeps_the_others);
-    CPPUNIT_TEST(page_that_is_none_is_refused);
-    CPPUNIT_TEST(routers_serve_beside_thousands_of_them);
+class invalid_registry_entries : public CppUnit::TestFixture {
+    CPPUNIT_TEST_SUITE(invalid_registry_entries);
+    CPPUNIT_TEST(invalid_entries_add_no_server);
+    CPPUNIT_TEST(unknown_fields_are_ignored);
+    CPPUNIT_TEST(names_invalid_in_a_header_are_rejected);
+    CPPUNIT_TEST(entry_that_becomes_invalid_removes_its_server);
+    CPPUNIT_TEST(page_with_one_invalid_entry_keeps_the_others);
+    CPPUNIT_TEST(malformed_page_is_rejected);
+    CPPUNIT_TEST(routers_serve_despite_thousands_of_invalid_entries);
     CPPUNIT_TEST_SUITE_END();
 
     protocol adapter = platform_protocol();
@@ -122,7 +122,7 @@
 
 public:
     /** Guards against an invalid entry that becomes a server or affects the entry beside it. */
-    void unsound_entries_name_no_server()
+    void invalid_entries_add_no_server()
     {
         for (const std::string& document : invalid_documents()) {
             server_table table(data_centre_id{"dc"});
@@ -136,16 +136,17 @@
     }
 
     /** Guards against rejecting an entry that has unknown fields. */
-    void further_fields_do_no_harm()
+    void unknown_fields_are_ignored()
     {
-        const std::string more = with_replacement(
+        const std::string with_unknown_fields = with_replacement(
             R"("sequence":1)", R"("sequence":1,"born":1790000000000,"x":[{}],"y":null)");
-        CPPUNIT_ASSERT_EQUAL(std::uint32_t{4}, this->adapter.decode_server(entry("a", more)).slots);
+        CPPUNIT_ASSERT_EQUAL(std::uint32_t{4},
+                             this->adapter.decode_server(entry("a", with_unknown_fields)).slots);
     }
 
     /** The id of a server is sent in a header line, so it must not be empty or contain blanks,
      * control characters or bytes outside ASCII. */
-    void names_that_cannot_be_sent_are_refused()
+    void names_invalid_in_a_header_are_rejected()
     {
         for (const std::string name : {"", "a b", "a\r\nX-Other: 1", "a\x7f", "\xc3\xa4"}) {
             CPPUNIT_ASSERT_THROW(this->adapter.decode_server(entry(name, valid_document)),
@@ -155,7 +156,7 @@
 
     /** Guards against a server that stays in use after its entry has become invalid, or that is not
      * used again once the entry is valid. */
-    void entry_that_turns_unsound_is_a_server_gone()
+    void entry_that_becomes_invalid_removes_its_server()
     {
         server_table table(data_centre_id{"dc"});
         server_registry registry(table, this->adapter);
@@ -172,7 +173,7 @@
     }
 
     /** Guards against one invalid entry or event that makes the whole page unusable. */
-    void page_with_one_unsound_entry_keeps_the_others()
+    void page_with_one_invalid_entry_keeps_the_others()
     {
         std::vector<std::string> invalid;
         for (const std::string& document : invalid_documents()) {
@@ -183,8 +184,8 @@
         invalid.insert(invalid.end(), {"null", "7", "[]", R"("\ud800")", "NaN", "1e999"});
         for (const std::string& document : invalid) {
             const object_page page = this->adapter.decode_page(
-                page_of(item("a", valid_document) + "," + item("b", document) + "," +
-                        item("c", valid_document)));
+                page_of(page_item("a", valid_document) + "," + page_item("b", document) + "," +
+                        page_item("c", valid_document)));
             CPPUNIT_ASSERT_EQUAL_MESSAGE(document, std::size_t{3}, page.objects.size());
             CPPUNIT_ASSERT_EQUAL_MESSAGE(document, std::string("c"), page.objects[2].name);
             CPPUNIT_ASSERT_EQUAL(std::uint64_t{9}, page.revision);
@@ -192,13 +193,14 @@
         for (const std::string other :
              {"null", "7", "{}", R"({"metadata":null,"spec":{}})", R"({"metadata":{"name":7}})",
               R"({"metadata":{"name":"b","revision":"x"},"spec":{}})"}) {
-            const object_page page = this->adapter.decode_page(
-                page_of(item("a", valid_document) + "," + other + "," + item("c", valid_document)));
+            const object_page page =
+                this->adapter.decode_page(page_of(page_item("a", valid_document) + "," + other +
+                                                  "," + page_item("c", valid_document)));
             CPPUNIT_ASSERT_EQUAL_MESSAGE(other, std::size_t{2}, page.objects.size());
-            const std::string events = R"({"removed":false,"object":)" + item("a", valid_document) +
-                                       "}," + R"({"removed":false,"object":)" + other + "}," +
-                                       R"({"removed":true,"object":)" + item("c", valid_document) +
-                                       "}";
+            const std::string events =
+                R"({"removed":false,"object":)" + page_item("a", valid_document) + "}," +
+                R"({"removed":false,"object":)" + other + "}," + R"({"removed":true,"object":)" +
+                page_item("c", valid_document) + "}";
             const object_page batch =
                 this->adapter.decode_page(R"({"events":[)" + events + R"(],"asOf":9})");
             CPPUNIT_ASSERT_EQUAL_MESSAGE(other, std::size_t{2}, batch.objects.size());
@@ -207,7 +209,7 @@
     }
 
     /** Guards against a malformed page that is decoded as an empty one. */
-    void page_that_is_none_is_refused()
+    void malformed_page_is_rejected()
     {
         for (const std::string body : {"", "null", "[]", "{", R"({"items":7})", R"({"items":[1)",
                                        R"({"items":[],"asOf":"x"})", "\xff\xfe"}) {
@@ -215,7 +217,9 @@
         }
     }
 
-    static void routers_serve_beside_thousands_of_them()
+    /** Guards against invalid entries that keep a router from serving, are not counted, or flood
+     * the log. */
+    static void routers_serve_despite_thousands_of_invalid_entries()
     {
         std::string logs = "/tmp/worksshift-logs-XXXXXX";
         CPPUNIT_ASSERT(::mkdtemp(logs.data()) != nullptr);
@@ -246,17 +250,17 @@
         fleet.store->put("servers", "x0", "{}");
         CPPUNIT_ASSERT(
             fleet.run_until([&] { return unreadable(fleet) == before + 1; }, seconds(5)));
-        constexpr std::ptrdiff_t lines_at_most = 20;
+        constexpr std::ptrdiff_t max_lines = 20;
         std::ifstream log(logs + "/router-0.log");
         std::ptrdiff_t lines = 0;
         for (std::string line; std::getline(log, line);)
             lines += line.find("unreadable") == std::string::npos ? 0 : 1;
         ::unsetenv("WORKSSHIFT_TEST_LOGS");
         std::filesystem::remove_all(logs);
-        CPPUNIT_ASSERT(lines > 0 && lines <= lines_at_most);
+        CPPUNIT_ASSERT(lines > 0 && lines <= max_lines);
     }
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(registry_entries_by_others);
+CPPUNIT_TEST_SUITE_REGISTRATION(invalid_registry_entries);
 
 } // namespace
--- a/test/error/packed_documents_are_checked.cpp
+++ b/test/error/packed_documents_are_checked.cpp
@@ -12,10 +12,10 @@
 
 class packed_documents_are_checked : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(packed_documents_are_checked);
-    CPPUNIT_TEST(comes_back_and_is_short);
-    CPPUNIT_TEST(cut_short);
-    CPPUNIT_TEST(other_bytes);
-    CPPUNIT_TEST(length_beyond_all_documents);
+    CPPUNIT_TEST(round_trip_is_lossless_and_compressed);
+    CPPUNIT_TEST(truncated_document_is_rejected);
+    CPPUNIT_TEST(uncompressed_bytes_are_rejected);
+    CPPUNIT_TEST(length_over_the_limit_is_rejected);
     CPPUNIT_TEST_SUITE_END();
 
     static std::string document()
@@ -28,7 +28,7 @@
 
 public:
     /** Guards against documents that change in a round trip or are not compressed. */
-    static void comes_back_and_is_short()
+    static void round_trip_is_lossless_and_compressed()
     {
         const std::string packed = pack(document());
         CPPUNIT_ASSERT_EQUAL(document(), unpack(packed, "vm"));
@@ -37,21 +37,21 @@
     }
 
     /** Guards against accepting a truncated document. */
-    static void cut_short()
+    static void truncated_document_is_rejected()
     {
         const std::string packed = pack(document());
         for (const std::size_t size : {std::size_t{0}, std::size_t{3}, packed.size() - 1})
             CPPUNIT_ASSERT_THROW(unpack(packed.substr(0, size), "vm"), peer_error);
     }
 
-    /** Guards against accepting bytes that are not a compressed document, as an error page. */
-    static void other_bytes()
+    /** Guards against accepting bytes that are not a compressed document, such as an error page. */
+    static void uncompressed_bytes_are_rejected()
     {
         CPPUNIT_ASSERT_THROW(unpack("<html>not found</html>", "vm"), peer_error);
     }
 
     /** Guards against allocating memory for a length that no document has. */
-    static void length_beyond_all_documents()
+    static void length_over_the_limit_is_rejected()
     {
         std::string packed = pack(document());
         packed[3] = '\x7f';
--- a/test/error/servers_that_leave_or_lapse.cpp
+++ b/test/error/servers_that_leave_or_expire.cpp
@@ -16,24 +16,24 @@
 
 constexpr store_origin from_watch{true};
 
-class servers_that_leave_or_lapse : public CppUnit::TestFixture {
-    CPPUNIT_TEST_SUITE(servers_that_leave_or_lapse);
-    CPPUNIT_TEST(leaves_in_calm);
-    CPPUNIT_TEST(leaves_after_the_store_was_away);
-    CPPUNIT_TEST(lapsed_together_are_kept);
-    CPPUNIT_TEST(lapsed_and_not_back_are_gone);
-    CPPUNIT_TEST(lapsed_while_nobody_noticed_are_kept_for_a_while);
-    CPPUNIT_TEST(drains);
-    CPPUNIT_TEST(those_that_said_so_have_not_lapsed);
-    CPPUNIT_TEST(kept_for_as_long_as_by_the_teller);
-    CPPUNIT_TEST(what_the_teller_does_not_use_has_left);
-    CPPUNIT_TEST(a_teller_that_never_knew_a_server_says_nothing_of_it);
-    CPPUNIT_TEST(feed_passes_on_changes);
-    CPPUNIT_TEST(feed_passes_on_removals_of_what_it_never_saw);
-    CPPUNIT_TEST(feed_passes_on_what_is_kept);
-    CPPUNIT_TEST(feed_passes_on_the_whole);
-    CPPUNIT_TEST(feed_passes_over_what_is_older);
-    CPPUNIT_TEST(feed_refuses_other_bytes);
+class servers_that_leave_or_expire : public CppUnit::TestFixture {
+    CPPUNIT_TEST_SUITE(servers_that_leave_or_expire);
+    CPPUNIT_TEST(leaves_without_faults);
+    CPPUNIT_TEST(leaves_after_a_store_outage);
+    CPPUNIT_TEST(expired_together_are_retained);
+    CPPUNIT_TEST(expired_and_not_rewritten_are_removed);
+    CPPUNIT_TEST(expired_in_an_unnoticed_outage_are_retained_briefly);
+    CPPUNIT_TEST(draining_server_gets_no_new_work);
+    CPPUNIT_TEST(drained_servers_do_not_count_as_expired);
+    CPPUNIT_TEST(retained_for_as_long_as_by_the_sending_vm);
+    CPPUNIT_TEST(servers_that_the_sending_vm_does_not_use_have_left);
+    CPPUNIT_TEST(sending_vm_that_never_knew_a_server_does_not_remove_it);
+    CPPUNIT_TEST(feed_forwards_changes);
+    CPPUNIT_TEST(feed_forwards_removals_of_unknown_servers);
+    CPPUNIT_TEST(feed_forwards_retained_servers);
+    CPPUNIT_TEST(feed_sends_the_complete_registry);
+    CPPUNIT_TEST(feed_ignores_older_entries);
+    CPPUNIT_TEST(feed_rejects_invalid_bytes);
     CPPUNIT_TEST_SUITE_END();
 
     /** The users' bound: time from the store's response to the removal until the last new work. */
@@ -47,20 +47,20 @@
     static stored_object entry(const std::string& name, const std::string& state = "ready",
                                std::uint64_t revision = 1)
     {
-        stored_object made;
-        made.name = name;
-        made.revision = revision;
-        made.document = R"({"service":"desk","address":"127.0.0.1:1","zone":"dc","version":"v1",)"
-                        R"("slots":4,"coldRemainingMs":0,"sequence":1,"state":")" +
-                        state + R"("})";
-        return made;
+        stored_object object;
+        object.name = name;
+        object.revision = revision;
+        object.document = R"({"service":"desk","address":"127.0.0.1:1","zone":"dc","version":"v1",)"
+                          R"("slots":4,"coldRemainingMs":0,"sequence":1,"state":")" +
+                          state + R"("})";
+        return object;
     }
 
     static stored_object removal(const std::string& name, std::uint64_t revision = 1)
     {
-        stored_object made = entry(name, "ready", revision);
-        made.removed = true;
-        return made;
+        stored_object object = entry(name, "ready", revision);
+        object.removed = true;
+        return object;
     }
 
     std::size_t usable() const
@@ -80,7 +80,7 @@
     }
 
     /** Guards against keeping a single removed server when the store was available. */
-    void leaves_in_calm()
+    void leaves_without_faults()
     {
         this->registry->apply_change(removal("a"), from_watch, this->start + seconds(60));
         this->registry->sweep(this->start + seconds(60), this->start);
@@ -88,42 +88,43 @@
     }
 
     /** Guards against keeping a leaving server for as long as expired ones after an outage. */
-    void leaves_after_the_store_was_away()
+    void leaves_after_a_store_outage()
     {
-        const instant back = this->start + seconds(60);
-        this->registry->apply_change(removal("a"), from_watch, back);
-        this->registry->sweep(back + milliseconds(100), back);
+        const instant recovered_at = this->start + seconds(60);
+        this->registry->apply_change(removal("a"), from_watch, recovered_at);
+        this->registry->sweep(recovered_at + milliseconds(100), recovered_at);
         CPPUNIT_ASSERT_EQUAL(std::size_t{4}, this->usable());
-        this->registry->sweep(back + leaving_bound - milliseconds(200), back);
+        this->registry->sweep(recovered_at + leaving_bound - milliseconds(200), recovered_at);
         CPPUNIT_ASSERT_EQUAL(std::size_t{3}, this->usable());
     }
 
     /** Guards against dropping a service whose servers could not write during an outage. */
-    void lapsed_together_are_kept()
+    void expired_together_are_retained()
     {
-        const instant back = this->start + seconds(60);
-        this->registry->apply_list({}, store_origin{}, back);
-        this->registry->sweep(back + milliseconds(2100), back);
+        const instant recovered_at = this->start + seconds(60);
+        this->registry->apply_list({}, store_origin{}, recovered_at);
+        this->registry->sweep(recovered_at + milliseconds(2100), recovered_at);
         CPPUNIT_ASSERT_EQUAL(std::size_t{4}, this->usable());
         for (const std::string name : {"a", "b", "c", "d"})
-            this->registry->apply_change(entry(name), from_watch, back + milliseconds(2000));
-        this->registry->sweep(back + seconds(10), back);
+            this->registry->apply_change(entry(name), from_watch,
+                                         recovered_at + milliseconds(2000));
+        this->registry->sweep(recovered_at + seconds(10), recovered_at);
         CPPUNIT_ASSERT_EQUAL(std::size_t{4}, this->usable());
     }
 
     /** Guards against keeping servers whose entries are not written again after an outage. */
-    void lapsed_and_not_back_are_gone()
+    void expired_and_not_rewritten_are_removed()
     {
-        const instant back = this->start + seconds(60);
-        this->registry->apply_list({}, store_origin{}, back);
-        this->registry->apply_change(entry("b"), from_watch, back + milliseconds(1000));
-        this->registry->sweep(back + milliseconds(2500), back);
+        const instant recovered_at = this->start + seconds(60);
+        this->registry->apply_list({}, store_origin{}, recovered_at);
+        this->registry->apply_change(entry("b"), from_watch, recovered_at + milliseconds(1000));
+        this->registry->sweep(recovered_at + milliseconds(2500), recovered_at);
         CPPUNIT_ASSERT_EQUAL(std::size_t{1}, this->usable());
     }
 
     /** Guards against dropping a service after an outage that is shorter than a watch's wait, which
      * shows only by its expired entries. */
-    void lapsed_while_nobody_noticed_are_kept_for_a_while()
+    void expired_in_an_unnoticed_outage_are_retained_briefly()
     {
         const instant now = this->start + seconds(60);
         for (const std::string name : {"a", "b", "c", "d"})
@@ -136,7 +137,7 @@
     }
 
     /** Guards against giving new work to a server that announced that it drains. */
-    void drains()
+    void draining_server_gets_no_new_work()
     {
         std::vector<server_id> reported;
         this->registry->on_leaving.connect([&](const server_id& id) { reported.push_back(id); });
@@ -147,7 +148,7 @@
 
     /** Guards against servers that drained and then left counting as expired entries, which would
      * keep another server of their service in use. */
-    void those_that_said_so_have_not_lapsed()
+    void drained_servers_do_not_count_as_expired()
     {
         const instant now = this->start + seconds(60);
         this->registry->apply_change(entry("a", "draining"), from_watch, now);
@@ -159,14 +160,15 @@
     }
 
     /** Guards against each VM restarting the retention period when it learns of a missing entry. */
-    void kept_for_as_long_as_by_the_teller()
+    void retained_for_as_long_as_by_the_sending_vm()
     {
-        const instant asked = this->start + seconds(60);
-        const std::vector<retained_server> kept{{"a", 1000}, {"b", 1000}, {"c", 1000}};
+        const instant requested_at = this->start + seconds(60);
+        const std::vector<retained_server> retained{{"a", 1000}, {"b", 1000}, {"c", 1000}};
         for (const std::string name : {"a", "b", "c"})
-            this->registry->apply_change(removal(name), peer_origin{kept, asked}, asked);
+            this->registry->apply_change(removal(name), peer_origin{retained, requested_at},
+                                         requested_at);
         const instant retention_end =
-            asked - milliseconds(1000) + server_registry::removed_retention;
+            requested_at - milliseconds(1000) + server_registry::removed_retention;
         this->registry->sweep(retention_end - milliseconds(1), this->start);
         CPPUNIT_ASSERT_EQUAL(std::size_t{4}, this->usable());
         this->registry->sweep(retention_end, this->start);
@@ -174,7 +176,7 @@
     }
 
     /** Guards against keeping servers that the VM which sent the update no longer uses. */
-    void what_the_teller_does_not_use_has_left()
+    void servers_that_the_sending_vm_does_not_use_have_left()
     {
         const instant now = this->start + seconds(60);
         const std::vector<stored_object> all{entry("a")};
@@ -187,7 +189,7 @@
 
     /** Guards against the response of a VM that started during an outage, and so knows no servers,
      * removing a whole service. */
-    void a_teller_that_never_knew_a_server_says_nothing_of_it()
+    void sending_vm_that_never_knew_a_server_does_not_remove_it()
     {
         const instant now = this->start + seconds(60);
         registry_update update{20, true, {}};
@@ -199,7 +201,7 @@
 
     /** Guards against losing a removal: one VM receives the addition and the removal of a server in
      * one update, another VM receives only the addition and then asks the first VM for changes. */
-    static void feed_passes_on_removals_of_what_it_never_saw()
+    static void feed_forwards_removals_of_unknown_servers()
     {
         registry_feed source;
         registry_feed copy;
@@ -214,7 +216,7 @@
     }
 
     /** Guards against sending the complete registry, or too little, where changes suffice. */
-    static void feed_passes_on_changes()
+    static void feed_forwards_changes()
     {
         registry_feed source;
         registry_feed copy;
@@ -236,7 +238,7 @@
 
     /** Guards against losing the missing servers that are still in use when an update is encoded.
      */
-    static void feed_passes_on_what_is_kept()
+    static void feed_forwards_retained_servers()
     {
         registry_update update{10, true, {}};
         update.kept = {{"a", 700}};
@@ -247,7 +249,7 @@
     }
 
     /** Guards against a partial response to a VM that lacks more changes than the feed holds. */
-    static void feed_passes_on_the_whole()
+    static void feed_sends_the_complete_registry()
     {
         registry_feed source;
         source.take({10, true, {}});
@@ -261,7 +263,7 @@
 
     /** Guards against stale responses of the store, which arrive between newer updates from other
      * VMs, overwriting newer entries. */
-    static void feed_passes_over_what_is_older()
+    static void feed_ignores_older_entries()
     {
         registry_feed feed;
         const auto changes_of = [&feed](const registry_update& update) {
@@ -282,12 +284,13 @@
         CPPUNIT_ASSERT_EQUAL(std::size_t{2}, feed.since(0).objects.size());
     }
 
-    static void feed_refuses_other_bytes()
+    /** Guards against accepting bytes that are not an update. */
+    static void feed_rejects_invalid_bytes()
     {
         CPPUNIT_ASSERT_THROW(decode_registry_update("\x01\xff\xff\xff", "peer"), peer_error);
     }
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(servers_that_leave_or_lapse);
+CPPUNIT_TEST_SUITE_REGISTRATION(servers_that_leave_or_expire);
 
 } // namespace
--- a/test/error/servers_that_start_again.cpp
+++ b/test/error/servers_that_restart.cpp
@@ -15,40 +15,41 @@
 using namespace support;
 using namespace worksshift;
 
-constexpr store_origin live_change{true};
+constexpr store_origin from_watch{true};
 using then = scripted_answer::then;
 
-/** Registry entry of a server that started at \p born, in Unix milliseconds. */
-std::string document(const link_address& address, std::uint64_t born, const std::string& state,
-                     const std::string& service = "llm")
+/** Registry entry of a server that started at \p started_at_ms, in Unix time. */
+std::string document(const link_address& address, std::uint64_t started_at_ms,
+                     const std::string& state, const std::string& service = "llm")
 {
     return R"({"service":")" + service + R"(","address":")" + to_string(address) +
            R"(","zone":"dc","version":"v1","slots":4,"state":")" + state +
-           R"(","coldRemainingMs":0,"sequence":1,"born":)" + std::to_string(born) + "}";
+           R"(","coldRemainingMs":0,"sequence":1,"born":)" + std::to_string(started_at_ms) + "}";
 }
 
-stored_object entry(const std::string& name, std::uint64_t born, const std::string& state = "ready",
+stored_object entry(const std::string& name, std::uint64_t started_at_ms,
+                    const std::string& state = "ready",
                     const link_address& address = {"127.0.0.1", 1})
 {
-    stored_object made;
-    made.name = name;
-    made.document = document(address, born, state);
-    return made;
+    stored_object object;
+    object.name = name;
+    object.document = document(address, started_at_ms, state);
+    return object;
 }
 
-class servers_that_start_again : public CppUnit::TestFixture {
-    CPPUNIT_TEST_SUITE(servers_that_start_again);
-    CPPUNIT_TEST(load_and_health_start_anew);
-    CPPUNIT_TEST(attempts_of_the_former_life_end_there);
-    CPPUNIT_TEST(loads_told_of_the_former_life_are_passed_over);
-    CPPUNIT_TEST(entry_of_the_former_life_changes_nothing);
-    CPPUNIT_TEST(removal_of_the_former_life_changes_nothing);
-    CPPUNIT_TEST(request_of_the_former_life_is_not_taken_for_running);
-    CPPUNIT_TEST(connections_of_the_former_life_are_closed);
+class servers_that_restart : public CppUnit::TestFixture {
+    CPPUNIT_TEST_SUITE(servers_that_restart);
+    CPPUNIT_TEST(load_and_health_are_reset);
+    CPPUNIT_TEST(attempts_are_counted_for_their_incarnation);
+    CPPUNIT_TEST(loads_reported_of_the_previous_incarnation_are_ignored);
+    CPPUNIT_TEST(entry_of_the_previous_incarnation_is_ignored);
+    CPPUNIT_TEST(removal_of_the_previous_incarnation_is_ignored);
+    CPPUNIT_TEST(request_of_the_previous_incarnation_does_not_count_as_running);
+    CPPUNIT_TEST(connections_of_the_previous_incarnation_are_closed);
     CPPUNIT_TEST_SUITE_END();
 
-    static constexpr std::uint64_t first_born = 1'790'000'000'000;
-    static constexpr std::uint64_t second_born = first_born + 60'000;
+    static constexpr std::uint64_t first_start_ms = 1'790'000'000'000;
+    static constexpr std::uint64_t second_start_ms = first_start_ms + 60'000;
 
     protocol adapter = platform_protocol();
     std::unique_ptr<server_table> table;
@@ -58,9 +59,9 @@
 
     server_entry& row() { return *this->table->find(this->id); }
 
-    void start_again()
+    void restart_server()
     {
-        this->registry->apply_change(entry("a", second_born), live_change,
+        this->registry->apply_change(entry("a", second_start_ms), from_watch,
                                      this->start + seconds(60));
     }
 
@@ -69,12 +70,13 @@
     {
         this->table = std::make_unique<server_table>(data_centre_id{"dc"});
         this->registry = std::make_unique<server_registry>(*this->table, this->adapter);
-        const std::vector<stored_object> all{entry("a", first_born), entry("b", first_born)};
+        const std::vector<stored_object> all{entry("a", first_start_ms),
+                                             entry("b", first_start_ms)};
         this->registry->apply_list(all, store_origin{}, this->start);
     }
 
     /** The new incarnation starts without load, failures or delays. */
-    void load_and_health_start_anew()
+    void load_and_health_are_reset()
     {
         const instant before = this->start + seconds(59);
         this->row().in_flight = 3;
@@ -82,7 +84,7 @@
         this->row().health.on_unreachable(before + milliseconds(900));
         this->row().first_delay.add(seconds(2), before);
         this->row().replaced = true;
-        this->start_again();
+        this->restart_server();
         const instant now = this->start + seconds(60);
         this->table->expire_reported_loads(now);
         CPPUNIT_ASSERT_EQUAL(std::uint32_t{0}, this->row().load());
@@ -92,22 +94,22 @@
     }
 
     /** An attempt that ends after the restart is counted for the previous incarnation. */
-    void attempts_of_the_former_life_end_there()
+    void attempts_are_counted_for_their_incarnation()
     {
-        server_entry& former = this->row();
-        former.in_flight = 1;
-        this->start_again();
+        server_entry& previous_incarnation = this->row();
+        previous_incarnation.in_flight = 1;
+        this->restart_server();
         this->table->sweep();
-        --former.in_flight;
+        --previous_incarnation.in_flight;
         this->table->sweep();
         CPPUNIT_ASSERT_EQUAL(std::uint32_t{0}, this->row().in_flight);
         CPPUNIT_ASSERT_EQUAL(std::size_t{2}, this->table->rows().size());
     }
 
     /** A load reported before the restart is ignored. */
-    void loads_told_of_the_former_life_are_passed_over()
+    void loads_reported_of_the_previous_incarnation_are_ignored()
     {
-        this->start_again();
+        this->restart_server();
         const auto hash = static_cast<std::uint32_t>(this->row().hash);
         constexpr std::uint8_t age = 40; // 400 ms
         this->table->apply_reported_load({hash, 9, age},
@@ -119,36 +121,36 @@
     }
 
     /** A late registry change of the previous incarnation is ignored. */
-    void entry_of_the_former_life_changes_nothing()
+    void entry_of_the_previous_incarnation_is_ignored()
     {
-        this->start_again();
-        this->registry->apply_change(entry("a", first_born, "draining"), live_change,
+        this->restart_server();
+        this->registry->apply_change(entry("a", first_start_ms, "draining"), from_watch,
                                      this->start + seconds(61));
         CPPUNIT_ASSERT(this->row().accepts_requests());
     }
 
     /** A late removal of the previous incarnation is ignored. */
-    void removal_of_the_former_life_changes_nothing()
+    void removal_of_the_previous_incarnation_is_ignored()
     {
-        this->start_again();
-        stored_object removal = entry("a", first_born);
+        this->restart_server();
+        stored_object removal = entry("a", first_start_ms);
         removal.removed = true;
-        this->registry->apply_change(removal, live_change, this->start + seconds(61));
+        this->registry->apply_change(removal, from_watch, this->start + seconds(61));
         this->registry->sweep(this->start + seconds(70), this->start);
         CPPUNIT_ASSERT(this->table->find(this->id) != nullptr && this->row().accepts_requests());
     }
 
-    /** Answers of the new incarnation to other requests must not be taken as a sign that a request
+    /** Answers of the new incarnation to other requests must not count as a sign that a request
      * lost with the previous one is still running. */
-    void request_of_the_former_life_is_not_taken_for_running()
+    void request_of_the_previous_incarnation_does_not_count_as_running()
     {
         path_rig rig;
         rig.path->set_config(rig.adapter.decode_config(example_config(1)));
-        const auto waits = [](const std::string& request) {
+        const auto is_pending_request = [](const std::string& request) {
             return header_in(request, "x-request-id") == "waits";
         };
         const auto script = [&](const std::string& request) {
-            if (waits(request)) return scripted_answer{{}, then::stay_silent};
+            if (is_pending_request(request)) return scripted_answer{{}, then::stay_silent};
             return scripted_answer{stream_head(request) + event_chunk(1, "x") + "0\r\n\r\n",
                                    then::keep};
         };
@@ -161,14 +163,16 @@
         const auto times_sent = [&] {
             std::ptrdiff_t count = 0;
             for (const scripted_server* engine : engines)
-                count += std::ranges::count_if(engine->requests, waits);
+                count += std::ranges::count_if(engine->requests, is_pending_request);
             return count;
         };
         rig.add_caller().send(with_prompt("/stream/x", "waits"));
         CPPUNIT_ASSERT(rig.run_until([&] { return times_sent() == 1; }));
-        const std::string asked = std::ranges::any_of(engines[0]->requests, waits) ? "a" : "b";
-        const link_address address = engines[asked == "a" ? 0 : 1]->address();
-        rig.table.put(rig.adapter.decode_server(entry(asked, second_born, "ready", address)));
+        const std::string receiving_server =
+            std::ranges::any_of(engines[0]->requests, is_pending_request) ? "a" : "b";
+        const link_address address = engines[receiving_server == "a" ? 0 : 1]->address();
+        rig.table.put(
+            rig.adapter.decode_server(entry(receiving_server, second_start_ms, "ready", address)));
         const instant end =
             std::chrono::steady_clock::now() + min_silence_timeout + milliseconds(300);
         for (unsigned next = 0; std::chrono::steady_clock::now() < end; ++next) {
@@ -179,25 +183,27 @@
     }
 
     /** Connections opened before the restart are closed and not reused. */
-    static void connections_of_the_former_life_are_closed()
+    static void connections_of_the_previous_incarnation_are_closed()
     {
         router_fleet fleet(1);
         fleet.set_config(example_config(1));
         scripted_server& server = fleet.add_server("a", "desk", [](const std::string& request) {
             return scripted_answer{answer_text(200, request, "x"), then::keep};
         });
-        fleet.store->put("servers", "a", document(server.address(), first_born, "ready", "desk"));
+        fleet.store->put("servers", "a",
+                         document(server.address(), first_start_ms, "ready", "desk"));
         fleet.start_all();
         CPPUNIT_ASSERT(fleet.wait_until_all_ready());
         CPPUNIT_ASSERT_EQUAL(200, status_in(fleet.ask(0, request_text("GET", "/safe/x", "r1"))));
         CPPUNIT_ASSERT_EQUAL(std::size_t{0}, server.closed);
-        fleet.store->put("servers", "a", document(server.address(), second_born, "ready", "desk"));
+        fleet.store->put("servers", "a",
+                         document(server.address(), second_start_ms, "ready", "desk"));
         CPPUNIT_ASSERT(fleet.run_until([&] { return server.closed == 1; }, seconds(2)));
         CPPUNIT_ASSERT_EQUAL(200, status_in(fleet.ask(0, request_text("GET", "/safe/x", "r2"))));
         CPPUNIT_ASSERT_EQUAL(std::size_t{2}, server.connections);
     }
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(servers_that_start_again);
+CPPUNIT_TEST_SUITE_REGISTRATION(servers_that_restart);
 
 } // namespace
--- a/test/error/store_that_fails.cpp
+++ b/test/error/store_that_fails.cpp
@@ -17,12 +17,12 @@
 class store_that_fails : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(store_that_fails);
     CPPUNIT_TEST(list_of_several_pages);
-    CPPUNIT_TEST(changes_come);
-    CPPUNIT_TEST(history_gone);
+    CPPUNIT_TEST(changes_are_received);
+    CPPUNIT_TEST(compacted_history_causes_a_new_list);
     CPPUNIT_TEST(refused_then_served);
     CPPUNIT_TEST(return_after_silence_is_noticed_soon);
-    CPPUNIT_TEST(stopped_watch_asks_nothing);
-    CPPUNIT_TEST(goes_on_behind_what_was_learnt_elsewhere);
+    CPPUNIT_TEST(stopped_watch_makes_no_calls);
+    CPPUNIT_TEST(continues_after_changes_received_from_another_vm);
     CPPUNIT_TEST_SUITE_END();
 
     event_ptr<event_base> base;
@@ -31,10 +31,10 @@
     std::unique_ptr<http_client> caller;
     protocol adapter = platform_protocol();
     std::unique_ptr<store_watch> state;
-    std::unique_ptr<store_watch_client> watch;
+    std::unique_ptr<store_watch_client> client;
     std::vector<stored_object> listed;
     std::vector<stored_object> changed;
-    std::vector<stored_object> early;
+    std::vector<stored_object> partial;
     std::size_t lists = 0;
 
     bool run_until(const std::function<bool()>& done, duration limit = seconds(8))
@@ -51,7 +51,7 @@
     void set_mode(std::optional<read_mode> mode)
     {
         this->state->set_mode(mode, std::chrono::steady_clock::now());
-        this->watch->proceed();
+        this->client->proceed();
     }
 
     void start()
@@ -61,7 +61,7 @@
             ++this->lists;
         });
         this->state->on_partial_list.connect([this](const std::vector<stored_object>& part) {
-            this->early.insert(this->early.end(), part.begin(), part.end());
+            this->partial.insert(this->partial.end(), part.begin(), part.end());
         });
         this->state->on_changes.connect([this](const std::vector<stored_object>& objects) {
             this->changed.insert(this->changed.end(), objects.begin(), objects.end());
@@ -77,22 +77,24 @@
         this->store = std::make_unique<fakes::fake_store>(this->base.get(), this->address);
         this->caller = std::make_unique<http_client>(this->base.get());
         this->state = std::make_unique<store_watch>(object_kind::servers);
-        this->watch = std::make_unique<store_watch_client>(
+        this->client = std::make_unique<store_watch_client>(
             this->base.get(), *this->caller, this->address, this->adapter, *this->state);
         this->listed.clear();
         this->changed.clear();
-        this->early.clear();
+        this->partial.clear();
         this->lists = 0;
     }
 
     void tearDown() override
     {
-        this->watch.reset();
+        this->client.reset();
         this->caller.reset();
         this->store.reset();
         this->base.reset();
     }
 
+    /** Guards against pages that are lost or mixed up, and against passing on pages of a later list
+     * before it is complete. */
     void list_of_several_pages()
     {
         this->store->page_size = 2;
@@ -104,14 +106,15 @@
         CPPUNIT_ASSERT_EQUAL(std::size_t{5}, this->listed.size());
         // Pages before the last one are passed on early only for the first list, not for a later
         // one.
-        CPPUNIT_ASSERT_EQUAL(std::size_t{4}, this->early.size());
+        CPPUNIT_ASSERT_EQUAL(std::size_t{4}, this->partial.size());
         this->store->put("servers", "f", "{}");
         this->store->forget_history();
         CPPUNIT_ASSERT(this->run_until([this] { return this->lists == 2; }));
-        CPPUNIT_ASSERT_EQUAL(std::size_t{4}, this->early.size());
+        CPPUNIT_ASSERT_EQUAL(std::size_t{4}, this->partial.size());
     }
 
-    void changes_come()
+    /** Guards against additions and removals that a watch does not report. */
+    void changes_are_received()
     {
         this->start();
         CPPUNIT_ASSERT(this->run_until([this] { return this->store->watches == 1; }));
@@ -125,7 +128,7 @@
 
     /** Guards against changes that are lost when the store has compacted the history that the watch
      * would continue from: it must list the objects again. */
-    void history_gone()
+    void compacted_history_causes_a_new_list()
     {
         this->start();
         CPPUNIT_ASSERT(this->run_until([this] { return this->store->watches == 1; }));
@@ -154,6 +157,7 @@
         CPPUNIT_ASSERT_EQUAL(std::size_t{1}, this->lists);
     }
 
+    /** Guards against noticing the return of an unresponsive store only when a long watch ends. */
     void return_after_silence_is_noticed_soon()
     {
         this->start();
@@ -178,7 +182,7 @@
 
     /** Guards against calls to the store by a stopped watch, and against losing the changes of that
      * time when it is started again. */
-    void stopped_watch_asks_nothing()
+    void stopped_watch_makes_no_calls()
     {
         this->start();
         CPPUNIT_ASSERT(this->run_until([this] { return this->store->watches == 1; }));
@@ -193,7 +197,7 @@
 
     /** Guards against requesting changes again that were received from another VM while the watch
      * was stopped. */
-    void goes_on_behind_what_was_learnt_elsewhere()
+    void continues_after_changes_received_from_another_vm()
     {
         this->start();
         CPPUNIT_ASSERT(this->run_until([this] { return this->store->watches == 1; }));
--- a/test/error/suspended_vms.cpp
+++ b/test/error/suspended_vms.cpp
@@ -15,10 +15,10 @@
 
 class suspended_vms : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(suspended_vms);
-    CPPUNIT_TEST(are_noticed_once);
-    CPPUNIT_TEST(clocks_agree_here);
-    CPPUNIT_TEST(callers_are_told_at_once);
-    CPPUNIT_TEST(what_goes_on_has_less_time);
+    CPPUNIT_TEST(suspension_is_detected_once);
+    CPPUNIT_TEST(no_suspension_is_detected_by_the_real_clocks);
+    CPPUNIT_TEST(expired_requests_are_answered_at_once);
+    CPPUNIT_TEST(retried_request_has_a_shorter_deadline);
     CPPUNIT_TEST(idle_connections_are_closed);
     CPPUNIT_TEST_SUITE_END();
 
@@ -39,31 +39,31 @@
     }
 
     /** Guards against missed, repeated and false reports of a suspension. */
-    static void are_noticed_once()
+    static void suspension_is_detected_once()
     {
-        suspension_detector watch;
-        CPPUNIT_ASSERT(watch.update({seconds(5), seconds(105)}) == duration::zero());
-        CPPUNIT_ASSERT(watch.update({seconds(6), seconds(106)}) == duration::zero());
-        CPPUNIT_ASSERT(watch.update({seconds(7), seconds(110)}) == seconds(3));
-        CPPUNIT_ASSERT(watch.update({seconds(8), seconds(111)}) == duration::zero());
-        CPPUNIT_ASSERT(watch.update({seconds(9), seconds(112) + milliseconds(20)}) ==
+        suspension_detector detector;
+        CPPUNIT_ASSERT(detector.update({seconds(5), seconds(105)}) == duration::zero());
+        CPPUNIT_ASSERT(detector.update({seconds(6), seconds(106)}) == duration::zero());
+        CPPUNIT_ASSERT(detector.update({seconds(7), seconds(110)}) == seconds(3));
+        CPPUNIT_ASSERT(detector.update({seconds(8), seconds(111)}) == duration::zero());
+        CPPUNIT_ASSERT(detector.update({seconds(9), seconds(112) + milliseconds(20)}) ==
                        duration::zero());
-        CPPUNIT_ASSERT(watch.update({seconds(10), seconds(100)}) == duration::zero());
-        CPPUNIT_ASSERT(watch.update({seconds(10), seconds(114)}) == seconds(1));
+        CPPUNIT_ASSERT(detector.update({seconds(10), seconds(100)}) == duration::zero());
+        CPPUNIT_ASSERT(detector.update({seconds(10), seconds(114)}) == seconds(1));
     }
 
     /** Guards against false reports from the real clocks of a system that is not suspended. */
-    static void clocks_agree_here()
+    static void no_suspension_is_detected_by_the_real_clocks()
     {
-        suspension_detector watch;
+        suspension_detector detector;
         for (int i = 0; i < 1000; ++i) {
-            const auto read = read_clocks();
-            if (read) CPPUNIT_ASSERT(watch.update(*read) == duration::zero());
+            const auto clocks = read_clocks();
+            if (clocks) CPPUNIT_ASSERT(detector.update(*clocks) == duration::zero());
         }
     }
 
     /** Guards against callers that wait on after their deadline passed during a suspension. */
-    void callers_are_told_at_once()
+    void expired_requests_are_answered_at_once()
     {
         const scripted_server& server =
             this->rig->add_server("a", "desk", [](const std::string&) -> scripted_answer {
@@ -79,11 +79,12 @@
     }
 
     /** Guards against a deadline passed to a second server that ignores the suspension. */
-    void what_goes_on_has_less_time()
+    void retried_request_has_a_shorter_deadline()
     {
-        bool broken = false;
+        bool failed_once = false;
         const auto serve = [&](const std::string& request) -> scripted_answer {
-            if (std::exchange(broken, true)) return {answer_text(200, request, "x"), then::keep};
+            if (std::exchange(failed_once, true))
+                return {answer_text(200, request, "x"), then::keep};
             this->rig->path->on_suspended(milliseconds(800));
             return {{}, then::reset};
         };
@@ -92,12 +93,13 @@
         const raw_caller& caller = this->ask("GET", "/safe/x");
         CPPUNIT_ASSERT(this->rig->run_until([&] { return !caller.received.empty(); }));
         CPPUNIT_ASSERT(caller.received.starts_with("HTTP/1.1 200"));
-        int least = 10000;
+        int min_deadline_ms = 10000;
         for (const scripted_server* server : this->rig->all_servers()) {
             for (const std::string& request : server->requests)
-                least = std::min(least, std::stoi(header_in(request, "x-deadline-ms")));
+                min_deadline_ms =
+                    std::min(min_deadline_ms, std::stoi(header_in(request, "x-deadline-ms")));
         }
-        CPPUNIT_ASSERT(least <= 700);
+        CPPUNIT_ASSERT(min_deadline_ms <= 700);
     }
 
     /** Guards against reuse of an idle connection that the server may have closed meanwhile. */
