--- a/test/fuzz/digests_reach_every_vm.cpp
+++ b/test/fuzz/digests_reach_every_vm.cpp
@@ -43,7 +43,7 @@
         fleet.vms, [](const auto& entry) { return entry.second.watch_role.stands_by(); }));
 }
 
-std::size_t linearizable(const digest_fleet& fleet)
+std::size_t count_linearizable_watchers(const digest_fleet& fleet)
 {
     return static_cast<std::size_t>(std::ranges::count_if(fleet.vms, [](const auto& entry) {
         return entry.second.watch_role.mode() == read_mode::linearizable;
@@ -54,12 +54,12 @@
     CPPUNIT_TEST_SUITE(digests_reach_every_vm);
     CPPUNIT_TEST(loads);
     CPPUNIT_TEST(loads_after_kills);
-    CPPUNIT_TEST(watchers_settle);
-    CPPUNIT_TEST(few_take_over_from_watchers_that_leave);
-    CPPUNIT_TEST(others_watch_when_the_store_refuses);
+    CPPUNIT_TEST(few_vms_watch_the_store);
+    CPPUNIT_TEST(few_vms_take_over_from_watchers_that_leave);
+    CPPUNIT_TEST(other_vms_watch_when_the_store_refuses_watchers);
     CPPUNIT_TEST(seeds_can_be_added);
-    CPPUNIT_TEST(a_new_life_begins_with_nothing);
-    CPPUNIT_TEST(a_digest_survives_its_coding);
+    CPPUNIT_TEST(new_incarnation_starts_without_loads);
+    CPPUNIT_TEST(digest_is_unchanged_by_encoding);
     CPPUNIT_TEST_SUITE_END();
 
 public:
@@ -74,9 +74,9 @@
             fleet.loss = *rc::gen::element(0.0, 0.02, 0.1);
             for (auto& [vm, item] : fleet.vms)
                 item.loads = draw_loads(fleet.servers);
-            const duration took =
+            const duration elapsed =
                 fleet.run_until([&] { return all_have_true_loads(fleet); }, seconds(30));
-            RC_ASSERT(took < seconds(30));
+            RC_ASSERT(elapsed < seconds(30));
         });
         CPPUNIT_ASSERT(held);
     }
@@ -96,15 +96,15 @@
             for (std::size_t i = 0; i < killed; ++i)
                 fleet.kill(*rc::gen::inRange<std::size_t>(0, vms));
             if (*rc::gen::arbitrary<bool>()) fleet.start(0);
-            const duration took =
+            const duration elapsed =
                 fleet.run_until([&] { return all_have_true_loads(fleet); }, seconds(30));
-            RC_ASSERT(took < seconds(30));
+            RC_ASSERT(elapsed < seconds(30));
         });
         CPPUNIT_ASSERT(held);
     }
 
     /** Guards against too many VMs that watch the store, or none. */
-    static void watchers_settle()
+    static void few_vms_watch_the_store()
     {
         const bool held = rc::check("few VMs watch the store", [] {
             const auto vms = *rc::gen::inRange<std::size_t>(1, 60);
@@ -117,14 +117,14 @@
                     : watcher_selection::standby_watchers_per_data_centre * centres;
             RC_ASSERT(count_standby_watchers(fleet) <= allowed);
             RC_ASSERT(count_standby_watchers(fleet) >= 1U);
-            RC_ASSERT(linearizable(fleet) == std::min(vms, delegates_per_fleet));
+            RC_ASSERT(count_linearizable_watchers(fleet) == std::min(vms, delegates_per_fleet));
         });
         CPPUNIT_ASSERT(held);
     }
 
     /** Guards against most VMs starting to watch when watchers stop one by one, as in an upgrade.
      */
-    static void few_take_over_from_watchers_that_leave()
+    static void few_vms_take_over_from_watchers_that_leave()
     {
         digest_fleet fleet(80, 4, 3);
         fleet.run(seconds(10));
@@ -142,16 +142,16 @@
             }
         }
         fleet.run(seconds(4));
-        std::size_t began = 0;
+        std::size_t watch_starts_total = 0;
         for (const auto& [vm, item] : fleet.vms)
-            began += item.watch_starts;
+            watch_starts_total += item.watch_starts;
         CPPUNIT_ASSERT_EQUAL(std::size_t{4}, left);
-        CPPUNIT_ASSERT(began >= left);
-        CPPUNIT_ASSERT(began <= 3 * left);
+        CPPUNIT_ASSERT(watch_starts_total >= left);
+        CPPUNIT_ASSERT(watch_starts_total <= 3 * left);
     }
 
     /** Guards against a data centre without a working watch when the store refuses all watchers. */
-    static void others_watch_when_the_store_refuses()
+    static void other_vms_watch_when_the_store_refuses_watchers()
     {
         digest_fleet fleet(40, 4, 1);
         fleet.run(seconds(10));
@@ -159,7 +159,7 @@
             if (item.watch_role.watching()) item.store_answers = false;
         }
         // A leaving server must get no new requests 2 s later, so other VMs must take over sooner.
-        const duration took = fleet.run_until(
+        const duration elapsed = fleet.run_until(
             [&] {
                 return std::ranges::all_of(fleet.vms, [&](const auto& entry) {
                     const auto local_vms = entry.second.rounds.fleet().local_vms(fleet.now);
@@ -173,7 +173,7 @@
                 });
             },
             seconds(10));
-        CPPUNIT_ASSERT(took <= seconds(1));
+        CPPUNIT_ASSERT(elapsed <= seconds(1));
     }
 
     /** Guards against added seeds that are not contacted, as when reloaded settings replace all
@@ -198,7 +198,7 @@
     }
 
     /** Guards against loads of a VM's previous incarnation that are kept after its restart. */
-    static void a_new_life_begins_with_nothing()
+    static void new_incarnation_starts_without_loads()
     {
         const instant now(seconds(100));
         fleet_table table({1, 7, 1}, {}, now);
@@ -222,25 +222,25 @@
     }
 
     /** Guards against fields lost in encoding, and against truncated digests that are accepted. */
-    static void a_digest_survives_its_coding()
+    static void digest_is_unchanged_by_encoding()
     {
         const bool held = rc::check("decoding gives what was encoded", [] {
-            fleet_digest given;
-            given.incarnation = *rc::gen::arbitrary<std::uint32_t>();
-            given.config_version = *rc::gen::arbitrary<std::uint64_t>();
-            given.watches_store = *rc::gen::arbitrary<bool>();
-            given.own_loads = {3, 8, draw_loads(90)};
-            given.remote_loads = {0, 1, draw_loads(20)};
-            given.vms.push_back({*rc::gen::arbitrary<std::uint32_t>(), 7, 3});
-            const fleet_digest got = decode_digest(encode(given), "vm");
-            RC_ASSERT(got.incarnation == given.incarnation);
-            RC_ASSERT(got.config_version == given.config_version);
-            RC_ASSERT(got.watches_store == given.watches_store);
-            RC_ASSERT(got.own_loads.part == 3 && got.own_loads.parts == 8);
-            RC_ASSERT(got.own_loads.entries == given.own_loads.entries);
-            RC_ASSERT(got.remote_loads.entries == given.remote_loads.entries);
-            RC_ASSERT(got.vms.at(0).address == given.vms.at(0).address);
-            std::string bytes = encode(given);
+            fleet_digest original;
+            original.incarnation = *rc::gen::arbitrary<std::uint32_t>();
+            original.config_version = *rc::gen::arbitrary<std::uint64_t>();
+            original.watches_store = *rc::gen::arbitrary<bool>();
+            original.own_loads = {3, 8, draw_loads(90)};
+            original.remote_loads = {0, 1, draw_loads(20)};
+            original.vms.push_back({*rc::gen::arbitrary<std::uint32_t>(), 7, 3});
+            const fleet_digest decoded = decode_digest(encode(original), "vm");
+            RC_ASSERT(decoded.incarnation == original.incarnation);
+            RC_ASSERT(decoded.config_version == original.config_version);
+            RC_ASSERT(decoded.watches_store == original.watches_store);
+            RC_ASSERT(decoded.own_loads.part == 3 && decoded.own_loads.parts == 8);
+            RC_ASSERT(decoded.own_loads.entries == original.own_loads.entries);
+            RC_ASSERT(decoded.remote_loads.entries == original.remote_loads.entries);
+            RC_ASSERT(decoded.vms.at(0).address == original.vms.at(0).address);
+            std::string bytes = encode(original);
             bytes.resize(*rc::gen::inRange<std::size_t>(0, bytes.size()));
             RC_ASSERT_THROWS_AS(decode_digest(bytes, "vm"), peer_error);
         });
--- a/test/fuzz/evacuations_reach_every_vm.cpp
+++ b/test/fuzz/evacuations_reach_every_vm.cpp
@@ -18,15 +18,15 @@
 
 class evacuations_reach_every_vm : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(evacuations_reach_every_vm);
-    CPPUNIT_TEST(in_calm);
+    CPPUNIT_TEST(without_faults);
     CPPUNIT_TEST(all_data_centres_at_once);
-    CPPUNIT_TEST(while_the_store_refuses_some);
-    CPPUNIT_TEST(when_its_history_is_gone);
-    CPPUNIT_TEST(when_it_was_away);
-    CPPUNIT_TEST(that_a_vm_finds_at_its_start);
-    CPPUNIT_TEST(that_a_vm_knows_before_its_servers);
-    CPPUNIT_TEST(over_a_series_of_faults);
-    CPPUNIT_TEST(of_places_that_do_not_exist);
+    CPPUNIT_TEST(while_the_store_refuses_some_vms);
+    CPPUNIT_TEST(after_the_store_history_is_compacted);
+    CPPUNIT_TEST(after_a_store_outage);
+    CPPUNIT_TEST(at_a_vm_that_starts_in_an_outage);
+    CPPUNIT_TEST(at_a_vm_that_knows_no_servers_yet);
+    CPPUNIT_TEST(after_a_series_of_faults);
+    CPPUNIT_TEST(of_unknown_data_centres);
     CPPUNIT_TEST_SUITE_END();
 
     using names = std::set<std::string>;
@@ -41,17 +41,17 @@
         return fleet;
     }
 
-    /** Checks that all VMs know this state within the promised time. */
-    static void check_known_in_time(store_fleet& fleet, const names& places)
+    /** Checks that all VMs know this state within `max_propagation_time`. */
+    static void check_known_in_time(store_fleet& fleet, const names& data_centres)
     {
-        const duration span =
-            fleet.fleet.run_until([&] { return fleet.all_evacuate(places); }, max_propagation_time);
+        const duration span = fleet.fleet.run_until(
+            [&] { return fleet.all_evacuate(data_centres); }, max_propagation_time);
         CPPUNIT_ASSERT(span < max_propagation_time);
     }
 
 public:
     /** Without faults, at several fleet sizes. */
-    static void in_calm()
+    static void without_faults()
     {
         for (const std::size_t vms : {1, 7, 65, 295}) {
             const auto started = start(vms);
@@ -71,16 +71,16 @@
     {
         const auto started = start(65);
         store_fleet& fleet = *started;
-        for (const std::string place : {"a", "b", "c", "d"})
-            fleet.evacuate(place);
+        for (const std::string data_centre : {"a", "b", "c", "d"})
+            fleet.evacuate(data_centre);
         check_known_in_time(fleet, {"a", "b", "c", "d"});
         fleet.run(seconds(2));
-        for (const std::string place : {"a", "b", "c", "d"})
-            fleet.take_back(place);
+        for (const std::string data_centre : {"a", "b", "c", "d"})
+            fleet.take_back(data_centre);
         check_known_in_time(fleet, {});
     }
 
-    static void while_the_store_refuses_some()
+    static void while_the_store_refuses_some_vms()
     {
         const auto started = start(65);
         store_fleet& fleet = *started;
@@ -92,7 +92,7 @@
     }
 
     /** The store has compacted the revisions that the watches would continue from. */
-    static void when_its_history_is_gone()
+    static void after_the_store_history_is_compacted()
     {
         const auto started = start(65);
         store_fleet& fleet = *started;
@@ -110,7 +110,7 @@
 
     /** During an outage of the store the known state stays in force; changes made in it arrive
      * after it. */
-    static void when_it_was_away()
+    static void after_a_store_outage()
     {
         const auto started = start(65);
         store_fleet& fleet = *started;
@@ -127,7 +127,7 @@
     }
 
     /** A VM that starts during an outage of the store learns the state from the others. */
-    static void that_a_vm_finds_at_its_start()
+    static void at_a_vm_that_starts_in_an_outage()
     {
         const auto started = start(65);
         store_fleet& fleet = *started;
@@ -141,7 +141,7 @@
 
     /** A VM that has just started reads the list of evacuations before it knows any server. Its
      * digest must not revoke evacuations that the others know. */
-    static void that_a_vm_knows_before_its_servers()
+    static void at_a_vm_that_knows_no_servers_yet()
     {
         const protocol adapter = platform_protocol();
         evacuation_state starting(adapter);
@@ -169,20 +169,20 @@
     }
 
     /** After any series of faults, all VMs know the current state soon after the last one. */
-    static void over_a_series_of_faults()
+    static void after_a_series_of_faults()
     {
-        const auto drawn = [] {
+        const auto run_random_faults = [] {
             store_fleet fleet(*rc::gen::inRange<std::size_t>(1, 40), 4, 1);
             fleet.set_config(1);
             fleet.run(seconds(5));
-            names places;
+            names data_centres;
             for (auto left = *rc::gen::inRange(1, 6); left > 0; --left) {
-                const std::string place(1, *rc::gen::inRange('a', 'e'));
-                if (places.insert(place).second) {
-                    fleet.evacuate(place);
+                const std::string data_centre(1, *rc::gen::inRange('a', 'e'));
+                if (data_centres.insert(data_centre).second) {
+                    fleet.evacuate(data_centre);
                 } else {
-                    places.erase(place);
-                    fleet.take_back(place);
+                    data_centres.erase(data_centre);
+                    fleet.take_back(data_centre);
                 }
                 const bool silent = *rc::gen::inRange(0, 3) == 0;
                 fleet.store.silent = silent;
@@ -195,13 +195,13 @@
             }
             fleet.store.lag = {};
             fleet.run(seconds(8));
-            RC_ASSERT(fleet.all_evacuate(places));
+            RC_ASSERT(fleet.all_evacuate(data_centres));
         };
-        CPPUNIT_ASSERT(rc::check("evacuations after faults", drawn));
+        CPPUNIT_ASSERT(rc::check("evacuations after faults", run_random_faults));
     }
 
     /** Digests carry only data centres that have servers, and a bounded number of them. */
-    static void of_places_that_do_not_exist()
+    static void of_unknown_data_centres()
     {
         const protocol adapter = platform_protocol();
         evacuation_state state(adapter);
@@ -219,9 +219,9 @@
         state.apply_list(all, 9);
         CPPUNIT_ASSERT(state.includes({"a"}));
         fleet_digest digest;
-        const auto place = static_cast<std::uint32_t>(hash_of("a"));
-        state.describe(digest, {place});
-        CPPUNIT_ASSERT(digest.evacuated == std::vector<std::uint32_t>{place});
+        const auto data_centre = static_cast<std::uint32_t>(hash_of("a"));
+        state.describe(digest, {data_centre});
+        CPPUNIT_ASSERT(digest.evacuated == std::vector<std::uint32_t>{data_centre});
         const fleet_digest decoded = decode_digest(encode(digest), "vm");
         evacuation_state other(adapter);
         other.handle_digest(decoded);
--- a/test/fuzz/leaving_servers_get_nothing_new.cpp
+++ b/test/fuzz/leaving_servers_get_no_new_work.cpp
@@ -1,5 +1,5 @@
 /** \file
- * A server whose entry is removed gets no new work from any VM within the promised time, in fleets
+ * A server whose entry is removed gets no new work from any VM within the specified time, in fleets
  * of all sizes, also while VMs restart or one VM cannot reach the store. Servers whose entries
  * expire while the store is unavailable stay in use by all VMs until the entries are written again.
  */
@@ -79,22 +79,25 @@
     std::size_t next = 0;
 };
 
-class leaving_servers_get_nothing_new : public CppUnit::TestFixture {
-    CPPUNIT_TEST_SUITE(leaving_servers_get_nothing_new);
-    CPPUNIT_TEST(in_calm);
+class leaving_servers_get_no_new_work : public CppUnit::TestFixture {
+    CPPUNIT_TEST_SUITE(leaving_servers_get_no_new_work);
+    CPPUNIT_TEST(without_faults);
     CPPUNIT_TEST(when_most_of_a_service_leaves_right_after_another_change);
     CPPUNIT_TEST(while_vms_restart);
     CPPUNIT_TEST(when_most_of_a_service_leaves_while_vms_restart);
-    CPPUNIT_TEST(when_one_vm_comes_back_to_the_store);
-    CPPUNIT_TEST(when_one_vm_was_cut_off_from_all);
-    CPPUNIT_TEST(lapsed_entries_are_kept_by_all_vms);
-    CPPUNIT_TEST(lapsed_entries_that_stay_away_are_gone);
-    CPPUNIT_TEST(learnt_late_from_another_vm);
-    CPPUNIT_TEST(lapsed_entries_are_kept_beside_a_vm_that_starts);
+    CPPUNIT_TEST(when_one_vm_reconnects_to_the_store);
+    CPPUNIT_TEST(when_one_vm_was_isolated);
+    CPPUNIT_TEST(expired_entries_are_retained_by_all_vms);
+    CPPUNIT_TEST(expired_entries_that_are_not_rewritten_are_removed);
+    CPPUNIT_TEST(removals_received_late_from_another_vm);
+    CPPUNIT_TEST(expired_entries_are_retained_beside_a_vm_that_starts);
     CPPUNIT_TEST(in_the_largest_fleet);
     CPPUNIT_TEST_SUITE_END();
 
-    static std::string at(const fleet_size& size) { return std::to_string(size.vms) + " VMs"; }
+    static std::string describe(const fleet_size& size)
+    {
+        return std::to_string(size.vms) + " VMs";
+    }
 
     static void remove_most_while_vms_restart(store_fleet& fleet)
     {
@@ -132,15 +135,18 @@
     }
 
 public:
-    static void in_calm()
+    /** Guards against new work for a removed server in a fleet without faults. */
+    static void without_faults()
     {
         for (const fleet_size& size : fleet_sizes) {
             const auto fleet = make_fleet(size);
             fleet->remove_server("model3");
             fleet->remove_server(name_of(0));
             fleet->run(max_removal_delay);
-            CPPUNIT_ASSERT_EQUAL_MESSAGE(at(size), std::size_t{0}, fleet->vms_using("model3"));
-            CPPUNIT_ASSERT_EQUAL_MESSAGE(at(size), std::size_t{0}, fleet->vms_using(name_of(0)));
+            CPPUNIT_ASSERT_EQUAL_MESSAGE(describe(size), std::size_t{0},
+                                         fleet->vms_using("model3"));
+            CPPUNIT_ASSERT_EQUAL_MESSAGE(describe(size), std::size_t{0},
+                                         fleet->vms_using(name_of(0)));
         }
     }
 
@@ -155,11 +161,13 @@
             for (std::size_t server = 0; server + 1 < servers_of_small_service; ++server)
                 fleet->remove_server(name_of(server));
             fleet->run(max_removal_delay - max_transit_time);
-            CPPUNIT_ASSERT_EQUAL_MESSAGE(at(size), std::size_t{0}, fleet->vms_using(name_of(0)));
+            CPPUNIT_ASSERT_EQUAL_MESSAGE(describe(size), std::size_t{0},
+                                         fleet->vms_using(name_of(0)));
         }
     }
 
-    /** Guards against a VM's start being taken for the return of a store that was never away. */
+    /** Guards against a VM's start being taken for the recovery of a store that was never
+     * unavailable. */
     static void while_vms_restart()
     {
         for (const fleet_size& size : fleet_sizes) {
@@ -170,7 +178,7 @@
                 const std::string server = "model" + std::to_string(round);
                 fleet->remove_server(server);
                 restart.run(max_propagation_time);
-                CPPUNIT_ASSERT_EQUAL_MESSAGE(at(size), std::size_t{0},
+                CPPUNIT_ASSERT_EQUAL_MESSAGE(describe(size), std::size_t{0},
                                              fleet->vms_using(server, settle_time));
             }
         }
@@ -186,7 +194,7 @@
 
     /** Guards against a fault of one VM's path to the store being taken for an outage of the store.
      */
-    static void when_one_vm_comes_back_to_the_store()
+    static void when_one_vm_reconnects_to_the_store()
     {
         for (const fleet_size& size : fleet_sizes) {
             const auto fleet = make_fleet(size);
@@ -200,12 +208,13 @@
             fleet->run(milliseconds(1500));
             fleet->remove_server("model3");
             fleet->run(max_propagation_time);
-            CPPUNIT_ASSERT_EQUAL_MESSAGE(at(size), std::size_t{0}, fleet->vms_using("model3"));
+            CPPUNIT_ASSERT_EQUAL_MESSAGE(describe(size), std::size_t{0},
+                                         fleet->vms_using("model3"));
         }
     }
 
     /** Guards against the same for a VM that could not learn that the store answers others. */
-    static void when_one_vm_was_cut_off_from_all()
+    static void when_one_vm_was_isolated()
     {
         for (const fleet_size& size : fleet_sizes) {
             const auto fleet = make_fleet(size);
@@ -225,12 +234,12 @@
                 fleet->remove_server(name_of(server));
             fleet->run(max_removal_delay);
             const std::size_t vms_still_using = fleet->vms_using(name_of(0));
-            CPPUNIT_ASSERT_EQUAL_MESSAGE(at(size), std::size_t{0}, vms_still_using);
+            CPPUNIT_ASSERT_EQUAL_MESSAGE(describe(size), std::size_t{0}, vms_still_using);
         }
     }
 
     /** Guards against dropping a whole service whose servers could not write to the store. */
-    static void lapsed_entries_are_kept_by_all_vms()
+    static void expired_entries_are_retained_by_all_vms()
     {
         for (const fleet_size& size : fleet_sizes)
             expire_and_rewrite_entries(*make_fleet(size));
@@ -238,7 +247,7 @@
 
     /** Guards against servers that left one after the other being taken for entries that expired
      * together, by a VM that learns of all of them late and at once. */
-    static void learnt_late_from_another_vm()
+    static void removals_received_late_from_another_vm()
     {
         for (const fleet_size& size : fleet_sizes) {
             const auto fleet = make_fleet(size);
@@ -252,13 +261,14 @@
             }
             fleet->fleet.cut.clear();
             fleet->run(max_propagation_time);
-            CPPUNIT_ASSERT_EQUAL_MESSAGE(at(size), std::size_t{0}, fleet->vms_using(name_of(0)));
+            CPPUNIT_ASSERT_EQUAL_MESSAGE(describe(size), std::size_t{0},
+                                         fleet->vms_using(name_of(0)));
         }
     }
 
     /** Guards against servers being dropped because a VM that started during the outage, and so
      * never knew them, does not report them. */
-    static void lapsed_entries_are_kept_beside_a_vm_that_starts()
+    static void expired_entries_are_retained_beside_a_vm_that_starts()
     {
         for (const fleet_size& size : fleet_sizes) {
             const auto fleet = make_fleet(size);
@@ -271,7 +281,8 @@
             fleet->store.silent = false;
             fleet->restart(starting);
             fleet->run(max_rewrite_delay);
-            CPPUNIT_ASSERT_EQUAL_MESSAGE(at(size), size.vms - 1, fleet->vms_using(name_of(0)));
+            CPPUNIT_ASSERT_EQUAL_MESSAGE(describe(size), size.vms - 1,
+                                         fleet->vms_using(name_of(0)));
         }
     }
 
@@ -284,7 +295,8 @@
         remove_most_while_vms_restart(*fleet);
     }
 
-    static void lapsed_entries_that_stay_away_are_gone()
+    /** Guards against keeping servers whose entries are not written again after an outage. */
+    static void expired_entries_that_are_not_rewritten_are_removed()
     {
         for (const fleet_size& size : fleet_sizes) {
             const auto fleet = make_fleet(size);
@@ -294,11 +306,12 @@
                 fleet->remove_server(name_of(server));
             fleet->store.silent = false;
             fleet->run(settle_time + max_removal_delay);
-            CPPUNIT_ASSERT_EQUAL_MESSAGE(at(size), std::size_t{0}, fleet->vms_using(name_of(0)));
+            CPPUNIT_ASSERT_EQUAL_MESSAGE(describe(size), std::size_t{0},
+                                         fleet->vms_using(name_of(0)));
         }
     }
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(leaving_servers_get_nothing_new);
+CPPUNIT_TEST_SUITE_REGISTRATION(leaving_servers_get_no_new_work);
 
 } // namespace
--- a/test/fuzz/registry_pages_are_decoded.cpp
+++ b/test/fuzz/registry_pages_are_decoded.cpp
@@ -42,12 +42,12 @@
     return rc::gen::oneOf(text, bytes, plain, list, object);
 }
 
-std::string item(const std::string& metadata, const std::string& document)
+std::string page_item(const std::string& metadata, const std::string& document)
 {
     return R"({"metadata":)" + metadata + R"(,"spec":)" + document + "}";
 }
 
-const std::string good_metadata = R"({"name":"a","revision":3})";
+const std::string valid_metadata = R"({"name":"a","revision":3})";
 
 /** A valid entry with the value of one field replaced. */
 std::string with_field(const std::string& field, const std::string& value)
@@ -59,15 +59,15 @@
 
 class registry_pages_are_decoded : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(registry_pages_are_decoded);
-    CPPUNIT_TEST(any_entry_costs_itself_only);
-    CPPUNIT_TEST(any_field_is_read_or_refused);
-    CPPUNIT_TEST(any_bytes_end_in_a_page_or_an_error);
+    CPPUNIT_TEST(invalid_entry_does_not_affect_others);
+    CPPUNIT_TEST(any_field_is_decoded_or_rejected);
+    CPPUNIT_TEST(any_bytes_give_a_page_or_an_error);
     CPPUNIT_TEST_SUITE_END();
 
     protocol adapter = platform_protocol();
 
     /** Decodes the object as a server; any exception but peer_error fails the test. */
-    void read(const stored_object& object) const
+    void decode_or_reject(const stored_object& object) const
     {
         try {
             const server_record record = this->adapter.decode_server(object);
@@ -79,23 +79,23 @@
 
 public:
     /** Guards against one malformed entry hiding the valid entries of its page. */
-    void any_entry_costs_itself_only()
+    void invalid_entry_does_not_affect_others()
     {
         const bool passed = rc::check("any entry costs itself only", [this] {
-            const std::string other = item(*any_value(2), *any_value(2));
-            const std::string page = R"({"items":[)" + item(good_metadata, valid_document) + "," +
-                                     other + "," + item(good_metadata, valid_document) +
+            const std::string other = page_item(*any_value(2), *any_value(2));
+            const std::string page = R"({"items":[)" + page_item(valid_metadata, valid_document) +
+                                     "," + other + "," + page_item(valid_metadata, valid_document) +
                                      R"(],"asOf":5})";
-            const object_page read = this->adapter.decode_page(page);
-            RC_ASSERT(read.objects.size() + read.unreadable == 3U);
-            RC_ASSERT(this->adapter.decode_server(read.objects.front()).slots == 4U);
-            RC_ASSERT(this->adapter.decode_server(read.objects.back()).slots == 4U);
+            const object_page decoded = this->adapter.decode_page(page);
+            RC_ASSERT(decoded.objects.size() + decoded.unreadable == 3U);
+            RC_ASSERT(this->adapter.decode_server(decoded.objects.front()).slots == 4U);
+            RC_ASSERT(this->adapter.decode_server(decoded.objects.back()).slots == 4U);
         });
         CPPUNIT_ASSERT(passed);
     }
 
     /** Guards against a field of unexpected type or value raising anything but peer_error. */
-    void any_field_is_read_or_refused()
+    void any_field_is_decoded_or_rejected()
     {
         const bool passed = rc::check("any field is read or refused", [this] {
             const auto field =
@@ -104,23 +104,23 @@
             stored_object object;
             object.name = "a";
             object.document = with_field(field, *any_value(1));
-            this->read(object);
+            this->decode_or_reject(object);
         });
         CPPUNIT_ASSERT(passed);
     }
 
     /** Guards against a corrupt or truncated page raising anything but peer_error. */
-    void any_bytes_end_in_a_page_or_an_error()
+    void any_bytes_give_a_page_or_an_error()
     {
         const bool passed = rc::check("any bytes end in a page or an error", [this] {
             std::string page = R"({"events":[{"removed":false,"object":)" +
-                               item(good_metadata, valid_document) + R"(}],"asOf":5})";
+                               page_item(valid_metadata, valid_document) + R"(}],"asOf":5})";
             const auto at = *rc::gen::inRange<std::size_t>(0, page.size());
             page[at] = *rc::gen::arbitrary<char>();
             if (*rc::gen::arbitrary<bool>()) page.resize(at);
             try {
                 for (const stored_object& object : this->adapter.decode_page(page).objects)
-                    this->read(object);
+                    this->decode_or_reject(object);
             } catch (const peer_error&) {
                 // The caller treats this as a failed call.
             }
--- a/test/fuzz/versions_reach_every_vm.cpp
+++ b/test/fuzz/versions_reach_every_vm.cpp
@@ -1,8 +1,8 @@
 /** \file
  * Every VM gets every version of the configuration and every change of the registry within the
- * promised time, and never returns to an older one, although most VMs do not call the store, those
- * that do get responses that are seconds old, and the store fails in all its ways. The number of
- * calls grows with the number of changes and not with the number of VMs.
+ * specified time, and never returns to an older one, although most VMs do not call the store, those
+ * that do get responses that are seconds old, and the store fails in every supported way. The
+ * number of calls grows with the number of changes and not with the number of VMs.
  */
 #include <cppunit/extensions/HelperMacros.h>
 #include <rapidcheck.h>
@@ -96,12 +96,14 @@
     CPPUNIT_TEST_SUITE(versions_reach_every_vm);
     CPPUNIT_TEST(through_all_faults);
     CPPUNIT_TEST(with_both_linearizable_watchers_refused);
-    CPPUNIT_TEST(when_waiting_calls_are_lost_without_a_sign);
+    CPPUNIT_TEST(when_pending_watches_are_lost_silently);
     CPPUNIT_TEST(calls_grow_with_changes);
-    CPPUNIT_TEST(calls_while_the_store_is_away);
+    CPPUNIT_TEST(calls_during_a_store_outage);
     CPPUNIT_TEST_SUITE_END();
 
 public:
+    /** Guards against versions that are late, lost or reverted after faults of the store or of VMs.
+     */
     static void through_all_faults()
     {
         const bool held = rc::check("all VMs know each version in time", [] {
@@ -143,8 +145,8 @@
         CPPUNIT_ASSERT(fleet.run_until_known(max_propagation_time) < max_propagation_time);
     }
 
-    /** Guards against watches that are lost without a sign: each has a timeout of its own. */
-    static void when_waiting_calls_are_lost_without_a_sign()
+    /** Guards against watches whose loss is not signalled: each has a timeout of its own. */
+    static void when_pending_watches_are_lost_silently()
     {
         store_fleet fleet(8, 1, 5);
         add_servers(fleet, 8);
@@ -183,7 +185,8 @@
         CPPUNIT_ASSERT(changes < 40 * 6);
     }
 
-    static void calls_while_the_store_is_away()
+    /** Guards against every VM calling the store while it is unavailable. */
+    static void calls_during_a_store_outage()
     {
         store_fleet fleet(240, 6, 5);
         add_servers(fleet, 20);
@@ -193,12 +196,12 @@
         for (const auto& [vm, item] : fleet.vms)
             fleet.store.refused.insert(vm);
         fleet.run(seconds(8));
-        const double away = fleet.call_cost() - before;
+        const double outage_calls = fleet.call_cost() - before;
         fleet.store.refused.clear();
         fleet.set_config(2);
         CPPUNIT_ASSERT(fleet.run_until_known(max_propagation_time) < max_propagation_time);
         // Fewer calls than VMs.
-        CPPUNIT_ASSERT(away < 240);
+        CPPUNIT_ASSERT(outage_calls < 240);
     }
 };
 
