--- a/src/caller_connections.cpp
+++ b/src/caller_connections.cpp
@@ -39,8 +39,9 @@
 
 } // namespace
 
-struct caller_connections::link {
-    explicit link(std::size_t max_head_bytes) : reader(http_reader::side::requests, max_head_bytes)
+struct caller_connections::connection_state {
+    explicit connection_state(std::size_t max_head_bytes)
+        : reader(http_reader::side::requests, max_head_bytes)
     {
     }
 
@@ -55,7 +56,7 @@
     caller_connections* owner = nullptr;
     event_ptr<bufferevent> socket;
     http_reader reader;
-    stage at = stage::reading;
+    stage current_stage = stage::reading;
     std::uint64_t request = 0; ///< 0: none in progress
     http_head head;
     std::string body;
@@ -67,13 +68,13 @@
 
 caller_connections::caller_connections(event_base* base, const link_address& listen) : base(base)
 {
-    const sockaddr_in at = to_socket_address(listen);
-    const auto accepted = [](evconnlistener*, evutil_socket_t socket, sockaddr*, int, void* self) {
+    const sockaddr_in address = to_socket_address(listen);
+    const auto on_accept = [](evconnlistener*, evutil_socket_t socket, sockaddr*, int, void* self) {
         static_cast<caller_connections*>(self)->accept(socket);
     };
     this->listener.reset(evconnlistener_new_bind(
-        base, accepted, this, LEV_OPT_CLOSE_ON_FREE | LEV_OPT_REUSEABLE | LEV_OPT_CLOSE_ON_EXEC,
-        listen_backlog, reinterpret_cast<const sockaddr*>(&at), sizeof at));
+        base, on_accept, this, LEV_OPT_CLOSE_ON_FREE | LEV_OPT_REUSEABLE | LEV_OPT_CLOSE_ON_EXEC,
+        listen_backlog, reinterpret_cast<const sockaddr*>(&address), sizeof address));
     if (this->listener == nullptr) {
         throw user_error("listen", listen.address + ":" + std::to_string(listen.port),
                          "the address for callers cannot be bound");
@@ -90,136 +91,143 @@
 void caller_connections::pause_accepting()
 {
     log_event(log_level::warn, "accept_failed",
-              {{"reason", std::strerror(errno)}, {"connections", this->links.size()}});
+              {{"reason", std::strerror(errno)}, {"connections", this->connections.size()}});
     evconnlistener_disable(this->listener.get());
     this->accepting_paused = true;
 }
 
 void caller_connections::accept(evutil_socket_t socket)
 {
-    auto made = std::make_unique<link>(this->limits.max_header_bytes);
-    link* item = made.get();
-    item->id = this->next_link++;
-    item->owner = this;
-    item->since = now();
+    auto created = std::make_unique<connection_state>(this->limits.max_header_bytes);
+    connection_state* connection = created.get();
+    connection->id = this->next_connection++;
+    connection->owner = this;
+    connection->since = now();
     set_no_delay(socket);
     set_unacknowledged_timeout(socket, caller_unacknowledged_timeout);
-    item->socket.reset(bufferevent_socket_new(this->base, socket, BEV_OPT_CLOSE_ON_FREE));
-    item->reader.on_head = [this, item](http_head& head) { this->handle_head(*item, head); };
-    item->reader.on_body = [this, item](std::string_view bytes) {
-        this->handle_body(*item, bytes);
+    connection->socket.reset(bufferevent_socket_new(this->base, socket, BEV_OPT_CLOSE_ON_FREE));
+    connection->reader.on_head = [this, connection](http_head& head) {
+        this->handle_head(*connection, head);
+    };
+    connection->reader.on_body = [this, connection](std::string_view bytes) {
+        this->handle_body(*connection, bytes);
     };
     bufferevent_setcb(
-        item->socket.get(),
-        [](bufferevent*, void* given) {
-            auto* found = static_cast<link*>(given);
-            found->owner->read(*found);
+        connection->socket.get(),
+        [](bufferevent*, void* context) {
+            auto* self = static_cast<connection_state*>(context);
+            self->owner->read(*self);
         },
-        [](bufferevent*, void* given) {
-            auto* found = static_cast<link*>(given);
-            if (found->finished) found->owner->end_answer(*found);
+        [](bufferevent*, void* context) {
+            auto* self = static_cast<connection_state*>(context);
+            if (self->finished) self->owner->end_response(*self);
         },
-        [](bufferevent*, short what, void* given) {
-            auto* found = static_cast<link*>(given);
-            found->owner->handle_event(*found, what);
+        [](bufferevent*, short events, void* context) {
+            auto* self = static_cast<connection_state*>(context);
+            self->owner->handle_event(*self, events);
         },
-        item);
-    bufferevent_setwatermark(item->socket.get(), EV_READ, 0, max_read_ahead_bytes);
-    bufferevent_enable(item->socket.get(), EV_READ);
-    this->links.emplace(item->id, std::move(made));
+        connection);
+    bufferevent_setwatermark(connection->socket.get(), EV_READ, 0, max_read_ahead_bytes);
+    bufferevent_enable(connection->socket.get(), EV_READ);
+    this->connections.emplace(connection->id, std::move(created));
 }
 
-void caller_connections::handle_head(link& item, const http_head& head)
+void caller_connections::handle_head(connection_state& connection, const http_head& head)
 {
-    item.head = head;
-    item.body.clear();
-    item.since = now();
+    connection.head = head;
+    connection.body.clear();
+    connection.since = now();
     const std::string* expect = head.find("expect");
     if (expect != nullptr && header_names_equal(*expect, "100-continue")) {
-        constexpr std::string_view go_on = "HTTP/1.1 100 Continue\r\n\r\n";
-        evbuffer_add(bufferevent_get_output(item.socket.get()), go_on.data(), go_on.size());
-        flush_output(item.socket.get());
+        constexpr std::string_view continue_response = "HTTP/1.1 100 Continue\r\n\r\n";
+        evbuffer_add(bufferevent_get_output(connection.socket.get()), continue_response.data(),
+                     continue_response.size());
+        flush_output(connection.socket.get());
     }
 }
 
-void caller_connections::handle_body(link& item, std::string_view bytes)
+void caller_connections::handle_body(connection_state& connection, std::string_view bytes)
 {
-    if (item.at != link::stage::reading) return;
-    if (item.body.size() + bytes.size() > this->limits.max_body_bytes) {
-        this->refuse(item, content_too_large, "body too large");
+    if (connection.current_stage != connection_state::stage::reading) return;
+    if (connection.body.size() + bytes.size() > this->limits.max_body_bytes) {
+        this->refuse(connection, content_too_large, "body too large");
         return;
     }
-    item.body.append(bytes);
+    connection.body.append(bytes);
 }
 
-void caller_connections::read(link& item)
+void caller_connections::read(connection_state& connection)
 {
-    evbuffer* input = bufferevent_get_input(item.socket.get());
-    if (item.at == link::stage::lingering) evbuffer_drain(input, evbuffer_get_length(input));
-    while (item.at == link::stage::reading && evbuffer_get_length(input) > 0) {
-        if (item.reader.idle()) item.since = now();
-        item.reader.set_max_head_bytes(this->limits.max_header_bytes);
-        const read_result result = item.reader.read(input);
-        if (item.at != link::stage::reading) return;
+    evbuffer* input = bufferevent_get_input(connection.socket.get());
+    if (connection.current_stage == connection_state::stage::lingering)
+        evbuffer_drain(input, evbuffer_get_length(input));
+    while (connection.current_stage == connection_state::stage::reading &&
+           evbuffer_get_length(input) > 0) {
+        if (connection.reader.idle()) connection.since = now();
+        connection.reader.set_max_head_bytes(this->limits.max_header_bytes);
+        const read_result result = connection.reader.read(input);
+        if (connection.current_stage != connection_state::stage::reading) return;
         if (result == read_result::need_more) return;
         if (result == read_result::message_complete) {
-            this->deliver_request(item);
+            this->deliver_request(connection);
         } else if (result == read_result::head_too_large) {
-            this->refuse(item, head_too_large, "head too large");
+            this->refuse(connection, head_too_large, "head too large");
         } else {
-            this->refuse(item, bad_request, "not a request");
+            this->refuse(connection, bad_request, "not a request");
         }
     }
 }
 
-void caller_connections::deliver_request(link& item)
+void caller_connections::deliver_request(connection_state& connection)
 {
-    item.at = link::stage::responding;
-    item.since = now();
-    item.keep_alive = item.head.keep_alive;
-    item.chunked = false;
-    item.request = this->next_request++;
-    this->in_progress[item.request] = &item;
-    this->on_request.emit({item.request, std::move(item.head), std::move(item.body)});
-    item.head = http_head{};
-    item.body.clear();
+    connection.current_stage = connection_state::stage::responding;
+    connection.since = now();
+    connection.keep_alive = connection.head.keep_alive;
+    connection.chunked = false;
+    connection.request = this->next_request++;
+    this->in_progress[connection.request] = &connection;
+    this->on_request.emit(
+        {connection.request, std::move(connection.head), std::move(connection.body)});
+    connection.head = http_head{};
+    connection.body.clear();
 }
 
 /** Rejects a request that cannot be read completely, and closes the connection afterwards. */
-void caller_connections::refuse(link& item, int status, std::string_view text)
+void caller_connections::refuse(connection_state& connection, int status, std::string_view text)
 {
     log_event(log_level::info, "request_refused",
               {{"step", "read"}, {"status", status}, {"reason", text}});
-    item.keep_alive = false;
+    connection.keep_alive = false;
     std::string head = "HTTP/1.1 " + std::to_string(status) + " ";
     head.append(reason_phrase(status)).append("\r\n");
     append_header(head, "Connection", "close");
     append_header(head, "Content-Length", std::to_string(text.size()));
     head.append("\r\n").append(text);
-    evbuffer_add(bufferevent_get_output(item.socket.get()), head.data(), head.size());
-    flush_output(item.socket.get());
-    item.at = link::stage::lingering;
-    item.since = now();
-    const evutil_socket_t socket = bufferevent_getfd(item.socket.get());
-    if (evbuffer_get_length(bufferevent_get_output(item.socket.get())) == 0) {
+    evbuffer_add(bufferevent_get_output(connection.socket.get()), head.data(), head.size());
+    flush_output(connection.socket.get());
+    connection.current_stage = connection_state::stage::lingering;
+    connection.since = now();
+    const evutil_socket_t socket = bufferevent_getfd(connection.socket.get());
+    if (evbuffer_get_length(bufferevent_get_output(connection.socket.get())) == 0) {
         ::shutdown(socket, SHUT_WR);
     }
 }
 
-void caller_connections::handle_event(link& item, short what)
+void caller_connections::handle_event(connection_state& connection, short events)
 {
-    const bool ended = (what & (BEV_EVENT_EOF | BEV_EVENT_ERROR)) != 0;
-    if (!ended || item.at == link::stage::closed) return;
-    this->drop(item);
+    const bool ended = (events & (BEV_EVENT_EOF | BEV_EVENT_ERROR)) != 0;
+    if (!ended || connection.current_stage == connection_state::stage::closed) return;
+    this->drop(connection);
 }
 
-caller_connections::link* caller_connections::find(std::uint64_t request)
+caller_connections::connection_state* caller_connections::find(std::uint64_t request)
 {
     const auto found = this->in_progress.find(request);
     return found == this->in_progress.end() ? nullptr : found->second;
 }
 
-std::string caller_connections::write_head(const link& item, const http_head& head,
+std::string caller_connections::write_head(const connection_state& connection,
+                                           const http_head& head,
                                            std::optional<std::size_t> length) const
 {
     std::string text = "HTTP/1.1 " + std::to_string(head.status) + " ";
@@ -234,120 +242,120 @@
     } else {
         append_header(text, "Transfer-Encoding", "chunked");
     }
-    if (this->closing || !item.keep_alive) append_header(text, "Connection", "close");
+    if (this->closing || !connection.keep_alive) append_header(text, "Connection", "close");
     return text.append("\r\n");
 }
 
 void caller_connections::send_response(std::uint64_t request, const http_head& head,
                                        std::string_view body)
 {
-    link* item = this->find(request);
-    if (item == nullptr) return;
-    if (this->closing) item->keep_alive = false;
-    const std::string text = this->write_head(*item, head, body.size());
-    evbuffer* out = bufferevent_get_output(item->socket.get());
+    connection_state* connection = this->find(request);
+    if (connection == nullptr) return;
+    if (this->closing) connection->keep_alive = false;
+    const std::string text = this->write_head(*connection, head, body.size());
+    evbuffer* out = bufferevent_get_output(connection->socket.get());
     evbuffer_add(out, text.data(), text.size());
     evbuffer_add(out, body.data(), body.size());
     this->finish(request);
 }
 
-void caller_connections::answer(std::uint64_t request, const own_answer& given)
+void caller_connections::answer(std::uint64_t request, const own_answer& response)
 {
     http_head head;
-    head.status = given.status;
-    if (given.retry_after > duration::zero()) {
+    head.status = response.status;
+    if (response.retry_after > duration::zero()) {
         std::array<char, 32> text{};
         std::snprintf(text.data(), text.size(), "%.2f",
-                      std::chrono::duration<double>(given.retry_after).count());
+                      std::chrono::duration<double>(response.retry_after).count());
         head.headers.push_back({"Retry-After", text.data()});
     }
     head.headers.push_back({"Content-Type", "text/plain"});
-    this->send_response(request, head, given.text);
+    this->send_response(request, head, response.text);
 }
 
 void caller_connections::begin(std::uint64_t request, const http_head& head, std::string_view piece)
 {
-    link* item = this->find(request);
-    if (item == nullptr) return;
-    if (this->closing) item->keep_alive = false;
-    item->chunked = true;
-    const std::string text = this->write_head(*item, head, std::nullopt);
-    evbuffer_add(bufferevent_get_output(item->socket.get()), text.data(), text.size());
+    connection_state* connection = this->find(request);
+    if (connection == nullptr) return;
+    if (this->closing) connection->keep_alive = false;
+    connection->chunked = true;
+    const std::string text = this->write_head(*connection, head, std::nullopt);
+    evbuffer_add(bufferevent_get_output(connection->socket.get()), text.data(), text.size());
     this->add(request, piece);
 }
 
 void caller_connections::add(std::uint64_t request, std::string_view piece)
 {
-    link* item = this->find(request);
-    if (item == nullptr) return;
-    if (!piece.empty()) write_chunk(bufferevent_get_output(item->socket.get()), piece);
-    flush_output(item->socket.get());
+    connection_state* connection = this->find(request);
+    if (connection == nullptr) return;
+    if (!piece.empty()) write_chunk(bufferevent_get_output(connection->socket.get()), piece);
+    flush_output(connection->socket.get());
 }
 
 void caller_connections::finish(std::uint64_t request)
 {
-    link* item = this->find(request);
-    if (item == nullptr) return;
-    evbuffer* out = bufferevent_get_output(item->socket.get());
-    if (item->chunked) write_final_chunk(out);
+    connection_state* connection = this->find(request);
+    if (connection == nullptr) return;
+    evbuffer* out = bufferevent_get_output(connection->socket.get());
+    if (connection->chunked) write_final_chunk(out);
     this->in_progress.erase(request);
-    item->finished = true;
-    flush_output(item->socket.get());
-    if (evbuffer_get_length(out) == 0) this->end_answer(*item);
+    connection->finished = true;
+    flush_output(connection->socket.get());
+    if (evbuffer_get_length(out) == 0) this->end_response(*connection);
 }
 
 /** Called when the response has been sent: reads the next request or closes the connection. */
-void caller_connections::end_answer(link& item)
+void caller_connections::end_response(connection_state& connection)
 {
-    item.finished = false;
-    item.request = 0;
-    item.since = now();
-    if (!item.keep_alive) {
-        item.at = link::stage::lingering;
-        ::shutdown(bufferevent_getfd(item.socket.get()), SHUT_WR);
+    connection.finished = false;
+    connection.request = 0;
+    connection.since = now();
+    if (!connection.keep_alive) {
+        connection.current_stage = connection_state::stage::lingering;
+        ::shutdown(bufferevent_getfd(connection.socket.get()), SHUT_WR);
         return;
     }
-    item.at = link::stage::reading;
-    this->read(item);
+    connection.current_stage = connection_state::stage::reading;
+    this->read(connection);
 }
 
 void caller_connections::abort(std::uint64_t request)
 {
-    link* item = this->find(request);
-    if (item == nullptr) return;
+    connection_state* connection = this->find(request);
+    if (connection == nullptr) return;
     this->in_progress.erase(request);
-    item->request = 0;
-    this->drop(*item);
+    connection->request = 0;
+    this->drop(*connection);
 }
 
-void caller_connections::drop(link& item)
+void caller_connections::drop(connection_state& connection)
 {
-    if (item.at == link::stage::closed) return;
-    item.at = link::stage::closed;
-    const std::uint64_t request = std::exchange(item.request, 0);
-    bufferevent_disable(item.socket.get(), EV_READ | EV_WRITE);
-    this->dropped.push_back(item.id);
+    if (connection.current_stage == connection_state::stage::closed) return;
+    connection.current_stage = connection_state::stage::closed;
+    const std::uint64_t request = std::exchange(connection.request, 0);
+    bufferevent_disable(connection.socket.get(), EV_READ | EV_WRITE);
+    this->dropped.push_back(connection.id);
     if (request != 0 && this->in_progress.erase(request) > 0) this->on_disconnect.emit(request);
 }
 
-void caller_connections::check(link& item, instant time)
+void caller_connections::check_timeouts(connection_state& connection, instant time)
 {
-    const duration age = time - item.since;
-    switch (item.at) {
-    case link::stage::lingering:
-        if (age > linger_time) this->drop(item);
+    const duration age = time - connection.since;
+    switch (connection.current_stage) {
+    case connection_state::stage::lingering:
+        if (age > linger_time) this->drop(connection);
         return;
-    case link::stage::reading:
-        if (item.reader.idle()) {
-            if (age > this->limits.idle_timeout) this->drop(item);
-        } else if (item.reader.head_complete()) {
-            if (age > body_timeout) this->refuse(item, request_timeout, "body too slow");
+    case connection_state::stage::reading:
+        if (connection.reader.idle()) {
+            if (age > this->limits.idle_timeout) this->drop(connection);
+        } else if (connection.reader.head_complete()) {
+            if (age > body_timeout) this->refuse(connection, request_timeout, "body too slow");
         } else if (age > this->limits.header_timeout) {
-            this->refuse(item, request_timeout, "head too slow");
+            this->refuse(connection, request_timeout, "head too slow");
         }
         return;
-    case link::stage::responding:
-    case link::stage::closed:
+    case connection_state::stage::responding:
+    case connection_state::stage::closed:
         return;
     }
 }
@@ -355,20 +363,22 @@
 void caller_connections::sweep(instant time)
 {
     for (const std::uint64_t id : this->dropped)
-        this->links.erase(id);
+        this->connections.erase(id);
     this->dropped.clear();
     if (std::exchange(this->accepting_paused, false) && this->listener != nullptr) {
         evconnlistener_enable(this->listener.get());
     }
-    for (const auto& [id, item] : this->links)
-        this->check(*item, time);
+    for (const auto& [id, connection] : this->connections)
+        this->check_timeouts(*connection, time);
 }
 
 void caller_connections::stop_listening()
 {
     this->listener.reset();
-    for (const auto& [id, item] : this->links) {
-        if (item->at == link::stage::reading && item->reader.idle()) this->drop(*item);
+    for (const auto& [id, connection] : this->connections) {
+        if (connection->current_stage == connection_state::stage::reading &&
+            connection->reader.idle())
+            this->drop(*connection);
     }
 }
 
--- a/src/caller_connections.h
+++ b/src/caller_connections.h
@@ -50,7 +50,7 @@
     /** Sends a server's complete response, without its hop-by-hop headers. */
     void send_response(std::uint64_t request, const http_head& head, std::string_view body);
     /** Sends a response of the router's own. */
-    void answer(std::uint64_t request, const own_answer& given);
+    void answer(std::uint64_t request, const own_answer& response);
     /** Starts a chunked response and sends its first piece; `add` sends further pieces. */
     void begin(std::uint64_t request, const http_head& head, std::string_view piece);
     void add(std::uint64_t request, std::string_view piece);
@@ -67,37 +67,38 @@
     /** Stops accepting connections, and closes those without a request in progress. */
     void stop_listening();
 
-    [[nodiscard]] std::size_t open() const { return this->links.size(); }
+    [[nodiscard]] std::size_t open() const { return this->connections.size(); }
 
     sigc::signal<void(caller_request)> on_request;
     /** The caller disconnected before its response was complete. */
     sigc::signal<void(std::uint64_t)> on_disconnect;
 
 private:
-    struct link;
+    struct connection_state;
 
     void accept(evutil_socket_t socket);
     void pause_accepting();
-    void read(link& item);
-    void handle_head(link& item, const http_head& head);
-    void handle_body(link& item, std::string_view bytes);
-    void deliver_request(link& item);
-    void refuse(link& item, int status, std::string_view text);
-    void handle_event(link& item, short what);
-    void end_answer(link& item);
-    void drop(link& item);
-    void check(link& item, instant now);
-    [[nodiscard]] link* find(std::uint64_t request);
-    std::string write_head(const link& item, const http_head& head,
+    void read(connection_state& connection);
+    void handle_head(connection_state& connection, const http_head& head);
+    void handle_body(connection_state& connection, std::string_view bytes);
+    void deliver_request(connection_state& connection);
+    void refuse(connection_state& connection, int status, std::string_view text);
+    void handle_event(connection_state& connection, short events);
+    void end_response(connection_state& connection);
+    void drop(connection_state& connection);
+    void check_timeouts(connection_state& connection, instant now);
+    [[nodiscard]] connection_state* find(std::uint64_t request);
+    std::string write_head(const connection_state& connection, const http_head& head,
                            std::optional<std::size_t> length) const;
 
     event_base* base;
     caller_limits limits;
     event_ptr<evconnlistener> listener;
-    std::unordered_map<std::uint64_t, std::unique_ptr<link>> links; ///< by connection
-    std::unordered_map<std::uint64_t, link*> in_progress;           ///< by request
+    std::unordered_map<std::uint64_t, std::unique_ptr<connection_state>>
+        connections;                                                  ///< by connection
+    std::unordered_map<std::uint64_t, connection_state*> in_progress; ///< by request
     std::vector<std::uint64_t> dropped; ///< freed in the next sweep, never in their own callbacks
-    std::uint64_t next_link = 1;
+    std::uint64_t next_connection = 1;
     std::uint64_t next_request = 1;
     bool closing = false;
     bool accepting_paused = false; ///< accepting is suspended until the next sweep
