--- a/src/server_connections.cpp
+++ b/src/server_connections.cpp
@@ -20,8 +20,9 @@
 
 } // namespace
 
-struct server_connections::link : std::enable_shared_from_this<server_connections::link> {
-    explicit link(server_connections* owner)
+struct server_connections::connection_state
+    : std::enable_shared_from_this<server_connections::connection_state> {
+    explicit connection_state(server_connections* owner)
         : owner(owner), reader(http_reader::side::answers, max_response_head_bytes)
     {
     }
@@ -51,41 +52,41 @@
 
 server_connections::~server_connections() = default;
 
-void server_connections::start(const attempt_request& order)
+void server_connections::start(const attempt_request& request)
 {
-    link_ptr item = this->take_idle(order);
-    if (item == nullptr) item = this->connect(order.server, order.address);
-    item->attempt = order.attempt;
-    item->request_id = order.request_id;
-    item->skipping = false;
-    item->close_after = false;
-    this->attempts[order.attempt] = item;
-    if (order.no_response_body) item->reader.expect_no_body();
-    if (item->connected) {
-        this->send(*item, order);
+    connection_ptr connection = this->take_idle(request);
+    if (connection == nullptr) connection = this->connect(request.server, request.address);
+    connection->attempt = request.attempt;
+    connection->request_id = request.request_id;
+    connection->skipping = false;
+    connection->close_after = false;
+    this->attempts[request.attempt] = connection;
+    if (request.no_response_body) connection->reader.expect_no_body();
+    if (connection->connected) {
+        this->send(*connection, request);
     } else {
-        item->unsent = order.head;
-        item->unsent.append(order.body);
+        connection->unsent = request.head;
+        connection->unsent.append(request.body);
     }
 }
 
-server_connections::link_ptr server_connections::take_idle(const attempt_request& order)
+server_connections::connection_ptr server_connections::take_idle(const attempt_request& request)
 {
-    const auto pool = this->idle.find(order.server);
+    const auto pool = this->idle.find(request.server);
     if (pool == this->idle.end()) return nullptr;
     const instant time = now();
     while (!pool->second.empty()) {
-        link_ptr item = pool->second.back();
-        const duration age = time - item->since;
-        if (age > item->max_idle) {
-            this->forget(order.server);
+        connection_ptr connection = pool->second.back();
+        const duration age = time - connection->since;
+        if (age > connection->max_idle) {
+            this->forget(request.server);
             return nullptr;
         }
-        if (!order.repeatable && age > max_reuse_age) return nullptr;
+        if (!request.repeatable && age > max_reuse_age) return nullptr;
         pool->second.pop_back();
-        const bool stray = evbuffer_get_length(bufferevent_get_input(item->socket.get())) > 0;
-        if (!item->is_closed && !stray) return item;
-        this->drop(*item);
+        const bool stray = evbuffer_get_length(bufferevent_get_input(connection->socket.get())) > 0;
+        if (!connection->is_closed && !stray) return connection;
+        this->drop(*connection);
     }
     return nullptr;
 }
@@ -94,33 +95,33 @@
                                const link_address& address)
 {
     if (this->checks.contains(check)) return;
-    const link_ptr item = this->connect(server, address);
-    item->check = check;
-    this->checks[check] = item;
+    const connection_ptr connection = this->connect(server, address);
+    connection->check = check;
+    this->checks[check] = connection;
 }
 
-void server_connections::end_check(link& item, bool ended)
+void server_connections::end_check(connection_state& connection, bool ended)
 {
-    const std::optional<std::uint32_t> check = std::exchange(item.check, std::nullopt);
+    const std::optional<std::uint32_t> check = std::exchange(connection.check, std::nullopt);
     if (!check) return;
     this->checks.erase(*check);
     this->on_checked.emit(*check, ended);
 }
 
-server_connections::link_ptr server_connections::connect(const server_id& server,
-                                                         const link_address& address)
+server_connections::connection_ptr server_connections::connect(const server_id& server,
+                                                               const link_address& address)
 {
-    auto item = std::make_shared<link>(this);
+    auto connection = std::make_shared<connection_state>(this);
     ++this->connections_opened;
-    item->server = server;
-    item->since = now();
-    link* raw = item.get();
-    item->reader.on_head = [this, raw](http_head& head) { this->handle_head(*raw, head); };
-    item->reader.on_body = [this, raw](std::string_view bytes) {
+    connection->server = server;
+    connection->since = now();
+    connection_state* raw = connection.get();
+    connection->reader.on_head = [this, raw](http_head& head) { this->handle_head(*raw, head); };
+    connection->reader.on_body = [this, raw](std::string_view bytes) {
         if (!raw->skipping && raw->attempt != 0) this->on_body.emit(raw->attempt, bytes);
     };
     const evutil_socket_t socket = ::socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
-    item->socket.reset(bufferevent_socket_new(this->base, socket, BEV_OPT_CLOSE_ON_FREE));
+    connection->socket.reset(bufferevent_socket_new(this->base, socket, BEV_OPT_CLOSE_ON_FREE));
     if (socket >= 0) {
         set_no_delay(socket);
         set_unacknowledged_timeout(socket, unacknowledged_timeout);
@@ -129,140 +130,145 @@
         enable_keepalive(socket);
     }
     bufferevent_setcb(
-        item->socket.get(),
-        [](bufferevent*, void* given) {
-            auto* found = static_cast<link*>(given);
-            found->owner->read(found->shared_from_this());
+        connection->socket.get(),
+        [](bufferevent*, void* context) {
+            auto* self = static_cast<connection_state*>(context);
+            self->owner->read(self->shared_from_this());
         },
         nullptr,
-        [](bufferevent*, short what, void* given) {
-            auto* found = static_cast<link*>(given);
-            found->owner->handle_event(found->shared_from_this(), what);
+        [](bufferevent*, short events, void* context) {
+            auto* self = static_cast<connection_state*>(context);
+            self->owner->handle_event(self->shared_from_this(), events);
         },
         raw);
     const sockaddr_in to = to_socket_address(address);
-    bufferevent_enable(item->socket.get(), EV_READ);
-    bufferevent_socket_connect(item->socket.get(), reinterpret_cast<const sockaddr*>(&to),
+    bufferevent_enable(connection->socket.get(), EV_READ);
+    bufferevent_socket_connect(connection->socket.get(), reinterpret_cast<const sockaddr*>(&to),
                                sizeof to);
-    return item;
+    return connection;
 }
 
-void server_connections::send(link& item, const attempt_request& order)
+void server_connections::send(connection_state& connection, const attempt_request& request)
 {
-    evbuffer* out = bufferevent_get_output(item.socket.get());
-    evbuffer_add(out, order.head.data(), order.head.size());
-    evbuffer_add(out, order.body.data(), order.body.size());
-    flush_output(item.socket.get());
+    evbuffer* out = bufferevent_get_output(connection.socket.get());
+    evbuffer_add(out, request.head.data(), request.head.size());
+    evbuffer_add(out, request.body.data(), request.body.size());
+    flush_output(connection.socket.get());
 }
 
-void server_connections::handle_event(const link_ptr& item, short what)
+void server_connections::handle_event(const connection_ptr& connection, short events)
 {
-    if (item->is_closed) return;
-    if ((what & BEV_EVENT_CONNECTED) != 0) {
-        item->connected = true;
-        if (!item->unsent.empty()) {
-            evbuffer_add(bufferevent_get_output(item->socket.get()), item->unsent.data(),
-                         item->unsent.size());
-            item->unsent.clear();
-            flush_output(item->socket.get());
+    if (connection->is_closed) return;
+    if ((events & BEV_EVENT_CONNECTED) != 0) {
+        connection->connected = true;
+        if (!connection->unsent.empty()) {
+            evbuffer_add(bufferevent_get_output(connection->socket.get()),
+                         connection->unsent.data(), connection->unsent.size());
+            connection->unsent.clear();
+            flush_output(connection->socket.get());
         }
-        if (item->check) {
-            item->since = now();
-            this->idle[item->server].push_back(item);
-            this->end_check(*item, false);
+        if (connection->check) {
+            connection->since = now();
+            this->idle[connection->server].push_back(connection);
+            this->end_check(*connection, false);
         }
         return;
     }
-    const bool clean = (what & BEV_EVENT_EOF) != 0;
-    if (clean && item->attempt != 0 && !item->skipping && item->reader.head_complete() &&
-        item->reader.read_eof() == read_result::message_complete) {
-        item->close_after = true;
-        this->finish_answer(item);
+    const bool clean = (events & BEV_EVENT_EOF) != 0;
+    if (clean && connection->attempt != 0 && !connection->skipping &&
+        connection->reader.head_complete() &&
+        connection->reader.read_eof() == read_result::message_complete) {
+        connection->close_after = true;
+        this->finish_response(connection);
         return;
     }
     const int error = EVUTIL_SOCKET_ERROR();
-    item->peer_closed = clean || error == ECONNRESET || error == EPIPE;
-    item->refused = error == ECONNREFUSED;
-    this->fail(item, item->connected ? "read" : "connect", clean ? "closed" : std::strerror(error));
+    connection->peer_closed = clean || error == ECONNRESET || error == EPIPE;
+    connection->refused = error == ECONNREFUSED;
+    this->fail(connection, connection->connected ? "read" : "connect",
+               clean ? "closed" : std::strerror(error));
 }
 
-void server_connections::handle_head(link& item, const http_head& head)
+void server_connections::handle_head(connection_state& connection, const http_head& head)
 {
-    const response_metadata facts = this->adapter.decode_response(head);
+    const response_metadata metadata = this->adapter.decode_response(head);
     constexpr int client_error = 400;
-    const bool other_request = !facts.request_id.empty() && facts.request_id != item.request_id;
+    const bool other_request =
+        !metadata.request_id.empty() && metadata.request_id != connection.request_id;
     // Only error responses may lack the request id.
-    const bool without_id = facts.request_id.empty() && head.status < client_error;
-    item.skipping = item.attempt == 0 || other_request || without_id;
-    if (facts.close || !head.keep_alive) item.close_after = true;
-    if (facts.idle_timeout) {
+    const bool without_id = metadata.request_id.empty() && head.status < client_error;
+    connection.skipping = connection.attempt == 0 || other_request || without_id;
+    if (metadata.close || !head.keep_alive) connection.close_after = true;
+    if (metadata.idle_timeout) {
         // Half of the announced time, because the server's idle timer started earlier than ours.
-        item.max_idle = std::min<duration>(max_idle_time, milliseconds(*facts.idle_timeout) / 2);
+        connection.max_idle =
+            std::min<duration>(max_idle_time, milliseconds(*metadata.idle_timeout) / 2);
     }
-    if (!item.skipping) this->on_head.emit(item.attempt, head, facts);
+    if (!connection.skipping) this->on_head.emit(connection.attempt, head, metadata);
 }
 
-void server_connections::read(const link_ptr& item)
+void server_connections::read(const connection_ptr& connection)
 {
-    evbuffer* input = bufferevent_get_input(item->socket.get());
-    while (!item->is_closed && evbuffer_get_length(input) > 0) {
-        if (item->attempt == 0) {
-            this->drop(*item);
+    evbuffer* input = bufferevent_get_input(connection->socket.get());
+    while (!connection->is_closed && evbuffer_get_length(input) > 0) {
+        if (connection->attempt == 0) {
+            this->drop(*connection);
             return;
         }
-        const read_result result = item->reader.read(input);
+        const read_result result = connection->reader.read(input);
         if (result == read_result::need_more) return;
         if (result != read_result::message_complete) {
-            this->fail(item, "parse", "not an answer");
+            this->fail(connection, "parse", "malformed response");
             return;
         }
         // That was a late response to an earlier request; the expected one is still to come.
-        if (std::exchange(item->skipping, false)) continue;
-        this->finish_answer(item);
+        if (std::exchange(connection->skipping, false)) continue;
+        this->finish_response(connection);
         return;
     }
 }
 
-void server_connections::finish_answer(const link_ptr& item)
+void server_connections::finish_response(const connection_ptr& connection)
 {
-    const std::uint64_t attempt = std::exchange(item->attempt, 0);
+    const std::uint64_t attempt = std::exchange(connection->attempt, 0);
     if (attempt == 0) return;
     this->attempts.erase(attempt);
-    const bool stray = evbuffer_get_length(bufferevent_get_input(item->socket.get())) > 0;
-    const bool unsent = evbuffer_get_length(bufferevent_get_output(item->socket.get())) > 0;
+    const bool stray = evbuffer_get_length(bufferevent_get_input(connection->socket.get())) > 0;
+    const bool unsent = evbuffer_get_length(bufferevent_get_output(connection->socket.get())) > 0;
     // If the response arrived before the request was sent in full, the connection cannot be reused:
     // the server would read the next request as the rest of the body.
-    if (item->close_after || stray || unsent) {
-        this->drop(*item);
+    if (connection->close_after || stray || unsent) {
+        this->drop(*connection);
     } else {
-        item->since = now();
-        this->idle[item->server].push_back(item);
+        connection->since = now();
+        this->idle[connection->server].push_back(connection);
     }
     this->on_end.emit({attempt, send_progress::answered, "answer", {}});
 }
 
-void server_connections::fail(const link_ptr& item, const char* step, std::string detail)
+void server_connections::fail(const connection_ptr& connection, const char* step,
+                              std::string detail)
 {
-    const std::uint64_t attempt = std::exchange(item->attempt, 0);
-    const bool sent = item->connected;
-    this->drop(*item);
-    this->end_check(*item, item->refused);
+    const std::uint64_t attempt = std::exchange(connection->attempt, 0);
+    const bool sent = connection->connected;
+    this->drop(*connection);
+    this->end_check(*connection, connection->refused);
     if (attempt == 0) return;
     this->attempts.erase(attempt);
     this->on_end.emit({attempt, sent ? send_progress::broken : send_progress::not_sent, step,
-                       std::move(detail), sent && item->peer_closed});
+                       std::move(detail), sent && connection->peer_closed});
 }
 
-void server_connections::drop(link& item)
+void server_connections::drop(connection_state& connection)
 {
-    if (item.is_closed) return;
-    item.is_closed = true;
-    bufferevent_disable(item.socket.get(), EV_READ | EV_WRITE);
+    if (connection.is_closed) return;
+    connection.is_closed = true;
+    bufferevent_disable(connection.socket.get(), EV_READ | EV_WRITE);
     // The socket is shut down at once, so that the server stops; the object is freed in the sweep.
-    const evutil_socket_t socket = bufferevent_getfd(item.socket.get());
+    const evutil_socket_t socket = bufferevent_getfd(connection.socket.get());
     if (socket >= 0) ::shutdown(socket, SHUT_RDWR);
-    this->closed.push_back(item.shared_from_this());
-    const auto pool = this->idle.find(item.server);
+    this->closed.push_back(connection.shared_from_this());
+    const auto pool = this->idle.find(connection.server);
     if (pool != this->idle.end()) std::erase(pool->second, this->closed.back());
 }
 
@@ -270,27 +276,28 @@
 {
     const auto found = this->attempts.find(attempt);
     if (found == this->attempts.end()) return;
-    const link_ptr item = found->second;
+    const connection_ptr connection = found->second;
     this->attempts.erase(found);
-    item->attempt = 0;
-    this->drop(*item);
+    connection->attempt = 0;
+    this->drop(*connection);
 }
 
 void server_connections::sweep(instant time)
 {
     this->closed.clear();
-    std::vector<link_ptr> late;
-    for (const auto& [attempt, item] : this->attempts) {
-        if (!item->connected && time - item->since > connect_timeout) late.push_back(item);
+    std::vector<connection_ptr> late;
+    for (const auto& [attempt, connection] : this->attempts) {
+        if (!connection->connected && time - connection->since > connect_timeout)
+            late.push_back(connection);
     }
-    for (const auto& [check, item] : this->checks) {
-        if (time - item->since > connect_timeout) late.push_back(item);
+    for (const auto& [check, connection] : this->checks) {
+        if (time - connection->since > connect_timeout) late.push_back(connection);
     }
-    for (const link_ptr& item : late)
-        this->fail(item, "connect", "timed out");
+    for (const connection_ptr& connection : late)
+        this->fail(connection, "connect", "timed out");
     for (auto& [server, pool] : this->idle) {
         while (!pool.empty() && time - pool.front()->since > pool.front()->max_idle) {
-            const link_ptr old = pool.front();
+            const connection_ptr old = pool.front();
             this->drop(*old);
         }
     }
@@ -301,9 +308,9 @@
 {
     const auto pool = this->idle.find(server);
     if (pool == this->idle.end()) return;
-    const std::vector<link_ptr> old = pool->second;
-    for (const link_ptr& item : old)
-        this->drop(*item);
+    const std::vector<connection_ptr> old = pool->second;
+    for (const connection_ptr& connection : old)
+        this->drop(*connection);
     this->idle.erase(server);
 }
 
--- a/src/server_connections.h
+++ b/src/server_connections.h
@@ -70,7 +70,7 @@
     server_connections(server_connections&&) = delete;
     server_connections& operator=(server_connections&&) = delete;
 
-    void start(const attempt_request& order);
+    void start(const attempt_request& request);
     /** Closes the attempt's connection, so that the server stops processing. Emits no signal. */
     void cancel(std::uint64_t attempt);
     /** Checks whether the server's process has ended, by opening a connection without sending
@@ -100,26 +100,26 @@
     sigc::signal<void(std::uint32_t, bool)> on_checked;
 
 private:
-    struct link;
-    using link_ptr = std::shared_ptr<link>;
-
-    link_ptr take_idle(const attempt_request& order);
-    link_ptr connect(const server_id& server, const link_address& address);
-    void end_check(link& item, bool ended);
-    void send(link& item, const attempt_request& order);
-    void handle_head(link& item, const http_head& head);
-    void read(const link_ptr& item);
-    void handle_event(const link_ptr& item, short what);
-    void finish_answer(const link_ptr& item);
-    void fail(const link_ptr& item, const char* step, std::string detail);
-    void drop(link& item);
+    struct connection_state;
+    using connection_ptr = std::shared_ptr<connection_state>;
+
+    connection_ptr take_idle(const attempt_request& request);
+    connection_ptr connect(const server_id& server, const link_address& address);
+    void end_check(connection_state& connection, bool ended);
+    void send(connection_state& connection, const attempt_request& request);
+    void handle_head(connection_state& connection, const http_head& head);
+    void read(const connection_ptr& connection);
+    void handle_event(const connection_ptr& connection, short events);
+    void finish_response(const connection_ptr& connection);
+    void fail(const connection_ptr& connection, const char* step, std::string detail);
+    void drop(connection_state& connection);
 
     event_base* base;
     const protocol& adapter;
-    std::unordered_map<std::uint64_t, link_ptr> attempts;
-    std::unordered_map<std::uint32_t, link_ptr> checks;
-    std::unordered_map<server_id, std::vector<link_ptr>> idle;
-    std::vector<link_ptr> closed; ///< freed in the next sweep, never in their own callbacks
+    std::unordered_map<std::uint64_t, connection_ptr> attempts;
+    std::unordered_map<std::uint32_t, connection_ptr> checks;
+    std::unordered_map<server_id, std::vector<connection_ptr>> idle;
+    std::vector<connection_ptr> closed; ///< freed in the next sweep, never in their own callbacks
     std::uint64_t connections_opened = 0;
 };
 
