--- a/src/event_loop.cpp
+++ b/src/event_loop.cpp
@@ -15,10 +15,10 @@
 
 timer::timer(event_base* base, std::function<void()> action) : action(std::move(action))
 {
-    const auto on_event = [](evutil_socket_t, short, void* self) {
-        auto* item = static_cast<timer*>(self);
-        if (item->period > duration::zero()) item->arm(item->period);
-        item->action();
+    const auto on_event = [](evutil_socket_t, short, void* context) {
+        auto* self = static_cast<timer*>(context);
+        if (self->period > duration::zero()) self->arm(self->period);
+        self->action();
     };
     this->inner.reset(evtimer_new(base, on_event, this));
 }
--- a/src/http_client.h
+++ b/src/http_client.h
@@ -45,17 +45,17 @@
     void sweep();
 
 private:
-    struct pending {
+    struct pending_call {
         std::uint64_t number = 0;
         event_ptr<evhttp_connection> connection;
         http_handler handler;
         std::unique_ptr<timer> deadline;
-        bool over = false; ///< completed or cancelled
+        bool ended = false; ///< completed or cancelled
     };
-    static void finish(pending& item, evhttp_request* answer);
+    static void finish(pending_call& pending, evhttp_request* completed);
 
     event_base* base;
-    std::list<std::unique_ptr<pending>> calls;
+    std::list<std::unique_ptr<pending_call>> calls;
     std::uint64_t last_number = 0;
 };
 
--- a/src/http_wire.cpp
+++ b/src/http_wire.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-constexpr std::array<std::string_view, 9> hop_headers{
+constexpr std::array<std::string_view, 9> hop_by_hop_headers{
     "connection",
     "keep-alive",
     "proxy-authenticate",
@@ -34,19 +34,21 @@
 
 bool is_hop_by_hop_header(std::string_view name)
 {
-    return std::ranges::any_of(
-        hop_headers, [name](std::string_view hop) { return header_names_equal(name, hop); });
+    return std::ranges::any_of(hop_by_hop_headers, [name](std::string_view hop_header) {
+        return header_names_equal(name, hop_header);
+    });
 }
 
 const std::string* http_head::find(std::string_view name) const
 {
-    const auto found = std::ranges::find_if(
-        this->headers, [name](const header& item) { return header_names_equal(item.name, name); });
+    const auto found = std::ranges::find_if(this->headers, [name](const header& entry) {
+        return header_names_equal(entry.name, name);
+    });
     return found == this->headers.end() ? nullptr : &found->value;
 }
 
-http_reader::http_reader(side reads, std::size_t max_head_bytes)
-    : reads(reads), max_head_bytes(max_head_bytes)
+http_reader::http_reader(side reader_side, std::size_t max_head_bytes)
+    : reader_side(reader_side), max_head_bytes(max_head_bytes)
 {
     this->reset();
 }
@@ -58,17 +60,17 @@
 
 http_parser_settings http_reader::make_callbacks()
 {
-    http_parser_settings made{};
-    http_parser_settings_init(&made);
-    made.on_url = [](http_parser* parser, const char* at, std::size_t size) {
+    http_parser_settings callbacks{};
+    http_parser_settings_init(&callbacks);
+    callbacks.on_url = [](http_parser* parser, const char* at, std::size_t size) {
         self(parser).head.target.append(at, size);
         return 0;
     };
-    made.on_header_field = [](http_parser* parser, const char* at, std::size_t size) {
+    callbacks.on_header_field = [](http_parser* parser, const char* at, std::size_t size) {
         http_reader& reader = self(parser);
         // Trailers arrive after the head was passed on; they apply to this connection only and are
         // dropped.
-        if (reader.have_head) return 0;
+        if (reader.head_read) return 0;
         if (reader.head.headers.empty() || reader.last_was_value) {
             reader.head.headers.emplace_back();
         }
@@ -76,44 +78,45 @@
         reader.head.headers.back().name.append(at, size);
         return 0;
     };
-    made.on_header_value = [](http_parser* parser, const char* at, std::size_t size) {
+    callbacks.on_header_value = [](http_parser* parser, const char* at, std::size_t size) {
         http_reader& reader = self(parser);
-        if (reader.have_head) return 0;
+        if (reader.head_read) return 0;
         reader.last_was_value = true;
         reader.head.headers.back().value.append(at, size);
         return 0;
     };
-    made.on_headers_complete = [](http_parser* parser) { return self(parser).handle_head(); };
-    made.on_body = [](http_parser* parser, const char* at, std::size_t size) {
+    callbacks.on_headers_complete = [](http_parser* parser) { return self(parser).handle_head(); };
+    callbacks.on_body = [](http_parser* parser, const char* at, std::size_t size) {
         self(parser).on_body({at, size});
         return 0;
     };
-    made.on_message_complete = [](http_parser* parser) {
+    callbacks.on_message_complete = [](http_parser* parser) {
         self(parser).ended = true;
         http_parser_pause(parser, 1);
         return 0;
     };
-    return made;
+    return callbacks;
 }
 
 void http_reader::reset()
 {
-    http_parser_init(&this->parser, this->reads == side::requests ? HTTP_REQUEST : HTTP_RESPONSE);
+    http_parser_init(&this->parser,
+                     this->reader_side == side::requests ? HTTP_REQUEST : HTTP_RESPONSE);
     this->parser.data = this;
     this->head = http_head{};
     this->head_bytes = 0;
     this->oversized = false;
     this->last_was_value = false;
-    this->begun = false;
-    this->have_head = false;
+    this->started = false;
+    this->head_read = false;
     this->ended = false;
 }
 
 int http_reader::handle_head()
 {
-    this->have_head = true;
+    this->head_read = true;
     this->head.keep_alive = http_should_keep_alive(&this->parser) != 0;
-    if (this->reads == side::requests) {
+    if (this->reader_side == side::requests) {
         this->head.method = http_method_str(static_cast<http_method>(this->parser.method));
     } else {
         this->head.status = static_cast<int>(this->parser.status_code);
@@ -122,13 +125,13 @@
     }
     // http-parser accepts blanks in header names. Such a header is rejected, because a server might
     // interpret it as a different one.
-    const auto blank = [](const header& item) {
-        return item.name.find_first_of(" \t") != std::string::npos;
+    const auto blank = [](const header& entry) {
+        return entry.name.find_first_of(" \t") != std::string::npos;
     };
     if (std::ranges::any_of(this->head.headers, blank)) return -1;
     std::size_t size = this->head.target.size();
-    for (const header& item : this->head.headers) {
-        size += item.name.size() + item.value.size() + line_overhead;
+    for (const header& entry : this->head.headers) {
+        size += entry.name.size() + entry.value.size() + line_overhead;
     }
     this->oversized = size > this->max_head_bytes;
     if (this->oversized) return -1;
@@ -137,9 +140,9 @@
     return skip_body ? 1 : 0;
 }
 
-read_result http_reader::classify(std::size_t given, std::size_t consumed)
+read_result http_reader::classify(std::size_t input_size, std::size_t consumed)
 {
-    if (!this->have_head) {
+    if (!this->head_read) {
         this->head_bytes += consumed;
         if (this->head_bytes > this->max_head_bytes) return read_result::head_too_large;
     }
@@ -148,7 +151,7 @@
     if (this->ended) return read_result::message_complete;
     if (fault == HPE_HEADER_OVERFLOW) return read_result::head_too_large;
     if (fault != HPE_OK || this->parser.upgrade != 0) return read_result::malformed;
-    return consumed == given ? read_result::need_more : read_result::malformed;
+    return consumed == input_size ? read_result::need_more : read_result::malformed;
 }
 
 read_result http_reader::read(evbuffer* input)
@@ -158,14 +161,15 @@
         const std::size_t size = evbuffer_get_contiguous_space(input);
         const auto* bytes =
             reinterpret_cast<const char*>(evbuffer_pullup(input, static_cast<ev_ssize_t>(size)));
-        this->begun = true;
+        this->started = true;
         const std::size_t consumed = http_parser_execute(&this->parser, &callbacks, bytes, size);
         const read_result result = this->classify(size, consumed);
         evbuffer_drain(input, consumed);
         if (result == read_result::need_more) continue;
         constexpr int informational = 100;
         const bool interim = result == read_result::message_complete &&
-                             this->reads == side::answers && this->head.status / informational == 1;
+                             this->reader_side == side::answers &&
+                             this->head.status / informational == 1;
         if (result == read_result::message_complete) this->reset();
         if (!interim) return result;
     }
@@ -175,11 +179,11 @@
 read_result http_reader::read_eof()
 {
     static const http_parser_settings callbacks = make_callbacks();
-    if (!this->begun) return read_result::need_more;
+    if (!this->started) return read_result::need_more;
     http_parser_execute(&this->parser, &callbacks, "", 0);
-    const bool whole = this->ended && this->have_head;
-    if (whole) this->reset();
-    return whole ? read_result::message_complete : read_result::malformed;
+    const bool complete = this->ended && this->head_read;
+    if (complete) this->reset();
+    return complete ? read_result::message_complete : read_result::malformed;
 }
 
 void write_chunk(evbuffer* out, std::string_view bytes)
@@ -193,8 +197,8 @@
 
 void write_final_chunk(evbuffer* out)
 {
-    constexpr std::string_view mark = "0\r\n\r\n";
-    evbuffer_add(out, mark.data(), mark.size());
+    constexpr std::string_view final_chunk = "0\r\n\r\n";
+    evbuffer_add(out, final_chunk.data(), final_chunk.size());
 }
 
 void append_header(std::string& out, std::string_view name, std::string_view value)
--- a/src/http_wire.h
+++ b/src/http_wire.h
@@ -48,10 +48,11 @@
 public:
     enum class side : std::uint8_t { requests, answers };
 
-    http_reader(side reads, std::size_t max_head_bytes);
+    http_reader(side reader_side, std::size_t max_head_bytes);
 
-    /** Called with each head and with pieces of the body. */
+    /** Called with each complete head, except those of informational (1xx) responses. */
     std::function<void(http_head&)> on_head;
+    /** Called with each piece of a body as it is read. */
     std::function<void(std::string_view)> on_body;
 
     /** Consumes \p input up to the end of one message. */
@@ -62,9 +63,9 @@
     /** The next response has no body whatever its headers say, as after a HEAD request. */
     void expect_no_body() { this->bodiless = true; }
     /** Between messages: no byte of the next one has been read. */
-    [[nodiscard]] bool idle() const { return !this->begun; }
+    [[nodiscard]] bool idle() const { return !this->started; }
     /** The current message's head was read in full. */
-    [[nodiscard]] bool head_complete() const { return this->have_head; }
+    [[nodiscard]] bool head_complete() const { return this->head_read; }
     /** Sets the maximum size of a head. */
     void set_max_head_bytes(std::size_t bytes) { this->max_head_bytes = bytes; }
 
@@ -73,17 +74,17 @@
     static http_reader& self(http_parser* parser);
     void reset();
     int handle_head();
-    read_result classify(std::size_t given, std::size_t consumed);
+    read_result classify(std::size_t input_size, std::size_t consumed);
 
-    side reads;
+    side reader_side;
     std::size_t max_head_bytes;
     http_parser parser{};
     http_head head;
     std::size_t head_bytes = 0;
-    bool last_was_value = false;
-    bool begun = false;
-    bool oversized = false;
-    bool have_head = false;
+    bool last_was_value = false; ///< the last header callback was for a value
+    bool started = false;
+    bool oversized = false; ///< the head exceeds the maximum size
+    bool head_read = false;
     bool ended = false;
     bool bodiless = false; ///< see expect_no_body
 };
