--- a/src/router.cpp
+++ b/src/router.cpp
@@ -47,7 +47,7 @@
     return static_cast<std::uint32_t>(row.hash);
 }
 
-std::string read_text(const std::string& path)
+std::string read_file(const std::string& path)
 {
     std::ifstream file(path);
     std::ostringstream text;
@@ -74,14 +74,15 @@
 
 } // namespace
 
-router::router(router_settings given, const protocol& adapter, settings_source reload)
-    : options(std::move(given)), adapter(adapter), reload(std::move(reload)),
+router::router(router_settings settings, const protocol& adapter, settings_source reload)
+    : options(std::move(settings)), adapter(adapter), reload(std::move(reload)),
       base(make_event_base()), servers(options.data_centre), callers(base.get(), options.front),
-      links(base.get(), adapter), path(callers, links, servers, adapter, telemetry),
-      gossip(base.get(), options.peer, options.data_centre, options.seeds), caller(base.get()),
-      configuration(base.get(), caller, options.store, adapter, gossip),
-      registry(base.get(), caller, options.store, adapter, servers, gossip),
-      evacuations(base.get(), caller, options.store, adapter, servers, gossip),
+      connection_pool(base.get(), adapter),
+      path(callers, connection_pool, servers, adapter, telemetry),
+      gossip(base.get(), options.peer, options.data_centre, options.seeds), client(base.get()),
+      configuration(base.get(), client, options.store, adapter, gossip),
+      registry(base.get(), client, options.store, adapter, servers, gossip),
+      evacuations(base.get(), client, options.store, adapter, servers, gossip),
       ticker(base.get(), [this] { this->tick(); }),
       on_term(base.get(), SIGTERM, [this] { this->stop(); }),
       on_int(base.get(), SIGINT, [this] { this->stop(); }),
@@ -91,7 +92,7 @@
     raise_file_limit();
     this->path.set_retry_budget(this->options.retries);
     this->apply_placement();
-    this->settings_text = read_text(this->options.file);
+    this->settings_text = read_file(this->options.file);
     this->connect_signals();
     this->serve_peers();
     this->serve_readiness();
@@ -119,9 +120,9 @@
 {
     this->check_suspension();
     const instant time = now();
-    this->caller.sweep();
+    this->client.sweep();
     this->callers.sweep(time);
-    this->links.sweep(time);
+    this->connection_pool.sweep(time);
     this->path.tick(time);
     this->follow_store(time);
     this->start_serving();
@@ -140,14 +141,14 @@
 
 void router::check_suspension()
 {
-    const std::optional<clock_pair> read = read_clocks();
-    if (!read) return;
-    const duration span = this->suspensions.update(*read);
+    const std::optional<clock_pair> clocks = read_clocks();
+    if (!clocks) return;
+    const duration span = this->suspensions.update(*clocks);
     if (span == duration::zero()) return;
     log_event(log_level::warn, "resumed",
               {{"suspended_ms", span / milliseconds(1)}, {"requests", this->path.active()}});
     this->path.on_suspended(span);
-    this->links.close_all_idle();
+    this->connection_pool.close_all_idle();
 }
 
 void router::connect_signals()
@@ -158,14 +159,16 @@
     this->configuration.on_config.connect([this] {
         if (this->serving) this->path.set_config(this->configuration.config());
     });
-    this->registry.on_leaving.connect([this](const server_id& id) { this->links.forget(id); });
-    this->registry.on_restarted.connect([this](const server_id& id) { this->links.forget(id); });
+    this->registry.on_leaving.connect(
+        [this](const server_id& id) { this->connection_pool.forget(id); });
+    this->registry.on_restarted.connect(
+        [this](const server_id& id) { this->connection_pool.forget(id); });
     this->gossip.on_digest.connect([this](const fleet_vm& from) {
         this->loads_changed = true;
-        for (const reported_load& item : from.last.reported_loads)
-            this->servers.apply_reported_load(item, from.last_received_at);
-        for (const outcome_counts& item : from.last.outcomes)
-            this->servers.apply_outcomes(item, from.last_received_at);
+        for (const reported_load& load : from.last.reported_loads)
+            this->servers.apply_reported_load(load, from.last_received_at);
+        for (const outcome_counts& counts : from.last.outcomes)
+            this->servers.apply_outcomes(counts, from.last_received_at);
         for (const std::uint32_t incarnation : from.last.leaving_servers) {
             if (!this->servers.mark_leaving(server_incarnation{incarnation})) continue;
             const server_entry* row = this->servers.find(server_incarnation{incarnation});
@@ -193,8 +196,8 @@
     if (this->serving || config == nullptr || !this->registry.usable()) return;
     const instant time = now();
     if (this->routable_since == instant{}) this->routable_since = time;
-    const bool waited = time - this->routable_since > max_evacuations_wait;
-    if (!this->evacuations.known() && !waited) return;
+    const bool wait_expired = time - this->routable_since > max_evacuations_wait;
+    if (!this->evacuations.known() && !wait_expired) return;
     this->serving = true;
     this->path.set_config(config);
     log_event(log_level::info, "serving",
@@ -207,13 +210,13 @@
 void router::follow_store(instant time)
 {
     const bool watched = this->watch_role.watching();
-    const bool answered = this->registry.store_reachable();
-    this->watch_role.update(this->gossip.fleet(), this->registry.store().confirmed_at, answered,
-                            time);
+    const bool store_reachable = this->registry.store_reachable();
+    this->watch_role.update(this->gossip.fleet(), this->registry.store().confirmed_at,
+                            store_reachable, time);
     // Announced at once, so that no more VMs than needed start to watch.
     if (!watched && this->watch_role.watching()) this->gossip.send_early();
     // While the store does not answer, the registry's watch alone is enough to detect its return.
-    const std::optional<read_mode> mode = answered ? this->watch_role.mode() : std::nullopt;
+    const std::optional<read_mode> mode = store_reachable ? this->watch_role.mode() : std::nullopt;
     this->configuration.tick(time, mode);
     this->evacuations.tick(time, mode);
     this->registry.tick(time, this->watch_role.mode());
@@ -245,8 +248,8 @@
     if (time - this->servers_assigned_at < assignment_period) return;
     this->servers_assigned_at = time;
     this->members = this->gossip.fleet().members(time);
-    for (const auto& [place, region] : this->options.regions)
-        this->members.add(static_cast<std::uint32_t>(place.hash()));
+    for (const auto& [data_centre, region] : this->options.regions)
+        this->members.add(static_cast<std::uint32_t>(data_centre.hash()));
     this->servers.update_cold_shares(this->members, time);
     this->servers.mark_failing(this->members, time);
 }
@@ -271,8 +274,8 @@
     if (own <= 0) return static_cast<double>(alive);
     double local = own;
     std::size_t responsive_vms = 1;
-    for (const fleet_vm* item : this->gossip.fleet().responsive_vms(time)) {
-        local += item->last.requests_per_s / demand_units_per_rps;
+    for (const fleet_vm* vm : this->gossip.fleet().responsive_vms(time)) {
+        local += vm->last.requests_per_s / demand_units_per_rps;
         ++responsive_vms;
     }
     return local / own * static_cast<double>(alive) / static_cast<double>(responsive_vms);
@@ -328,10 +331,10 @@
         listen_http(this->base.get(), this->options.readiness, "readiness checks");
     evhttp_set_gencb(
         this->readiness_http.get(),
-        [](evhttp_request* request, void* given) {
-            const auto* self = static_cast<router*>(given);
-            const bool known = self->adapter.is_readiness_check(evhttp_request_get_uri(request));
-            reply(request, known && self->ready() ? ok : unavailable, {});
+        [](evhttp_request* request, void* context) {
+            const auto* self = static_cast<router*>(context);
+            const bool is_check = self->adapter.is_readiness_check(evhttp_request_get_uri(request));
+            reply(request, is_check && self->ready() ? ok : unavailable, {});
         },
         this);
 }
@@ -372,9 +375,9 @@
     std::ostringstream text;
     text << this->telemetry.text();
     text << "worksshift_requests_active " << this->path.active() << '\n';
-    text << "worksshift_attempts_active " << this->links.active() << '\n';
+    text << "worksshift_attempts_active " << this->connection_pool.active() << '\n';
     text << "worksshift_caller_connections " << this->callers.open() << '\n';
-    text << "worksshift_server_connections_opened_total " << this->links.opened() << '\n';
+    text << "worksshift_server_connections_opened_total " << this->connection_pool.opened() << '\n';
     text << "worksshift_config_version " << this->configuration.version() << '\n';
     text << "worksshift_registry_watched " << (this->watch_role.watching() ? 1 : 0) << '\n';
     for (const read_mode mode : {read_mode::stale, read_mode::linearizable}) {
@@ -385,8 +388,8 @@
     }
     text << "worksshift_store_reachable " << (this->registry.store_reachable() ? 1 : 0) << '\n';
     text << "worksshift_registry_unreadable_total " << this->registry.unreadable() << '\n';
-    for (const data_centre_id& place : this->evacuations.evacuated())
-        text << "worksshift_evacuated{data_centre=\"" << place.text << "\"} 1\n";
+    for (const data_centre_id& data_centre : this->evacuations.evacuated())
+        text << "worksshift_evacuated{data_centre=\"" << data_centre.text << "\"} 1\n";
     text << "worksshift_cold_servers " << this->servers.cold_servers(now()) << '\n';
     text << "worksshift_blocked_contents " << this->path.suspects().blocked_contents() << '\n';
     text << "worksshift_digest_bytes_sent_total " << this->gossip.bytes_sent() << '\n';
@@ -401,9 +404,10 @@
 
 void router::check_settings_file(instant time)
 {
-    if (this->options.file.empty() || time - this->settings_read < settings_check_period) return;
-    this->settings_read = time;
-    std::string text = read_text(this->options.file);
+    if (this->options.file.empty() || time - this->settings_checked_at < settings_check_period)
+        return;
+    this->settings_checked_at = time;
+    std::string text = read_file(this->options.file);
     if (text == this->settings_text) return;
     this->settings_text = std::move(text);
     this->reload_settings("file");
@@ -413,16 +417,16 @@
 void router::reload_settings(std::string_view cause)
 {
     try {
-        const router_settings given = this->reload();
-        this->options.level = given.level;
-        this->options.retries = given.retries;
-        this->options.stop_grace = given.stop_grace;
-        this->gossip.add_seeds(given.seeds);
-        set_log_level(given.level);
-        this->path.set_retry_budget(given.retries);
-        this->options.placement = given.placement;
-        this->options.cold = given.cold;
-        this->options.regions = given.regions;
+        const router_settings reloaded = this->reload();
+        this->options.level = reloaded.level;
+        this->options.retries = reloaded.retries;
+        this->options.stop_grace = reloaded.stop_grace;
+        this->gossip.add_seeds(reloaded.seeds);
+        set_log_level(reloaded.level);
+        this->path.set_retry_budget(reloaded.retries);
+        this->options.placement = reloaded.placement;
+        this->options.cold = reloaded.cold;
+        this->options.regions = reloaded.regions;
         this->apply_placement();
         log_event(log_level::info, "reloaded", {{"cause", cause}});
     } catch (const error& fault) {
@@ -442,14 +446,13 @@
 
 void router::continue_stop(instant time)
 {
-    const duration since = time - this->stop_since;
-    if (since < stop_accept_time) return;
+    const duration elapsed = time - this->stop_since;
+    if (elapsed < stop_accept_time) return;
     this->callers.stop_listening();
-    const bool quiet =
-        this->path.active() == 0 && time - this->path.last_arrival() > stop_idle_time;
-    const bool late = since > this->options.stop_grace - stop_margin;
-    if (!quiet && !late) return;
-    if (!quiet) {
+    const bool idle = this->path.active() == 0 && time - this->path.last_arrival() > stop_idle_time;
+    const bool grace_period_over = elapsed > this->options.stop_grace - stop_margin;
+    if (!idle && !grace_period_over) return;
+    if (!idle) {
         log_event(log_level::warn, "stop_cut", {{"requests", this->path.active()}});
         this->exit_status = 1;
     }
--- a/src/router.h
+++ b/src/router.h
@@ -30,7 +30,7 @@
     /** Reads the settings again. \throws user_error when they are invalid. */
     using settings_source = std::function<router_settings()>;
 
-    router(router_settings options, const protocol& adapter, settings_source reload);
+    router(router_settings settings, const protocol& adapter, settings_source reload);
     ~router();
     router(const router&) = delete;
     router& operator=(const router&) = delete;
@@ -70,10 +70,10 @@
     metrics telemetry;
     server_table servers;
     caller_connections callers;
-    server_connections links;
+    server_connections connection_pool;
     request_path path;
     fleet_gossip gossip;
-    http_client caller;
+    http_client client;
     watcher_selection watch_role;
     config_follower configuration;
     registry_follower registry;
@@ -95,7 +95,7 @@
     /** Since when configuration and servers have been known; the epoch: not yet. */
     instant routable_since{};
     std::string settings_text; ///< content of the settings file when last read
-    instant settings_read{};
+    instant settings_checked_at{};
     bool serving = false; ///< requests are being routed
     bool stopping = false;
     instant stop_since{};
--- a/src/router_status.cpp
+++ b/src/router_status.cpp
@@ -20,15 +20,15 @@
                    {"data_centre", view.data_centre.text},
                    {"revision", view.config_version},
                    {"watches_store", view.watching}});
-    for (const auto& [address, item] : fleet.vms()) {
-        const bool responsive = fleet_table::is_responsive(item, now);
-        const bool alive = fleet.is_alive(item, now);
-        const char* state = responsive && item.last.leaving ? "leaving" : alive ? "alive" : "dead";
+    for (const auto& [address, vm] : fleet.vms()) {
+        const bool responsive = fleet_table::is_responsive(vm, now);
+        const bool alive = fleet.is_alive(vm, now);
+        const char* state = responsive && vm.last.leaving ? "leaving" : alive ? "alive" : "dead";
         all.push_back({{"vm", to_text(address)},
                        {"state", state},
-                       {"data_centre", fleet.is_local(item) ? view.data_centre.text : "other"},
-                       {"revision", item.last.config_version},
-                       {"watches_store", responsive && item.last.watches_store}});
+                       {"data_centre", fleet.is_local(vm) ? view.data_centre.text : "other"},
+                       {"revision", vm.last.config_version},
+                       {"watches_store", responsive && vm.last.watches_store}});
     }
     return all;
 }
