--- a/src/log.cpp
+++ b/src/log.cpp
@@ -108,13 +108,13 @@
         const auto now = std::chrono::steady_clock::now();
         if (now - this->second > std::chrono::seconds(1)) {
             this->second = now;
-            this->lines = 0;
+            this->lines_this_second = 0;
         }
-        if (this->lines >= this->bounds.lines_per_s) {
+        if (this->lines_this_second >= this->bounds.lines_per_s) {
             ++this->dropped_lines;
             return false;
         }
-        ++this->lines;
+        ++this->lines_this_second;
         return true;
     }
 
@@ -132,7 +132,7 @@
     log_limits bounds;
     std::string buffered;
     std::size_t dropped_lines = 0;
-    std::size_t lines = 0;                        ///< logged in the current second
+    std::size_t lines_this_second = 0;
     std::chrono::steady_clock::time_point second; ///< start of the current second
     std::chrono::steady_clock::time_point dropped_reported_at;
 };
--- a/src/metrics.cpp
+++ b/src/metrics.cpp
@@ -65,20 +65,20 @@
     std::ostringstream out;
     for (const auto& [name, value] : this->counters)
         out << name << ' ' << value << '\n';
-    for (const auto& [name, item] : this->histograms) {
+    for (const auto& [name, values] : this->histograms) {
         const std::string labels = "service=\"" + escape_label(name.service.text) +
                                    "\",client_account=\"" + escape_label(name.account.text) + "\"";
         const char* metric = name_of(name.kind);
-        double total = item.buckets.at(-1);
-        const auto& scale = item.buckets.axis(0);
+        double total = values.buckets.at(-1);
+        const auto& scale = values.buckets.axis(0);
         for (int i = 0; i < scale.size(); ++i) {
-            total += item.buckets.at(i);
+            total += values.buckets.at(i);
             out << metric << "_bucket{" << labels << ",le=\"" << scale.bin(i).upper() << "\"} "
                 << total << '\n';
         }
-        total += item.buckets.at(scale.size());
+        total += values.buckets.at(scale.size());
         out << metric << "_bucket{" << labels << ",le=\"+Inf\"} " << total << '\n';
-        out << metric << "_sum{" << labels << "} " << item.sum << '\n';
+        out << metric << "_sum{" << labels << "} " << values.sum << '\n';
         out << metric << "_count{" << labels << "} " << total << '\n';
     }
     return out.str();
--- a/src/parsed_options.cpp
+++ b/src/parsed_options.cpp
@@ -42,26 +42,26 @@
 parsed_options read_options(const options::options_description& all, int count,
                             const char* const* arguments)
 {
-    parsed_options given;
+    parsed_options result;
     try {
         constexpr int style = options::command_line_style::default_style &
                               ~options::command_line_style::allow_guessing;
-        options::store(options::parse_command_line(count, arguments, all, style), given.values);
+        options::store(options::parse_command_line(count, arguments, all, style), result.values);
         const auto known = [&](const std::string& variable) { return option_name(variable, all); };
-        options::store(options::parse_environment(all, known), given.values);
-        if (given.values.count(file_option) > 0) {
-            given.file = given.values[file_option].as<std::string>();
-            read_file(given.file, all, given.values);
+        options::store(options::parse_environment(all, known), result.values);
+        if (result.values.count(file_option) > 0) {
+            result.file = result.values[file_option].as<std::string>();
+            read_file(result.file, all, result.values);
         }
     } catch (const options::error& fault) {
         throw user_error("settings", "", fault.what());
     }
-    given.help = given.values.count("help") > 0;
-    given.check_only = given.values.count("check") > 0;
+    result.help = result.values.count("help") > 0;
+    result.check_only = result.values.count("check") > 0;
     std::ostringstream text;
     text << all;
-    given.help_text = text.str();
-    return given;
+    result.help_text = text.str();
+    return result;
 }
 
 } // namespace worksshift
--- a/src/protocol.cpp
+++ b/src/protocol.cpp
@@ -20,31 +20,32 @@
 
 const route* router_config::find(std::string_view host, std::string_view target) const
 {
-    auto group = this->routes_by_host.find(host);
-    if (group == this->routes_by_host.end()) {
-        group = this->routes_by_host.find(without_port(host));
+    auto indexes = this->routes_by_host.find(host);
+    if (indexes == this->routes_by_host.end()) {
+        indexes = this->routes_by_host.find(without_port(host));
     }
-    if (group == this->routes_by_host.end()) return nullptr;
+    if (indexes == this->routes_by_host.end()) return nullptr;
     const std::string_view path = path_of(target);
-    const auto found = std::ranges::find_if(group->second, [&](std::size_t at) {
-        return path.starts_with(this->routes[at].path_prefix);
+    const auto found = std::ranges::find_if(indexes->second, [&](std::size_t route_index) {
+        return path.starts_with(this->routes[route_index].path_prefix);
     });
-    return found == group->second.end() ? nullptr : &this->routes[*found];
+    return found == indexes->second.end() ? nullptr : &this->routes[*found];
 }
 
 void router_config::index()
 {
-    for (std::size_t at = 0; at < this->routes.size(); ++at) {
-        this->routes_by_host[this->routes[at].host].push_back(at);
-        for (const route_target& target : this->routes[at].targets) {
+    for (std::size_t route_index = 0; route_index < this->routes.size(); ++route_index) {
+        this->routes_by_host[this->routes[route_index].host].push_back(route_index);
+        for (const route_target& target : this->routes[route_index].targets) {
             const auto [found, added] = this->min_latency_objective.try_emplace(
-                target.service, this->routes[at].latency_objective);
-            found->second = std::min(found->second, this->routes[at].latency_objective);
+                target.service, this->routes[route_index].latency_objective);
+            found->second = std::min(found->second, this->routes[route_index].latency_objective);
         }
     }
-    for (auto& [host, group] : this->routes_by_host) {
-        std::ranges::sort(group, std::greater{},
-                          [this](std::size_t at) { return this->routes[at].path_prefix.size(); });
+    for (auto& [host, indexes] : this->routes_by_host) {
+        std::ranges::sort(indexes, std::greater{}, [this](std::size_t route_index) {
+            return this->routes[route_index].path_prefix.size();
+        });
     }
 }
 
--- a/src/protocol.h
+++ b/src/protocol.h
@@ -64,7 +64,7 @@
     std::optional<std::uint32_t> load; ///< requests running or queued at the server
 };
 
-/** Longer delays requested by a server are cut to this; nobody asks for more on purpose. */
+/** Longer delays requested by a server are cut to this; a longer one is assumed to be an error. */
 constexpr duration max_retry_after = std::chrono::hours(1);
 
 /** How many times a request may be executed. */
@@ -194,8 +194,8 @@
 
 /** Consistency of a read from the store. */
 enum class read_mode : std::uint8_t {
-    /** May return data that is seconds old; costs a tenth and does not count towards the store's
-     * rate limit. */
+    /** May return data that is seconds old; costs a tenth of a linearizable read and does not
+     * count towards the store's rate limit. */
     stale,
     linearizable,
 };
--- a/src/router_settings.cpp
+++ b/src/router_settings.cpp
@@ -17,7 +17,7 @@
     const char* name;
     double placement_policy::*field;
     double max;
-    const char* text;
+    const char* help;
 };
 
 constexpr std::array placement_settings{
@@ -56,11 +56,11 @@
 void describe_placement(options::options_description& all)
 {
     const placement_policy fallback;
-    for (const placement_setting& item : placement_settings) {
+    for (const placement_setting& setting : placement_settings) {
         std::ostringstream value;
-        value << fallback.*item.field;
-        all.add_options()(item.name, options::value<std::string>()->default_value(value.str()),
-                          item.text);
+        value << fallback.*setting.field;
+        all.add_options()(setting.name, options::value<std::string>()->default_value(value.str()),
+                          setting.help);
     }
 }
 
@@ -106,10 +106,10 @@
     return all;
 }
 
-/** Accessors for setting values, which check them. */
-class given_values {
+/** Reads setting values by name. Each accessor throws a user_error if the value is invalid. */
+class setting_reader {
 public:
-    explicit given_values(const options::variables_map& values) : values(values) {}
+    explicit setting_reader(const options::variables_map& values) : values(values) {}
 
     [[nodiscard]] std::string text(const char* name) const
     {
@@ -128,14 +128,14 @@
 
     [[nodiscard]] double number(const char* name, double low, double high) const
     {
-        const std::string given = this->text(name);
+        const std::string text = this->text(name);
         double value = 0;
-        const auto [end, fault] = std::from_chars(given.data(), given.data() + given.size(), value);
-        const bool complete = fault == std::errc{} && end == given.data() + given.size();
+        const auto [end, fault] = std::from_chars(text.data(), text.data() + text.size(), value);
+        const bool complete = fault == std::errc{} && end == text.data() + text.size();
         if (!complete || value < low || value > high) {
-            std::ostringstream what;
-            what << name << '=' << given << " is not a number from " << low << " to " << high;
-            throw user_error("settings", "", what.str());
+            std::ostringstream message;
+            message << name << '=' << text << " is not a number from " << low << " to " << high;
+            throw user_error("settings", "", message.str());
         }
         return value;
     }
@@ -144,8 +144,8 @@
     {
         std::vector<link_address> found;
         std::istringstream stream(this->values[name].as<std::string>());
-        for (std::string item; std::getline(stream, item, ',');) {
-            if (!item.empty()) found.push_back(parse_address(name, item));
+        for (std::string entry; std::getline(stream, entry, ',');) {
+            if (!entry.empty()) found.push_back(parse_address(name, entry));
         }
         return found;
     }
@@ -154,14 +154,14 @@
     {
         std::map<data_centre_id, region_id> found;
         std::istringstream stream(this->values[name].as<std::string>());
-        for (std::string item; std::getline(stream, item, ',');) {
-            if (item.empty()) continue;
-            const std::size_t at = item.find(':');
-            if (at == 0 || at == std::string::npos || at + 1 == item.size()) {
+        for (std::string entry; std::getline(stream, entry, ',');) {
+            if (entry.empty()) continue;
+            const std::size_t colon = entry.find(':');
+            if (colon == 0 || colon == std::string::npos || colon + 1 == entry.size()) {
                 throw user_error("settings", "",
-                                 std::string(name) + ": " + item + " is not DATA-CENTRE:REGION");
+                                 std::string(name) + ": " + entry + " is not DATA-CENTRE:REGION");
             }
-            found[{item.substr(0, at)}] = {item.substr(at + 1)};
+            found[{entry.substr(0, colon)}] = {entry.substr(colon + 1)};
         }
         return found;
     }
@@ -182,35 +182,35 @@
 constexpr double min_log_lines_per_s = 10;
 constexpr double max_log_lines_per_s = 100000;
 
-router_settings read(const options::variables_map& values)
+router_settings read_settings(const options::variables_map& values)
 {
-    const given_values given(values);
+    const setting_reader reader(values);
     router_settings result;
-    result.vm.text = given.text("vm");
-    result.data_centre.text = given.text("data-centre");
-    result.front = given.address("front");
-    result.readiness = given.address("readiness");
-    const std::string address = given.text("peer-address");
+    result.vm.text = reader.text("vm");
+    result.data_centre.text = reader.text("data-centre");
+    result.front = reader.address("front");
+    result.readiness = reader.address("readiness");
+    const std::string address = reader.text("peer-address");
     const auto port_of = [&](const char* name) {
-        return static_cast<std::uint16_t>(given.number(name, 1, max_port));
+        return static_cast<std::uint16_t>(reader.number(name, 1, max_port));
     };
     result.peer =
         parse_address("peer-address", address + ":" + std::to_string(port_of("peer-port")));
     result.metrics = {address, port_of("metrics-port")};
-    result.store = given.address("store");
-    result.seeds = given.addresses("seeds");
-    result.regions = given.regions("regions");
-    result.cold.over = given.number("cold-over", 1, max_cold_over);
-    result.cold.slack = given.number("cold-slack", 0, max_slack);
-    result.level = parse_log_level(given.text("log-level"));
+    result.store = reader.address("store");
+    result.seeds = reader.addresses("seeds");
+    result.regions = reader.regions("regions");
+    result.cold.over = reader.number("cold-over", 1, max_cold_over);
+    result.cold.slack = reader.number("cold-slack", 0, max_slack);
+    result.level = parse_log_level(reader.text("log-level"));
     result.log_lines_per_s = static_cast<std::size_t>(
-        given.number("log-lines-per-s", min_log_lines_per_s, max_log_lines_per_s));
-    result.stop_grace = to_duration(given.number("stop-grace-s", 1, max_span_s));
-    result.retries.ratio = given.number("retry-ratio", 0, 1);
-    result.retries.window = to_duration(given.number("retry-window-s", 1, max_span_s));
-    result.retries.slack = given.number("retry-slack", 0, max_slack);
-    for (const placement_setting& item : placement_settings)
-        result.placement.*item.field = given.number(item.name, 0, item.max);
+        reader.number("log-lines-per-s", min_log_lines_per_s, max_log_lines_per_s));
+    result.stop_grace = to_duration(reader.number("stop-grace-s", 1, max_span_s));
+    result.retries.ratio = reader.number("retry-ratio", 0, 1);
+    result.retries.window = to_duration(reader.number("retry-window-s", 1, max_span_s));
+    result.retries.slack = reader.number("retry-slack", 0, max_slack);
+    for (const placement_setting& setting : placement_settings)
+        result.placement.*setting.field = reader.number(setting.name, 0, setting.max);
     return result;
 }
 
@@ -218,13 +218,13 @@
 
 router_settings parse_router_settings(int count, const char* const* arguments)
 {
-    const parsed_options given = read_options(describe(), count, arguments);
+    const parsed_options parsed = read_options(describe(), count, arguments);
     router_settings result;
-    if (!given.help) result = read(given.values);
-    result.file = given.file;
-    result.help = given.help;
-    result.check_only = given.check_only;
-    result.help_text = given.help_text;
+    if (!parsed.help) result = read_settings(parsed.values);
+    result.file = parsed.file;
+    result.help = parsed.help;
+    result.check_only = parsed.check_only;
+    result.help_text = parsed.help_text;
     return result;
 }
 
