--- a/apps/worksshift.cpp
+++ b/apps/worksshift.cpp
@@ -71,87 +71,90 @@
 /** A blocking client of the admin API of one node. */
 class client {
 public:
-    client() : base(event_base_new()), caller(base.get())
+    client() : base(event_base_new()), http(base.get())
     {
         const char* address = std::getenv("WORKSSHIFT_ADMIN");
-        const char* given = std::getenv("WORKSSHIFT_TOKEN");
+        const char* operator_token = std::getenv("WORKSSHIFT_TOKEN");
         if (address == nullptr) {
             throw user_error("settings", "", "set WORKSSHIFT_ADMIN=ADDRESS:PORT");
         }
         this->target = parse_address("WORKSSHIFT_ADMIN", address);
         // The status of a worksshift-router needs no token.
-        if (given != nullptr) this->token = given;
+        if (operator_token != nullptr) this->token = operator_token;
     }
 
     http_response call(evhttp_cmd_type method, const std::string& path, const std::string& body)
     {
         http_response result;
-        this->caller.call(this->target, method, path, {{"Authorization", "Bearer " + this->token}},
-                          body, {seconds(20)}, [&](const http_response& response) {
-                              result = response;
-                              event_base_loopbreak(this->base.get());
-                          });
+        this->http.call(this->target, method, path, {{"Authorization", "Bearer " + this->token}},
+                        body, {seconds(20)}, [&](const http_response& response) {
+                            result = response;
+                            event_base_loopbreak(this->base.get());
+                        });
         event_base_dispatch(this->base.get());
-        this->caller.sweep();
+        this->http.sweep();
         return result;
     }
 
 private:
     event_ptr<event_base> base;
-    http_client caller;
+    http_client http;
     link_address target;
     std::string token;
 };
 
 using argument_list = std::vector<std::string>;
 
-json plan_account(const argument_list& given)
+json plan_account(const argument_list& arguments)
 {
-    json intent{{"kind", "set_account"}, {"client_account", given.at(2)}};
-    for (std::size_t i = 3; i < given.size(); ++i) {
-        const std::size_t equals = given[i].find('=');
+    json intent{{"kind", "set_account"}, {"client_account", arguments.at(2)}};
+    for (std::size_t i = 3; i < arguments.size(); ++i) {
+        const std::size_t equals = arguments[i].find('=');
         if (equals == std::string::npos) throw user_error("usage", "", "expected NAME=VALUE");
-        intent[given[i].substr(0, equals)] = json::parse(given[i].substr(equals + 1));
+        intent[arguments[i].substr(0, equals)] = json::parse(arguments[i].substr(equals + 1));
     }
     return intent;
 }
 
-json read_intent(const argument_list& given)
+json read_intent(const argument_list& arguments)
 {
-    const std::string& kind = given.at(1);
+    const std::string& kind = arguments.at(1);
     if (kind == "drain" || kind == "undrain" || kind == "remove") {
-        return {{"kind", kind + "_server"}, {"server", given.at(2)}};
+        return {{"kind", kind + "_server"}, {"server", arguments.at(2)}};
     }
     if (kind == "add") {
         return {{"kind", "add_server"},
-                {"service", given.at(2)},
+                {"service", arguments.at(2)},
                 {"server",
-                 {{"id", given.at(3)},
-                  {"data_centre", given.at(4)},
-                  {"address", given.at(5)},
-                  {"port", std::stoul(given.at(6))},
-                  {"limit", std::stoul(given.at(7))}}}};
+                 {{"id", arguments.at(3)},
+                  {"data_centre", arguments.at(4)},
+                  {"address", arguments.at(5)},
+                  {"port", std::stoul(arguments.at(6))},
+                  {"limit", std::stoul(arguments.at(7))}}}};
     }
     if (kind == "bound") {
-        return {{"kind", "set_bound"}, {"service", given.at(2)}, {"bound", std::stod(given.at(3))}};
+        return {{"kind", "set_bound"},
+                {"service", arguments.at(2)},
+                {"bound", std::stod(arguments.at(3))}};
     }
     if (kind == "fencing") {
         return {{"kind", "set_fencing"},
-                {"service", given.at(2)},
-                {"fenced", json::parse(given.at(3))}};
+                {"service", arguments.at(2)},
+                {"fenced", json::parse(arguments.at(3))}};
     }
     if (kind == "add-version" || kind == "serve-version" || kind == "retire-version") {
         const std::string verb = kind.substr(0, kind.find('-'));
-        return {
-            {"kind", verb + "_model_version"}, {"service", given.at(2)}, {"version", given.at(3)}};
+        return {{"kind", verb + "_model_version"},
+                {"service", arguments.at(2)},
+                {"version", arguments.at(3)}};
     }
-    if (kind == "account") return plan_account(given);
+    if (kind == "account") return plan_account(arguments);
     if (kind == "add-account") {
         return {{"kind", "add_account"},
-                {"client_account", {{"id", given.at(2)}, {"key_sha256", given.at(3)}}}};
+                {"client_account", {{"id", arguments.at(2)}, {"key_sha256", arguments.at(3)}}}};
     }
     if (kind == "remove-account") {
-        return {{"kind", "remove_account"}, {"client_account", given.at(2)}};
+        return {{"kind", "remove_account"}, {"client_account", arguments.at(2)}};
     }
     throw user_error("usage", "", "there is no plan " + kind);
 }
@@ -198,12 +201,12 @@
 /** Names of the live nodes whose revision is lower than \p revision. */
 std::vector<std::string> lagging_nodes(const json& status, std::uint64_t revision)
 {
-    std::vector<std::string> missing;
+    std::vector<std::string> lagging;
     for (const json& vm : status["vms"]) {
         const bool live = vm["state"] == "alive" || vm["state"] == "suspect";
-        if (live && vm["revision"].get<std::uint64_t>() < revision) missing.push_back(vm["vm"]);
+        if (live && vm["revision"].get<std::uint64_t>() < revision) lagging.push_back(vm["vm"]);
     }
-    return missing;
+    return lagging;
 }
 
 int watch(client& node, const std::string& id)
@@ -224,13 +227,13 @@
             }
             revision = status["revision"];
         }
-        const auto missing = lagging_nodes(status, revision);
+        const auto lagging = lagging_nodes(status, revision);
         std::cout << "revision " << revision << " in force on "
-                  << status["vms"].size() - missing.size() << " of " << status["vms"].size();
-        for (const std::string& vm : missing)
+                  << status["vms"].size() - lagging.size() << " of " << status["vms"].size();
+        for (const std::string& vm : lagging)
             std::cout << ' ' << vm;
         std::cout << '\n';
-        if (missing.empty()) return 0;
+        if (lagging.empty()) return 0;
     }
     return exit_timeout;
 }
@@ -244,38 +247,40 @@
     return text.str();
 }
 
-int run(const argument_list& given)
+int run(const argument_list& arguments)
 {
-    const std::string command = given.empty() ? "help" : given[0];
+    const std::string command = arguments.empty() ? "help" : arguments[0];
     if (command == "help" || command == "--help") {
         std::cout << usage;
-        return given.empty() ? exit_usage : 0;
+        return arguments.empty() ? exit_usage : 0;
     }
     if (command == "completion") {
         std::cout << completion;
         return 0;
     }
     client node;
-    if (command == "status") return print_status(node, given.size() > 1 && given[1] == "--json");
+    if (command == "status")
+        return print_status(node, arguments.size() > 1 && arguments[1] == "--json");
     if (command == "config") return print(node.call(EVHTTP_REQ_GET, "/admin/config", {}));
     if (command == "bootstrap") {
-        return print(node.call(EVHTTP_REQ_POST, "/admin/bootstrap", read_file(given.at(1))));
+        return print(node.call(EVHTTP_REQ_POST, "/admin/bootstrap", read_file(arguments.at(1))));
     }
     if (command == "plan") {
-        return print(node.call(EVHTTP_REQ_POST, "/admin/plans", read_intent(given).dump()));
+        return print(node.call(EVHTTP_REQ_POST, "/admin/plans", read_intent(arguments).dump()));
     }
     if (command == "rollback") {
-        const json wanted{{"kind", "rollback"}, {"plan", given.at(1)}};
-        return print(node.call(EVHTTP_REQ_POST, "/admin/plans", wanted.dump()));
+        const json intent{{"kind", "rollback"}, {"plan", arguments.at(1)}};
+        return print(node.call(EVHTTP_REQ_POST, "/admin/plans", intent.dump()));
     }
     if (command == "history") return print(node.call(EVHTTP_REQ_GET, "/admin/history", {}));
     if (command == "show") {
-        return print(node.call(EVHTTP_REQ_GET, "/admin/plans/" + given.at(1), {}));
+        return print(node.call(EVHTTP_REQ_GET, "/admin/plans/" + arguments.at(1), {}));
     }
     if (command == "confirm") {
-        return print(node.call(EVHTTP_REQ_POST, "/admin/plans/" + given.at(1) + "/confirm", {}));
+        return print(
+            node.call(EVHTTP_REQ_POST, "/admin/plans/" + arguments.at(1) + "/confirm", {}));
     }
-    if (command == "watch") return watch(node, given.at(1));
+    if (command == "watch") return watch(node, arguments.at(1));
     throw user_error("usage", "", "there is no command " + command);
 }
 
--- a/apps/worksshift_experiment.cpp
+++ b/apps/worksshift_experiment.cpp
@@ -19,8 +19,8 @@
 
 namespace options = boost::program_options;
 
-/** The command line. */
-struct request {
+/** The parsed command line. */
+struct command_line {
     std::vector<std::string> patterns;
     std::vector<std::string> policies;
     unsigned seeds = 1;
@@ -46,19 +46,19 @@
 }
 
 /** `patterns` is empty if only the help text was printed. */
-request read_command_line(int count, char** arguments)
+command_line read_command_line(int count, char** arguments)
 {
-    request made;
+    command_line parsed;
     std::string policies;
     options::options_description all("worksshift-experiment PATTERN... settings");
     auto add = all.add_options();
     add("help", "prints this help");
-    add("pattern", options::value(&made.patterns), "TOML files of patterns");
+    add("pattern", options::value(&parsed.patterns), "TOML files of patterns");
     add("policy", options::value(&policies)->default_value("product,admit-all,all-knowing"),
         ("comma-separated: " + joined(lab::named_policy_names())).c_str());
-    add("seeds", options::value(&made.seeds)->default_value(1),
+    add("seeds", options::value(&parsed.seeds)->default_value(1),
         "number of runs of each pattern and policy, 1 to 100");
-    add("out", options::value(&made.folder), "folder for an HTML report with plots");
+    add("out", options::value(&parsed.folder), "folder for an HTML report with plots");
     options::positional_options_description positions;
     positions.add("pattern", -1);
     options::variables_map values;
@@ -67,23 +67,23 @@
         values);
     options::notify(values);
     constexpr unsigned max_seeds = 100;
-    if (values.count("help") > 0 || made.patterns.empty()) {
+    if (values.count("help") > 0 || parsed.patterns.empty()) {
         std::cout << all << '\n';
-        made.patterns.clear();
+        parsed.patterns.clear();
     }
-    if (made.seeds < 1 || made.seeds > max_seeds) {
+    if (parsed.seeds < 1 || parsed.seeds > max_seeds) {
         throw worksshift::user_error("settings", "", "seeds must be a number from 1 to 100");
     }
-    made.policies = split(policies);
-    return made;
+    parsed.policies = split(policies);
+    return parsed;
 }
 
-void print(const lab::outcome& result, const lab::pattern& given, const std::string& policy,
+void print(const lab::outcome& result, const lab::pattern& pattern, const std::string& policy,
            unsigned seed)
 {
     std::printf("pattern=%s policy=%s seed=%u earned=%.4f on_time=%.4f refused=%.4f "
                 "over_bound=%.4f shared_tokens_read=%llu shared_tokens_copied=%llu\n",
-                given.name.c_str(), policy.c_str(), seed, result.earned_share(),
+                pattern.name.c_str(), policy.c_str(), seed, result.earned_share(),
                 result.on_time_share(), result.refused_share(), result.over_bound,
                 static_cast<unsigned long long>(result.totals.shared_tokens_read),
                 static_cast<unsigned long long>(result.totals.shared_tokens_copied));
@@ -99,22 +99,22 @@
 int main(int count, char** arguments)
 {
     try {
-        const request asked = read_command_line(count, arguments);
+        const command_line command = read_command_line(count, arguments);
         std::vector<lab::run_result> all;
-        for (const std::string& file : asked.patterns) {
-            const lab::pattern given = lab::read_pattern(file);
-            for (const std::string& policy : asked.policies) {
+        for (const std::string& file : command.patterns) {
+            const lab::pattern pattern = lab::read_pattern(file);
+            for (const std::string& policy : command.policies) {
                 const lab::named_policy chosen_policy = lab::make_named_policy(policy);
-                for (unsigned seed = 1; seed <= asked.seeds; ++seed) {
+                for (unsigned seed = 1; seed <= command.seeds; ++seed) {
                     all.push_back(
-                        {given.name, policy, lab::run_simulation(given, chosen_policy, seed)});
-                    print(all.back().result, given, policy, seed);
+                        {pattern.name, policy, lab::run_simulation(pattern, chosen_policy, seed)});
+                    print(all.back().result, pattern, policy, seed);
                 }
             }
         }
-        if (!asked.folder.empty() && !all.empty()) {
-            std::filesystem::create_directories(asked.folder);
-            std::ofstream(std::filesystem::path(asked.folder) / "experiment.html")
+        if (!command.folder.empty() && !all.empty()) {
+            std::filesystem::create_directories(command.folder);
+            std::ofstream(std::filesystem::path(command.folder) / "experiment.html")
                 << lab::write_page(all);
         }
         return 0;
--- a/apps/worksshift_router.cpp
+++ b/apps/worksshift_router.cpp
@@ -28,8 +28,9 @@
                            [=] { return parse_router_settings(count, arguments); });
             status = process.run();
         }
-        // No normal exit: the log library joins its threads then, which on the users' platform
-        // blocked until the process was killed. All log lines have been written by now.
+        // Exits without running static destructors: the log library joins its threads in them,
+        // which blocked on the target platform until the process was killed. The buffered log lines
+        // are written by flush_log before that.
         flush_log();
         std::_Exit(status);
     } catch (const error& fault) {
