--- a/test/error/forged_headers.cpp
+++ b/test/error/forged_headers.cpp
@@ -53,10 +53,10 @@
 class forged_headers : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(forged_headers);
     CPPUNIT_TEST(never_reach_a_server);
-    CPPUNIT_TEST(never_on_a_repeated_send);
-    CPPUNIT_TEST(never_on_a_resumed_send);
-    CPPUNIT_TEST(position_of_a_stream_that_cannot_be_resumed);
-    CPPUNIT_TEST(first_of_two_counts);
+    CPPUNIT_TEST(never_on_a_retry);
+    CPPUNIT_TEST(never_on_a_resumed_attempt);
+    CPPUNIT_TEST(resume_position_on_a_non_resumable_route);
+    CPPUNIT_TEST(first_of_duplicate_headers_is_used);
     CPPUNIT_TEST(are_counted);
     CPPUNIT_TEST_SUITE_END();
 
@@ -116,7 +116,7 @@
     }
 
     /** Guards against a forged header on a retry after a rejected attempt. */
-    void never_on_a_repeated_send()
+    void never_on_a_retry()
     {
         const auto refuse_once = [refused = false](const std::string& request) mutable {
             if (std::exchange(refused, true))
@@ -134,7 +134,7 @@
     }
 
     /** Guards against a forged header on the attempt that resumes a broken stream. */
-    void never_on_a_resumed_send()
+    void never_on_a_resumed_attempt()
     {
         const auto break_off = [](const std::string& request) {
             if (!header_in(request, "last-event-id").empty()) {
@@ -155,7 +155,7 @@
     }
 
     /** Guards against a caller setting the resume position on a route that is not resumable. */
-    void position_of_a_stream_that_cannot_be_resumed()
+    void resume_position_on_a_non_resumable_route()
     {
         scripted_server& desk = this->add_plain("a", "desk");
         scripted_server& engine = this->add_plain("b", "llm");
@@ -169,7 +169,7 @@
     }
 
     /** Guards against a server reading another value than the router from a header sent twice. */
-    void first_of_two_counts()
+    void first_of_duplicate_headers_is_used()
     {
         scripted_server& desk = this->add_plain("a", "desk");
         std::string text = request_text("POST", "/safe/x", "11", "hello");
--- a/test/error/callers_that_ask_badly.cpp
+++ b/test/error/invalid_caller_requests.cpp
@@ -12,16 +12,16 @@
 using namespace worksshift;
 using then = scripted_answer::then;
 
-class callers_that_ask_badly : public CppUnit::TestFixture {
-    CPPUNIT_TEST_SUITE(callers_that_ask_badly);
-    CPPUNIT_TEST(unreadable);
+class invalid_caller_requests : public CppUnit::TestFixture {
+    CPPUNIT_TEST_SUITE(invalid_caller_requests);
+    CPPUNIT_TEST(malformed);
     CPPUNIT_TEST(too_large);
     CPPUNIT_TEST(too_slow);
-    CPPUNIT_TEST(unknown_route_and_key);
-    CPPUNIT_TEST(no_configuration_yet);
-    CPPUNIT_TEST(configuration_on_its_way);
-    CPPUNIT_TEST(headers_of_ours);
-    CPPUNIT_TEST(pipelined);
+    CPPUNIT_TEST(unknown_route_or_key);
+    CPPUNIT_TEST(requests_fail_without_configuration);
+    CPPUNIT_TEST(requests_wait_for_configuration);
+    CPPUNIT_TEST(reserved_headers);
+    CPPUNIT_TEST(pipelined_responses_stay_in_order);
     CPPUNIT_TEST(chunked_body);
     CPPUNIT_TEST(nested_routes);
     CPPUNIT_TEST_SUITE_END();
@@ -55,7 +55,7 @@
     }
 
     /** Guards against forwarding malformed requests and requests with ambiguous framing. */
-    void unreadable()
+    void malformed()
     {
         for (const std::string& text :
              {std::string("nothing like a request\r\n\r\n"), with_header("Content-Length: 3"),
@@ -81,7 +81,7 @@
     }
 
     /** Guards against forwarding without a route or a valid key; public routes need no key. */
-    void unknown_route_and_key()
+    void unknown_route_or_key()
     {
         CPPUNIT_ASSERT_EQUAL(404, this->status_of(request_text("GET", "/else/x", "1")));
         std::string text = request_text("GET", "/safe/x", "1");
@@ -93,7 +93,7 @@
     }
 
     /** Guards against requests that wait forever when no configuration arrives. */
-    void no_configuration_yet()
+    void requests_fail_without_configuration()
     {
         this->rig = std::make_unique<path_rig>();
         raw_caller& caller = this->rig->add_caller();
@@ -105,7 +105,7 @@
 
     /** Guards against rejecting requests shortly before the configuration arrives, and against
      * failures when a waiting caller disconnects. */
-    void configuration_on_its_way()
+    void requests_wait_for_configuration()
     {
         this->rig = std::make_unique<path_rig>();
         this->rig->add_server("a", "desk", [](const std::string& request) {
@@ -136,7 +136,7 @@
     }
 
     /** Guards against callers that set reserved headers, and against forwarding API keys. */
-    void headers_of_ours()
+    void reserved_headers()
     {
         CPPUNIT_ASSERT_EQUAL(
             200, this->status_of(with_header("X-Tenant: somebody-else\r\nX-Expect-Instance: z\r\n"
@@ -150,7 +150,7 @@
     }
 
     /** Guards against responses to pipelined requests being sent out of order. */
-    void pipelined()
+    void pipelined_responses_stay_in_order()
     {
         raw_caller& caller = this->rig->add_caller();
         caller.send(request_text("GET", "/safe/x", "71") + request_text("GET", "/safe/x", "72") +
@@ -173,6 +173,6 @@
     }
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(callers_that_ask_badly);
+CPPUNIT_TEST_SUITE_REGISTRATION(invalid_caller_requests);
 
 } // namespace
--- a/test/error/servers_that_answer_badly.cpp
+++ b/test/error/invalid_server_responses.cpp
@@ -13,27 +13,27 @@
 using namespace worksshift;
 using then = scripted_answer::then;
 
-class servers_that_answer_badly : public CppUnit::TestFixture {
-    CPPUNIT_TEST_SUITE(servers_that_answer_badly);
-    CPPUNIT_TEST(truncated_is_tried_elsewhere);
-    CPPUNIT_TEST(truncated_runs_once_if_not_idempotent);
-    CPPUNIT_TEST(garbage);
-    CPPUNIT_TEST(second_answer_goes_to_nobody);
-    CPPUNIT_TEST(late_answer_is_passed_over);
-    CPPUNIT_TEST(without_length_ends_with_connection);
-    CPPUNIT_TEST(without_length_and_reset);
-    CPPUNIT_TEST(answer_before_body_was_read);
-    CPPUNIT_TEST(idle_connection_that_closed);
-    CPPUNIT_TEST(what_runs_once_goes_on_a_fresh_connection);
-    CPPUNIT_TEST(other_server_at_the_address);
-    CPPUNIT_TEST(refusal_is_tried_elsewhere);
-    CPPUNIT_TEST(refusal_of_all_is_told);
-    CPPUNIT_TEST(unproved_refusal_is_no_promise);
-    CPPUNIT_TEST(own_failure_passes_unchanged);
-    CPPUNIT_TEST(nobody_listens);
-    CPPUNIT_TEST(silent_server_is_left);
-    CPPUNIT_TEST(quiet_server_gets_no_more);
-    CPPUNIT_TEST(timeout_is_answered);
+class invalid_server_responses : public CppUnit::TestFixture {
+    CPPUNIT_TEST_SUITE(invalid_server_responses);
+    CPPUNIT_TEST(truncated_response_is_retried);
+    CPPUNIT_TEST(truncated_response_to_non_idempotent_is_not_retried);
+    CPPUNIT_TEST(response_is_not_http);
+    CPPUNIT_TEST(unsolicited_second_response_is_discarded);
+    CPPUNIT_TEST(late_response_is_skipped);
+    CPPUNIT_TEST(response_without_length_ends_at_close);
+    CPPUNIT_TEST(response_without_length_fails_on_reset);
+    CPPUNIT_TEST(response_before_body_was_read);
+    CPPUNIT_TEST(closed_idle_connection_is_not_reused);
+    CPPUNIT_TEST(non_idempotent_request_uses_a_fresh_connection);
+    CPPUNIT_TEST(different_server_at_the_address);
+    CPPUNIT_TEST(rejected_request_is_retried);
+    CPPUNIT_TEST(rejection_by_all_servers_has_retry_after);
+    CPPUNIT_TEST(rejection_without_proof_becomes_502);
+    CPPUNIT_TEST(server_error_is_forwarded_unchanged);
+    CPPUNIT_TEST(unreachable_server);
+    CPPUNIT_TEST(request_to_silent_server_is_retried);
+    CPPUNIT_TEST(unresponsive_server_gets_no_further_requests);
+    CPPUNIT_TEST(expired_request_gets_504);
     CPPUNIT_TEST_SUITE_END();
 
     std::unique_ptr<path_rig> rig;
@@ -43,24 +43,24 @@
         return {answer_text(200, request, "good"), then::keep};
     }
 
-    /** Sends one request and returns the whole answer. */
+    /** Sends one request and returns the complete response. */
     std::string ask(const std::string& text)
     {
         raw_caller& caller = this->rig->add_caller();
         caller.send(text);
-        const auto whole = [&caller] {
+        const auto complete = [&caller] {
             const std::string length = header_in(caller.received, "content-length");
-            const bool counted =
+            const bool full_length =
                 !length.empty() && body_in(caller.received).size() >= std::stoul(length);
-            return counted || caller.received.ends_with("0\r\n\r\n") || caller.closed;
+            return full_length || caller.received.ends_with("0\r\n\r\n") || caller.closed;
         };
-        CPPUNIT_ASSERT(this->rig->run_until(whole));
+        CPPUNIT_ASSERT(this->rig->run_until(complete));
         return caller.received;
     }
 
-    static int status_of(const std::string& answer)
+    static int status_of(const std::string& response)
     {
-        return answer.size() < 12 ? 0 : std::stoi(answer.substr(9, 3));
+        return response.size() < 12 ? 0 : std::stoi(response.substr(9, 3));
     }
 
 public:
@@ -72,48 +72,48 @@
 
     /** Guards against forwarding a truncated response to an idempotent request instead of retrying.
      */
-    void truncated_is_tried_elsewhere()
+    void truncated_response_is_retried()
     {
         std::size_t sent = 0;
-        const auto first_is_cut = [&sent](const std::string& request) -> scripted_answer {
+        const auto first_is_truncated = [&sent](const std::string& request) -> scripted_answer {
             if (++sent > 1) return good(request);
             std::string text = answer_text(200, request, "not whole");
             return {text.substr(0, text.size() - 3), then::close};
         };
-        this->rig->add_server("a", "desk", first_is_cut);
-        this->rig->add_server("b", "desk", first_is_cut);
-        const std::string answer = this->ask(request_text("GET", "/safe/x", "1"));
-        CPPUNIT_ASSERT_EQUAL(200, status_of(answer));
-        CPPUNIT_ASSERT_EQUAL(std::string("good"), body_in(answer));
+        this->rig->add_server("a", "desk", first_is_truncated);
+        this->rig->add_server("b", "desk", first_is_truncated);
+        const std::string response = this->ask(request_text("GET", "/safe/x", "1"));
+        CPPUNIT_ASSERT_EQUAL(200, status_of(response));
+        CPPUNIT_ASSERT_EQUAL(std::string("good"), body_in(response));
     }
 
     /** Guards against retrying a non-idempotent request after a truncated response. */
-    void truncated_runs_once_if_not_idempotent()
+    void truncated_response_to_non_idempotent_is_not_retried()
     {
-        const auto cut = [](const std::string& request) -> scripted_answer {
+        const auto truncated = [](const std::string& request) -> scripted_answer {
             const std::string text = answer_text(200, request, "not whole");
             return {text.substr(0, text.size() - 3), then::close};
         };
-        scripted_server& a = this->rig->add_server("a", "desk", cut);
-        scripted_server& b = this->rig->add_server("b", "desk", cut);
-        const std::string answer = this->ask(request_text("POST", "/unsafe/x", "1", "{}"));
-        CPPUNIT_ASSERT_EQUAL(502, status_of(answer));
-        CPPUNIT_ASSERT(header_in(answer, "x-response-signature").empty());
+        scripted_server& a = this->rig->add_server("a", "desk", truncated);
+        scripted_server& b = this->rig->add_server("b", "desk", truncated);
+        const std::string response = this->ask(request_text("POST", "/unsafe/x", "1", "{}"));
+        CPPUNIT_ASSERT_EQUAL(502, status_of(response));
+        CPPUNIT_ASSERT(header_in(response, "x-response-signature").empty());
         CPPUNIT_ASSERT_EQUAL(std::size_t{1}, a.requests.size() + b.requests.size());
     }
 
     /** Guards against forwarding bytes that are not HTTP. */
-    void garbage()
+    void response_is_not_http()
     {
         this->rig->add_server("a", "desk", [](const std::string&) -> scripted_answer {
             return {"\x01\x02 nothing like an answer\r\n\r\n", then::keep};
         });
-        const std::string answer = this->ask(request_text("POST", "/unsafe/x", "1", "{}"));
-        CPPUNIT_ASSERT_EQUAL(502, status_of(answer));
+        const std::string response = this->ask(request_text("POST", "/unsafe/x", "1", "{}"));
+        CPPUNIT_ASSERT_EQUAL(502, status_of(response));
     }
 
     /** Guards against delivering an unsolicited second response to the next request. */
-    void second_answer_goes_to_nobody()
+    void unsolicited_second_response_is_discarded()
     {
         scripted_server& server =
             this->rig->add_server("a", "desk", [](const std::string& request) -> scripted_answer {
@@ -128,7 +128,7 @@
     }
 
     /** Guards against delivering a late response to an earlier request to the current one. */
-    void late_answer_is_passed_over()
+    void late_response_is_skipped()
     {
         std::string earlier;
         scripted_server& server =
@@ -151,29 +151,29 @@
     }
 
     /** Guards against rejecting a response without a length that ends with the connection. */
-    void without_length_ends_with_connection()
+    void response_without_length_ends_at_close()
     {
         this->rig->add_server("a", "desk", [](const std::string& request) -> scripted_answer {
             return {without_length(request), then::close};
         });
-        const std::string answer = this->ask(request_text("POST", "/unsafe/x", "1", "{}"));
-        CPPUNIT_ASSERT_EQUAL(200, status_of(answer));
-        CPPUNIT_ASSERT_EQUAL(std::string("to the end"), body_in(answer));
+        const std::string response = this->ask(request_text("POST", "/unsafe/x", "1", "{}"));
+        CPPUNIT_ASSERT_EQUAL(200, status_of(response));
+        CPPUNIT_ASSERT_EQUAL(std::string("to the end"), body_in(response));
     }
 
     /** Guards against taking a response without a length as complete when the connection was reset.
      */
-    void without_length_and_reset()
+    void response_without_length_fails_on_reset()
     {
         this->rig->add_server("a", "desk", [](const std::string& request) -> scripted_answer {
             return {without_length(request), then::reset};
         });
-        const std::string answer = this->ask(request_text("POST", "/unsafe/x", "1", "{}"));
-        CPPUNIT_ASSERT_EQUAL(502, status_of(answer));
+        const std::string response = this->ask(request_text("POST", "/unsafe/x", "1", "{}"));
+        CPPUNIT_ASSERT_EQUAL(502, status_of(response));
     }
 
     /** Guards against reusing a connection on which a request body was not sent to its end. */
-    void answer_before_body_was_read()
+    void response_before_body_was_read()
     {
         // Larger than all socket buffers together, so part of the body is still unsent.
         constexpr std::size_t large = std::size_t{16} * 1024 * 1024;
@@ -194,15 +194,15 @@
     }
 
     /** Guards against sending a request on a connection that the server has closed. */
-    void idle_connection_that_closed()
+    void closed_idle_connection_is_not_reused()
     {
         scripted_server& server =
             this->rig->add_server("a", "desk", [](const std::string& request) -> scripted_answer {
                 return {answer_text(200, request, "good"), then::close};
             });
         for (const std::string id : {"41", "42"}) {
-            const std::string answer = this->ask(request_text("POST", "/unsafe/x", id, "{}"));
-            CPPUNIT_ASSERT_EQUAL(200, status_of(answer));
+            const std::string response = this->ask(request_text("POST", "/unsafe/x", id, "{}"));
+            CPPUNIT_ASSERT_EQUAL(200, status_of(response));
             this->rig->run_for(milliseconds(20));
         }
         CPPUNIT_ASSERT_EQUAL(std::size_t{2}, server.connections);
@@ -210,7 +210,7 @@
 
     /** Guards against sending a non-idempotent request on a connection that was idle for long. The
      * server may close it at that moment, which would leave the outcome unknown. */
-    void what_runs_once_goes_on_a_fresh_connection()
+    void non_idempotent_request_uses_a_fresh_connection()
     {
         scripted_server& server = this->rig->add_server("a", "desk", good);
         this->ask(request_text("GET", "/safe/x", "1"));
@@ -226,7 +226,7 @@
 
     /** Guards against sending more requests to an address where a different server answers (421).
      */
-    void other_server_at_the_address()
+    void different_server_at_the_address()
     {
         const auto other = [](const std::string& request) -> scripted_answer {
             return {answer_text(421, request, "", "X-Instance-Id: z\r\n"), then::keep};
@@ -234,8 +234,8 @@
         scripted_server& a = this->rig->add_server("a", "desk", other);
         this->rig->add_server("b", "desk", good);
         for (const std::string id : {"51", "52", "53", "54"}) {
-            const std::string answer = this->ask(request_text("POST", "/unsafe/x", id, "{}"));
-            CPPUNIT_ASSERT_EQUAL(200, status_of(answer));
+            const std::string response = this->ask(request_text("POST", "/unsafe/x", id, "{}"));
+            CPPUNIT_ASSERT_EQUAL(200, status_of(response));
         }
         // After the first 421 no further request is sent to it.
         CPPUNIT_ASSERT(a.requests.size() <= 1);
@@ -247,7 +247,7 @@
     }
 
     /** Guards against not retrying a request that a server provably did not run. */
-    void refusal_is_tried_elsewhere()
+    void rejected_request_is_retried()
     {
         std::size_t sent = 0;
         const auto first_refuses = [&sent](const std::string& request) -> scripted_answer {
@@ -255,46 +255,46 @@
         };
         this->rig->add_server("a", "desk", first_refuses);
         this->rig->add_server("b", "desk", first_refuses);
-        const std::string answer = this->ask(request_text("POST", "/unsafe/x", "1", "{}"));
-        CPPUNIT_ASSERT_EQUAL(200, status_of(answer));
+        const std::string response = this->ask(request_text("POST", "/unsafe/x", "1", "{}"));
+        CPPUNIT_ASSERT_EQUAL(200, status_of(response));
         CPPUNIT_ASSERT_EQUAL(std::size_t{2}, sent);
     }
 
-    /** Guards against a missing Retry-After when all servers refuse. */
-    void refusal_of_all_is_told()
+    /** Guards against a missing Retry-After when all servers reject a request. */
+    void rejection_by_all_servers_has_retry_after()
     {
         this->rig->add_server("a", "desk", refuse);
         this->rig->add_server("b", "desk", refuse);
-        const std::string answer = this->ask(request_text("POST", "/unsafe/x", "1", "{}"));
-        CPPUNIT_ASSERT_EQUAL(503, status_of(answer));
-        CPPUNIT_ASSERT(!header_in(answer, "retry-after").empty());
+        const std::string response = this->ask(request_text("POST", "/unsafe/x", "1", "{}"));
+        CPPUNIT_ASSERT_EQUAL(503, status_of(response));
+        CPPUNIT_ASSERT(!header_in(response, "retry-after").empty());
     }
 
     /** Guards against passing on a 503 that does not prove that the request did not run. */
-    void unproved_refusal_is_no_promise()
+    void rejection_without_proof_becomes_502()
     {
         this->rig->add_server("a", "desk", [](const std::string& request) -> scripted_answer {
             return {answer_text(503, request, "ran"), then::keep};
         });
-        const std::string answer = this->ask(request_text("POST", "/unsafe/x", "1", "{}"));
-        CPPUNIT_ASSERT_EQUAL(502, status_of(answer));
+        const std::string response = this->ask(request_text("POST", "/unsafe/x", "1", "{}"));
+        CPPUNIT_ASSERT_EQUAL(502, status_of(response));
     }
 
     /** Guards against changing a server's own error response. */
-    void own_failure_passes_unchanged()
+    void server_error_is_forwarded_unchanged()
     {
         this->rig->add_server("a", "desk", [](const std::string& request) -> scripted_answer {
             return {answer_text(500, request, "its own words"), then::keep};
         });
-        const std::string answer = this->ask(request_text("POST", "/unsafe/x", "1", "{}"));
-        CPPUNIT_ASSERT_EQUAL(500, status_of(answer));
-        CPPUNIT_ASSERT_EQUAL(std::string("sig"), header_in(answer, "x-response-signature"));
-        CPPUNIT_ASSERT_EQUAL(std::string("its own words"), body_in(answer));
+        const std::string response = this->ask(request_text("POST", "/unsafe/x", "1", "{}"));
+        CPPUNIT_ASSERT_EQUAL(500, status_of(response));
+        CPPUNIT_ASSERT_EQUAL(std::string("sig"), header_in(response, "x-response-signature"));
+        CPPUNIT_ASSERT_EQUAL(std::string("its own words"), body_in(response));
     }
 
     /** Guards against claiming that a request ran, or failing later ones, if a server is
      * unreachable. */
-    void nobody_listens()
+    void unreachable_server()
     {
         server_record record;
         record.id.text = "dead";
@@ -302,16 +302,16 @@
         record.address = {"127.0.0.1", free_port()};
         record.data_centre.text = "dc";
         this->rig->table.put(record);
-        const std::string alone = this->ask(request_text("POST", "/unsafe/x", "1", "{}"));
-        CPPUNIT_ASSERT_EQUAL(503, status_of(alone));
+        const std::string without_server = this->ask(request_text("POST", "/unsafe/x", "1", "{}"));
+        CPPUNIT_ASSERT_EQUAL(503, status_of(without_server));
         this->rig->add_server("b", "desk", good);
-        const std::string answer = this->ask(request_text("POST", "/unsafe/x", "2", "{}"));
-        CPPUNIT_ASSERT_EQUAL(200, status_of(answer));
+        const std::string response = this->ask(request_text("POST", "/unsafe/x", "2", "{}"));
+        CPPUNIT_ASSERT_EQUAL(200, status_of(response));
     }
 
     /** Guards against waiting for a silent server until the deadline, or leaving its connection
      * open. */
-    void silent_server_is_left()
+    void request_to_silent_server_is_retried()
     {
         std::size_t sent = 0;
         const auto first_is_silent = [&sent](const std::string& request) -> scripted_answer {
@@ -319,13 +319,13 @@
         };
         scripted_server& a = this->rig->add_server("a", "desk", first_is_silent);
         scripted_server& b = this->rig->add_server("b", "desk", first_is_silent);
-        const std::string answer = this->ask(request_text("GET", "/safe/x", "1"));
-        CPPUNIT_ASSERT_EQUAL(200, status_of(answer));
+        const std::string response = this->ask(request_text("GET", "/safe/x", "1"));
+        CPPUNIT_ASSERT_EQUAL(200, status_of(response));
         CPPUNIT_ASSERT(this->rig->run_until([&] { return a.closed + b.closed == 1; }));
     }
 
     /** Guards against sending further requests to a server that has stopped answering. */
-    void quiet_server_gets_no_more()
+    void unresponsive_server_gets_no_further_requests()
     {
         const auto silent = [](const std::string&) -> scripted_answer {
             return {"", then::stay_silent};
@@ -337,8 +337,8 @@
         scripted_server& b = this->rig->add_server("b", "desk", good);
         this->rig->run_for(server_entry::unresponsive_after + milliseconds(50));
         for (const std::string id : {"2", "3", "4", "5", "6", "7", "8"}) {
-            const std::string answer = this->ask(request_text("POST", "/unsafe/x", id, "{}"));
-            CPPUNIT_ASSERT_EQUAL(200, status_of(answer));
+            const std::string response = this->ask(request_text("POST", "/unsafe/x", id, "{}"));
+            CPPUNIT_ASSERT_EQUAL(200, status_of(response));
         }
         CPPUNIT_ASSERT_EQUAL(std::size_t{1}, a.requests.size());
         CPPUNIT_ASSERT_EQUAL(std::size_t{7}, b.requests.size());
@@ -346,18 +346,18 @@
 
     /** Guards against an expired request without a 504, or one that is not cancelled at its server.
      */
-    void timeout_is_answered()
+    void expired_request_gets_504()
     {
         scripted_server& server =
             this->rig->add_server("a", "desk", [](const std::string&) -> scripted_answer {
                 return {"", then::stay_silent};
             });
-        const std::string answer = this->ask(request_text("POST", "/unsafe/x", "1", "{}"));
-        CPPUNIT_ASSERT_EQUAL(504, status_of(answer));
+        const std::string response = this->ask(request_text("POST", "/unsafe/x", "1", "{}"));
+        CPPUNIT_ASSERT_EQUAL(504, status_of(response));
         CPPUNIT_ASSERT(this->rig->run_until([&] { return server.closed == 1; }));
     }
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(servers_that_answer_badly);
+CPPUNIT_TEST_SUITE_REGISTRATION(invalid_server_responses);
 
 } // namespace
--- a/test/error/log_is_bounded.cpp
+++ b/test/error/log_is_bounded.cpp
@@ -15,7 +15,7 @@
 using namespace worksshift;
 
 constexpr std::size_t max_lines_per_s = 100;
-constexpr std::size_t max_buffered = std::size_t{64} * 1024;
+constexpr std::size_t max_buffered_bytes = std::size_t{64} * 1024;
 
 /** Redirects standard output to a pipe during its lifetime, and standard error, to which the log of
  * the test program writes the same lines, to /dev/null. */
@@ -70,14 +70,14 @@
 
 class log_is_bounded : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(log_is_bounded);
-    CPPUNIT_TEST(four_times_the_lines_and_no_reader);
+    CPPUNIT_TEST(excess_lines_and_unread_output);
     CPPUNIT_TEST_SUITE_END();
 
 public:
     /** Guards against a log that blocks, exceeds its limits or drops lines silently. */
-    static void four_times_the_lines_and_no_reader()
+    static void excess_lines_and_unread_output()
     {
-        start_bounded_log(log_level::info, "test", {max_lines_per_s, max_buffered});
+        start_bounded_log(log_level::info, "test", {max_lines_per_s, max_buffered_bytes});
         captured_output output;
         for (std::size_t i = 0; i < 4 * max_lines_per_s; ++i)
             log_event(log_level::info, "busy", {{"number", i}});
@@ -99,7 +99,7 @@
             unread += output.read();
             flush_log();
         }
-        CPPUNIT_ASSERT(unread.size() <= max_buffered + pipe_capacity);
+        CPPUNIT_ASSERT(unread.size() <= max_buffered_bytes + pipe_capacity);
         CPPUNIT_ASSERT(lines_in(unread, "event=unread") > 60);
         set_log_level(log_level::off);
     }
--- a/test/error/router_settings_name_the_fault.cpp
+++ b/test/error/router_settings_validation.cpp
@@ -10,10 +10,10 @@
 
 using namespace worksshift;
 
-class router_settings_name_the_fault : public CppUnit::TestFixture {
-    CPPUNIT_TEST_SUITE(router_settings_name_the_fault);
-    CPPUNIT_TEST(figures_of_placement);
-    CPPUNIT_TEST(figures_out_of_range);
+class router_settings_validation : public CppUnit::TestFixture {
+    CPPUNIT_TEST_SUITE(router_settings_validation);
+    CPPUNIT_TEST(placement_parameters);
+    CPPUNIT_TEST(out_of_range_parameters);
     CPPUNIT_TEST_SUITE_END();
 
     static router_settings parse(std::vector<const char*> more)
@@ -30,34 +30,34 @@
     /** Guards against defaults that differ from placement_policy, and against settings that are
      * ignored.
      */
-    static void figures_of_placement()
+    static void placement_parameters()
     {
         const placement_policy defaults;
-        const placement_policy given = parse({}).placement;
-        CPPUNIT_ASSERT_EQUAL(defaults.wait_of_objective, given.wait_of_objective);
-        CPPUNIT_ASSERT_EQUAL(defaults.ranks_to_wait_at, given.ranks_to_wait_at);
+        const placement_policy parsed = parse({}).placement;
+        CPPUNIT_ASSERT_EQUAL(defaults.wait_of_objective, parsed.wait_of_objective);
+        CPPUNIT_ASSERT_EQUAL(defaults.ranks_to_wait_at, parsed.ranks_to_wait_at);
         const placement_policy off = parse({"--busy-from=0", "--slow-multiple=0"}).placement;
         CPPUNIT_ASSERT_EQUAL(0.0, off.busy_from);
         CPPUNIT_ASSERT_EQUAL(0.0, off.slow_multiple);
     }
 
     /** Guards against accepting a parameter that is out of range or not a number. */
-    static void figures_out_of_range()
+    static void out_of_range_parameters()
     {
-        for (const char* bad :
+        for (const char* invalid :
              {"--free-share=-1", "--hot-prompt-share=much", "--load-spread=1e9"}) {
             try {
-                parse({bad});
-                CPPUNIT_FAIL(bad);
+                parse({invalid});
+                CPPUNIT_FAIL(invalid);
             } catch (const user_error& fault) {
                 const std::string name =
-                    std::string(bad + 2).substr(0, std::string(bad + 2).find('='));
+                    std::string(invalid + 2).substr(0, std::string(invalid + 2).find('='));
                 CPPUNIT_ASSERT_MESSAGE(fault.what(), std::string(fault.what()).starts_with(name));
             }
         }
     }
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(router_settings_name_the_fault);
+CPPUNIT_TEST_SUITE_REGISTRATION(router_settings_validation);
 
 } // namespace
