--- a/test/soak/guarantee_checker.cpp
+++ b/test/soak/guarantee_checker.cpp
@@ -42,7 +42,7 @@
     return all;
 }
 
-std::string whole_body(const route_properties& route, const std::string& id)
+std::string complete_body(const route_properties& route, const std::string& id)
 {
     if (!route.stream) return "answer to " + id;
     std::string body;
@@ -51,14 +51,15 @@
     return body;
 }
 
-asked_request& guarantee_checker::ask(const asked_request& given)
+asked_request& guarantee_checker::ask(const asked_request& request)
 {
     ++this->asked;
-    asked_request item = given;
-    item.router_incarnation = this->incarnations[item.router].number;
-    this->recent.push_back(item.id);
-    this->arrivals_by_service[item.route->service].first_attempts.push_back(item.sent);
-    return this->requests[item.id] = item;
+    asked_request sent_request = request;
+    sent_request.router_incarnation = this->incarnations[sent_request.router].number;
+    this->recent.push_back(sent_request.id);
+    this->arrivals_by_service[sent_request.route->service].first_attempts.push_back(
+        sent_request.sent);
+    return this->requests[sent_request.id] = sent_request;
 }
 
 asked_request* guarantee_checker::find(const std::string& id)
@@ -67,12 +68,13 @@
     return found == this->requests.end() ? nullptr : &found->second;
 }
 
-void guarantee_checker::report(const std::string& what, const asked_request& item)
+void guarantee_checker::report(const std::string& violation, const asked_request& sent_request)
 {
-    this->broken.push_back(what + ": " + std::string(item.route->path) + " " + item.id +
-                           " router=" + std::to_string(item.router) +
-                           " life=" + std::to_string(item.router_incarnation) + " status=" +
-                           std::to_string(item.status) + " runs=" + std::to_string(item.runs));
+    this->broken.push_back(violation + ": " + std::string(sent_request.route->path) + " " +
+                           sent_request.id + " router=" + std::to_string(sent_request.router) +
+                           " life=" + std::to_string(sent_request.router_incarnation) +
+                           " status=" + std::to_string(sent_request.status) +
+                           " runs=" + std::to_string(sent_request.runs));
 }
 
 void guarantee_checker::note_disturbance(std::size_t router, instant now)
@@ -92,11 +94,12 @@
     incarnation = {incarnation.number + 1, 0, {}, now, {}};
 }
 
-bool guarantee_checker::is_undisturbed(const asked_request& item, bool must_be_running) const
+bool guarantee_checker::is_undisturbed(const asked_request& sent_request,
+                                       bool must_be_running) const
 {
-    const router_incarnation& incarnation = this->incarnations[item.router];
-    if (incarnation.number != item.router_incarnation ||
-        item.sent - incarnation.disturbed < min_undisturbed_time)
+    const router_incarnation& incarnation = this->incarnations[sent_request.router];
+    if (incarnation.number != sent_request.router_incarnation ||
+        sent_request.sent - incarnation.disturbed < min_undisturbed_time)
         return false;
     return !must_be_running || incarnation.stopped == instant{};
 }
@@ -110,7 +113,7 @@
 instant guarantee_checker::replaced_at(std::uint64_t version) const
 {
     const auto found = std::ranges::find_if(
-        this->configs, [version](const auto& item) { return item.version > version; });
+        this->configs, [version](const auto& config) { return config.version > version; });
     return found == this->configs.end() ? instant::max() : found->at;
 }
 
@@ -125,31 +128,36 @@
 }
 
 /** The server must receive the caller's request, with the account instead of the API key. */
-void guarantee_checker::check_forwarded(const asked_request& item, const std::string& request)
+void guarantee_checker::check_forwarded(const asked_request& sent_request,
+                                        const std::string& request)
 {
-    const std::string line =
-        std::string(item.route->method) + " " + std::string(item.route->path) + " HTTP/1.1";
-    if (!request.starts_with(line)) this->report("another request line", item);
-    if (header_in(request, "x-tenant") != "one") this->report("not the account's name", item);
-    if (!header_in(request, "x-api-key").empty()) this->report("the key was passed on", item);
+    const std::string line = std::string(sent_request.route->method) + " " +
+                             std::string(sent_request.route->path) + " HTTP/1.1";
+    if (!request.starts_with(line)) this->report("the request line was changed", sent_request);
+    if (header_in(request, "x-tenant") != "one")
+        this->report("the account header is wrong", sent_request);
+    if (!header_in(request, "x-api-key").empty())
+        this->report("the API key was forwarded", sent_request);
     const std::string left = header_in(request, "x-deadline-ms");
-    constexpr int given_ms = 2000;
-    if (left.empty() || std::stoi(left) > given_ms) this->report("a longer deadline", item);
-    const bool has_body = item.route->method == "POST";
-    if (has_body && body_in(request) != "{}") this->report("another body", item);
+    constexpr int sent_deadline_ms = 2000;
+    if (left.empty() || std::stoi(left) > sent_deadline_ms)
+        this->report("the deadline is missing or longer than sent", sent_request);
+    const bool has_body = sent_request.route->method == "POST";
+    if (has_body && body_in(request) != "{}")
+        this->report("the request body was changed", sent_request);
 }
 
-void guarantee_checker::check_leaving(const std::string& server, const asked_request& item,
+void guarantee_checker::check_leaving(const std::string& server, const asked_request& sent_request,
                                       instant now)
 {
     const auto left = this->leaving_since.find(server);
     if (left == this->leaving_since.end() || now - left->second <= max_propagation_time) return;
     // The router must have had no fault since the server left, not only since the request was sent.
-    const router_incarnation& incarnation = this->incarnations[item.router];
-    if (!this->is_undisturbed(item, true) ||
+    const router_incarnation& incarnation = this->incarnations[sent_request.router];
+    if (!this->is_undisturbed(sent_request, true) ||
         left->second - incarnation.disturbed < min_undisturbed_time)
         return;
-    this->report("new work for " + server + " after it had left", item);
+    this->report("new request to " + server + " after it left", sent_request);
 }
 
 void guarantee_checker::check_retries(const route_properties& route, instant now, bool is_retry)
@@ -163,113 +171,126 @@
     const double allowed =
         retry_ratio * static_cast<double>(all.first_attempts.size()) + retry_slack;
     if (!is_retry || static_cast<double>(all.retries.size()) <= allowed) return;
-    this->broken.push_back("too many repeats for " + std::string(route.service) + ": " +
+    this->broken.push_back("too many retries for " + std::string(route.service) + ": " +
                            std::to_string(all.retries.size()));
 }
 
 void guarantee_checker::record_run(const std::string& server, const std::string& request,
-                                   bool sound, instant now)
+                                   bool succeeds, instant now)
 {
-    asked_request* item = this->find(header_in(request, "x-request-id"));
-    if (item == nullptr) {
-        this->broken.push_back("a run that nobody asked for: " + request.substr(0, 80));
+    asked_request* sent_request = this->find(header_in(request, "x-request-id"));
+    if (sent_request == nullptr) {
+        this->broken.push_back("run of an unknown request: " + request.substr(0, 80));
         return;
     }
-    this->check_forwarded(*item, request);
-    this->check_leaving(server, *item, now);
-    this->check_retries(*item->route, now, item->runs > 0);
-    ++item->runs;
-    ++item->active_runs;
-    item->successful_runs += sound ? 1 : 0;
-    item->servers.push_back(server);
-    if (item->runs > item->route->attempts) this->report("ran too often", *item);
-    if (guarantees_not_run(item->status)) this->report("refused as not run, and ran", *item);
-    const bool caller_left = item->left != instant{} && now - item->left > max_cancel_delay;
-    if (caller_left && this->is_undisturbed(*item, true))
-        this->report("sent on after its caller left", *item);
-    if (item->key_config_version == 0) return;
+    this->check_forwarded(*sent_request, request);
+    this->check_leaving(server, *sent_request, now);
+    this->check_retries(*sent_request->route, now, sent_request->runs > 0);
+    ++sent_request->runs;
+    ++sent_request->active_runs;
+    sent_request->successful_runs += succeeds ? 1 : 0;
+    sent_request->servers.push_back(server);
+    if (sent_request->runs > sent_request->route->attempts)
+        this->report("more runs than the route allows", *sent_request);
+    if (guarantees_not_run(sent_request->status))
+        this->report("rejected as not run, but ran", *sent_request);
+    const bool caller_left =
+        sent_request->left != instant{} && now - sent_request->left > max_cancel_delay;
+    if (caller_left && this->is_undisturbed(*sent_request, true))
+        this->report("sent on after its caller left", *sent_request);
+    if (sent_request->key_config_version == 0) return;
     const bool key_was_revoked =
-        item->sent - this->replaced_at(item->key_config_version) > max_propagation_time;
-    if (key_was_revoked && this->is_undisturbed(*item, true))
-        this->report("ran by a key taken back", *item);
-    router_incarnation& incarnation = this->incarnations[item->router];
-    const bool config_regressed = incarnation.newest_key > item->key_config_version &&
-                                  item->sent - incarnation.newest_key_seen_at > rollback_slack;
-    if (incarnation.number != item->router_incarnation) return;
-    if (config_regressed) this->report("an older configuration came back", *item);
-    if (item->key_config_version > incarnation.newest_key) {
-        incarnation.newest_key = item->key_config_version;
+        sent_request->sent - this->replaced_at(sent_request->key_config_version) >
+        max_propagation_time;
+    if (key_was_revoked && this->is_undisturbed(*sent_request, true))
+        this->report("ran with a revoked API key", *sent_request);
+    router_incarnation& incarnation = this->incarnations[sent_request->router];
+    const bool config_regressed =
+        incarnation.newest_key > sent_request->key_config_version &&
+        sent_request->sent - incarnation.newest_key_seen_at > rollback_slack;
+    if (incarnation.number != sent_request->router_incarnation) return;
+    if (config_regressed)
+        this->report("an older configuration came into force again", *sent_request);
+    if (sent_request->key_config_version > incarnation.newest_key) {
+        incarnation.newest_key = sent_request->key_config_version;
         incarnation.newest_key_seen_at = now;
     }
 }
 
 void guarantee_checker::record_refusal(const std::string& request, instant now)
 {
-    const asked_request* item = this->find(header_in(request, "x-request-id"));
-    if (item != nullptr) this->check_retries(*item->route, now, item->runs > 0);
+    const asked_request* sent_request = this->find(header_in(request, "x-request-id"));
+    if (sent_request != nullptr)
+        this->check_retries(*sent_request->route, now, sent_request->runs > 0);
 }
 
 void guarantee_checker::record_run_end(const std::string& request)
 {
-    asked_request* item = this->find(header_in(request, "x-request-id"));
-    if (item != nullptr && item->active_runs > 0) --item->active_runs;
+    asked_request* sent_request = this->find(header_in(request, "x-request-id"));
+    if (sent_request != nullptr && sent_request->active_runs > 0) --sent_request->active_runs;
 }
 
-void guarantee_checker::check_body(const asked_request& item, const std::string& received)
+void guarantee_checker::check_body(const asked_request& sent_request, const std::string& received)
 {
-    const std::string expected = whole_body(*item.route, item.id);
+    const std::string expected = complete_body(*sent_request.route, sent_request.id);
     const std::string body = body_in(received);
-    if (!expected.starts_with(body)) this->report("not its own answer", item);
-    if (item.whole && body != expected) this->report("broken, and looks whole", item);
+    if (!expected.starts_with(body)) this->report("unexpected response body", sent_request);
+    if (sent_request.complete && body != expected)
+        this->report("truncated response looks complete", sent_request);
 }
 
-bool guarantee_checker::had_server_fault(const asked_request& item, instant now) const
+bool guarantee_checker::had_server_fault(const asked_request& sent_request, instant now) const
 {
-    return std::ranges::any_of(item.servers, [&](const std::string& server) {
+    return std::ranges::any_of(sent_request.servers, [&](const std::string& server) {
         const auto found = this->faulty_since.find(server);
         return found != this->faulty_since.end() && now - found->second < min_undisturbed_time;
     });
 }
 
 /** A correct server ran the request, and the caller got no complete response. */
-void guarantee_checker::check_lost(const asked_request& item, instant now)
+void guarantee_checker::check_lost(const asked_request& sent_request, instant now)
 {
-    if (item.whole || item.left != instant{} || item.successful_runs == 0) return;
-    if (now - item.sent >= timeout || !this->is_undisturbed(item, false)) return;
-    if (!this->had_server_fault(item, now) && item.runs == item.successful_runs)
-        this->report("cut off", item);
+    if (sent_request.complete || sent_request.left != instant{} ||
+        sent_request.successful_runs == 0)
+        return;
+    if (now - sent_request.sent >= timeout || !this->is_undisturbed(sent_request, false)) return;
+    if (!this->had_server_fault(sent_request, now) &&
+        sent_request.runs == sent_request.successful_runs)
+        this->report("the response was cut off", sent_request);
 }
 
-void guarantee_checker::check_key(const asked_request& item)
+void guarantee_checker::check_key(const asked_request& sent_request)
 {
-    if (item.status != unauthorized) return;
-    if (item.key_config_version == 0) {
-        this->report("a key of all configurations was refused", item);
+    if (sent_request.status != unauthorized) return;
+    if (sent_request.key_config_version == 0) {
+        this->report("an API key of all configurations was rejected", sent_request);
         return;
     }
     const bool in_force =
-        item.sent - this->confirmed_at(item.key_config_version) > max_propagation_time &&
-        item.answered < this->replaced_at(item.key_config_version);
-    if (in_force && this->is_undisturbed(item, true))
-        this->report("a key in force was refused", item);
+        sent_request.sent - this->confirmed_at(sent_request.key_config_version) >
+            max_propagation_time &&
+        sent_request.answered < this->replaced_at(sent_request.key_config_version);
+    if (in_force && this->is_undisturbed(sent_request, true))
+        this->report("an API key in force was rejected", sent_request);
 }
 
-void guarantee_checker::record_response(asked_request& item, const std::string& received,
+void guarantee_checker::record_response(asked_request& sent_request, const std::string& received,
                                         instant now)
 {
-    item.answered = now;
-    item.status = support::status_in(received);
-    item.whole = support::is_complete_response(received);
-    if (item.left == instant{}) ++this->by_status[item.status];
-    if (guarantees_not_run(item.status) && item.runs > 0) {
-        this->report("refused as not run, and ran", item);
+    sent_request.answered = now;
+    sent_request.status = support::status_in(received);
+    sent_request.complete = support::is_complete_response(received);
+    if (sent_request.left == instant{}) ++this->by_status[sent_request.status];
+    if (guarantees_not_run(sent_request.status) && sent_request.runs > 0) {
+        this->report("rejected as not run, but ran", sent_request);
     }
-    if (item.status == ok) this->check_body(item, received);
-    if (item.status == ok && item.whole) ++this->served;
-    this->check_lost(item, now);
-    this->check_key(item);
-    const bool late = now - item.sent > timeout + response_slack;
-    if (late && this->is_undisturbed(item, true)) this->report("held past its time", item);
+    if (sent_request.status == ok) this->check_body(sent_request, received);
+    if (sent_request.status == ok && sent_request.complete) ++this->served;
+    this->check_lost(sent_request, now);
+    this->check_key(sent_request);
+    const bool late = now - sent_request.sent > timeout + response_slack;
+    if (late && this->is_undisturbed(sent_request, true))
+        this->report("no response in time", sent_request);
 }
 
 void guarantee_checker::check(instant now)
@@ -280,15 +301,16 @@
         this->requests.erase(found);
         this->recent.pop_front();
     }
-    for (auto& [id, item] : this->requests) {
-        const bool caller_left = item.left != instant{} && now - item.left > max_cancel_delay;
-        if (!caller_left || item.active_runs == 0) continue;
-        const bool can_be_cancelled = item.route->stream || item.route->repeatable;
-        if (can_be_cancelled && this->is_undisturbed(item, true) &&
-            !this->had_server_fault(item, now)) {
-            this->report("a server works on after the caller left", item);
+    for (auto& [id, sent_request] : this->requests) {
+        const bool caller_left =
+            sent_request.left != instant{} && now - sent_request.left > max_cancel_delay;
+        if (!caller_left || sent_request.active_runs == 0) continue;
+        const bool can_be_cancelled = sent_request.route->stream || sent_request.route->repeatable;
+        if (can_be_cancelled && this->is_undisturbed(sent_request, true) &&
+            !this->had_server_fault(sent_request, now)) {
+            this->report("run not cancelled after its caller left", sent_request);
         }
-        item.active_runs = 0;
+        sent_request.active_runs = 0;
     }
 }
 
--- a/test/soak/guarantee_checker.h
+++ b/test/soak/guarantee_checker.h
@@ -31,7 +31,7 @@
 constexpr unsigned events_in_full_stream = 4;
 
 /** The body of a complete response to a request. */
-std::string whole_body(const route_properties& route, const std::string& id);
+std::string complete_body(const route_properties& route, const std::string& id);
 
 /** One request, as seen by its caller and by the servers. */
 struct asked_request {
@@ -45,7 +45,7 @@
     worksshift::instant left{};     ///< when the caller left; the epoch: it did not
     worksshift::instant answered{}; ///< response or end of connection; the epoch: none yet
     int status = 0;
-    bool whole = false;               ///< the response is complete
+    bool complete = false;            ///< the response is complete
     unsigned runs = 0;                ///< number of runs at servers that began
     unsigned successful_runs = 0;     ///< runs whose server responds correctly, unless cancelled
     unsigned active_runs = 0;         ///< runs that have not ended
@@ -78,14 +78,15 @@
 
     explicit guarantee_checker(std::size_t routers) : incarnations(routers) {}
 
-    asked_request& ask(const asked_request& given);
+    asked_request& ask(const asked_request& request);
     [[nodiscard]] asked_request* find(const std::string& id);
-    void record_run(const std::string& server, const std::string& request, bool sound,
+    void record_run(const std::string& server, const std::string& request, bool succeeds,
                     worksshift::instant now);
     void record_refusal(const std::string& request, worksshift::instant now);
     void record_run_end(const std::string& request);
     /** Called when the response is complete or the caller's connection has ended. */
-    void record_response(asked_request& item, const std::string& received, worksshift::instant now);
+    void record_response(asked_request& sent_request, const std::string& received,
+                         worksshift::instant now);
     /** Checks the guarantees whose deadline has passed, and forgets old requests. */
     void check(worksshift::instant now);
 
@@ -125,19 +126,21 @@
         worksshift::instant stopped{};
     };
 
-    void report(const std::string& what, const asked_request& item);
-    void check_forwarded(const asked_request& item, const std::string& request);
-    void check_leaving(const std::string& server, const asked_request& item,
+    void report(const std::string& violation, const asked_request& sent_request);
+    void check_forwarded(const asked_request& sent_request, const std::string& request);
+    void check_leaving(const std::string& server, const asked_request& sent_request,
                        worksshift::instant now);
     void check_retries(const route_properties& route, worksshift::instant now, bool is_retry);
-    void check_body(const asked_request& item, const std::string& received);
+    void check_body(const asked_request& sent_request, const std::string& received);
     /** Whether a server that ran it, or the connections to that server, had a fault recently. */
-    [[nodiscard]] bool had_server_fault(const asked_request& item, worksshift::instant now) const;
-    void check_lost(const asked_request& item, worksshift::instant now);
-    void check_key(const asked_request& item);
+    [[nodiscard]] bool had_server_fault(const asked_request& sent_request,
+                                        worksshift::instant now) const;
+    void check_lost(const asked_request& sent_request, worksshift::instant now);
+    void check_key(const asked_request& sent_request);
     /** Whether the router had no fault from min_undisturbed_time before the request until now; with
      * \p must_be_running, whether it was not asked to stop either. */
-    [[nodiscard]] bool is_undisturbed(const asked_request& item, bool must_be_running) const;
+    [[nodiscard]] bool is_undisturbed(const asked_request& sent_request,
+                                      bool must_be_running) const;
     [[nodiscard]] worksshift::instant replaced_at(std::uint64_t version) const;
     [[nodiscard]] worksshift::instant confirmed_at(std::uint64_t version) const;
 
--- a/test/soak/loopback_proxy.cpp
+++ b/test/soak/loopback_proxy.cpp
@@ -17,7 +17,7 @@
     proxied_connection* owner = nullptr;
     bool is_target = false;
     event_ptr<bufferevent> socket;
-    std::deque<delayed_bytes> late;
+    std::deque<delayed_bytes> delayed;
 };
 
 struct loopback_proxy::proxied_connection {
@@ -44,32 +44,33 @@
 void loopback_proxy::accept(evutil_socket_t socket)
 {
     this->connections.push_back(std::make_unique<proxied_connection>());
-    proxied_connection& item = *this->connections.back();
-    item.owner = this;
-    item.kind = this->kind;
-    item.caller.socket.reset(bufferevent_socket_new(this->base, socket, BEV_OPT_CLOSE_ON_FREE));
-    item.target.socket.reset(bufferevent_socket_new(this->base, -1, BEV_OPT_CLOSE_ON_FREE));
-    item.target.is_target = true;
-    for (connection_side* side : {&item.caller, &item.target}) {
-        side->owner = &item;
+    proxied_connection& connection = *this->connections.back();
+    connection.owner = this;
+    connection.kind = this->kind;
+    connection.caller.socket.reset(
+        bufferevent_socket_new(this->base, socket, BEV_OPT_CLOSE_ON_FREE));
+    connection.target.socket.reset(bufferevent_socket_new(this->base, -1, BEV_OPT_CLOSE_ON_FREE));
+    connection.target.is_target = true;
+    for (connection_side* side : {&connection.caller, &connection.target}) {
+        side->owner = &connection;
         bufferevent_setcb(
             side->socket.get(),
-            [](bufferevent*, void* given) {
-                auto* from = static_cast<connection_side*>(given);
+            [](bufferevent*, void* context) {
+                auto* from = static_cast<connection_side*>(context);
                 from->owner->owner->handle_bytes(*from);
             },
             nullptr,
-            [](bufferevent*, short what, void* given) {
-                auto* from = static_cast<connection_side*>(given);
-                if ((what & (BEV_EVENT_EOF | BEV_EVENT_ERROR)) == 0) return;
+            [](bufferevent*, short events, void* context) {
+                auto* from = static_cast<connection_side*>(context);
+                if ((events & (BEV_EVENT_EOF | BEV_EVENT_ERROR)) == 0) return;
                 from->owner->owner->end(*from->owner);
             },
             side);
         bufferevent_enable(side->socket.get(), EV_READ | EV_WRITE);
     }
     const sockaddr_in to = to_socket_address(this->target);
-    bufferevent_socket_connect(item.target.socket.get(), reinterpret_cast<const sockaddr*>(&to),
-                               sizeof to);
+    bufferevent_socket_connect(connection.target.socket.get(),
+                               reinterpret_cast<const sockaddr*>(&to), sizeof to);
 }
 
 void loopback_proxy::handle_bytes(connection_side& from)
@@ -77,41 +78,41 @@
     evbuffer* input = bufferevent_get_input(from.socket.get());
     std::string bytes = read_all(input);
     evbuffer_drain(input, evbuffer_get_length(input));
-    proxied_connection& item = *from.owner;
-    const bool is_held = item.kind == link_fault::silent ||
-                         (item.kind == link_fault::to_target && !from.is_target) ||
-                         (item.kind == link_fault::from_target && from.is_target);
-    if (item.drops_bytes || item.is_removable) return;
-    if (is_held || item.kind == link_fault::delayed || !from.late.empty()) {
-        const instant due =
-            is_held ? instant::max() : std::chrono::steady_clock::now() + this->delay;
-        from.late.push_back({due, std::move(bytes)});
+    proxied_connection& connection = *from.owner;
+    const bool held = connection.kind == link_fault::silent ||
+                      (connection.kind == link_fault::to_target && !from.is_target) ||
+                      (connection.kind == link_fault::from_target && from.is_target);
+    if (connection.drops_bytes || connection.is_removable) return;
+    if (held || connection.kind == link_fault::delayed || !from.delayed.empty()) {
+        const instant due = held ? instant::max() : std::chrono::steady_clock::now() + this->delay;
+        from.delayed.push_back({due, std::move(bytes)});
         return;
     }
-    const connection_side& other = from.is_target ? item.caller : item.target;
+    const connection_side& other = from.is_target ? connection.caller : connection.target;
     bufferevent_write(other.socket.get(), bytes.data(), bytes.size());
 }
 
 /** One side has closed. The other side is closed too, unless a fault holds the connection. */
-void loopback_proxy::end(proxied_connection& item)
+void loopback_proxy::end(proxied_connection& connection)
 {
-    item.ended = true;
-    const bool nothing_delayed = item.caller.late.empty() && item.target.late.empty();
-    if (item.kind == link_fault::none && !item.drops_bytes && nothing_delayed) {
-        item.is_removable = true;
+    connection.ended = true;
+    const bool nothing_delayed =
+        connection.caller.delayed.empty() && connection.target.delayed.empty();
+    if (connection.kind == link_fault::none && !connection.drops_bytes && nothing_delayed) {
+        connection.is_removable = true;
     }
 }
 
-void loopback_proxy::set_fault(link_fault given, duration new_delay)
+void loopback_proxy::set_fault(link_fault new_fault, duration new_delay)
 {
-    this->kind = given;
+    this->kind = new_fault;
     this->delay = new_delay;
     const instant now = std::chrono::steady_clock::now();
-    for (const auto& item : this->connections) {
-        item->kind = given;
-        if (given != link_fault::none && given != link_fault::delayed) continue;
-        for (connection_side* side : {&item->caller, &item->target}) {
-            for (auto& bytes : side->late)
+    for (const auto& connection : this->connections) {
+        connection->kind = new_fault;
+        if (new_fault != link_fault::none && new_fault != link_fault::delayed) continue;
+        for (connection_side* side : {&connection->caller, &connection->target}) {
+            for (auto& bytes : side->delayed)
                 bytes.due = std::min(bytes.due, now);
         }
     }
@@ -119,42 +120,44 @@
 
 void loopback_proxy::silence_open_connections()
 {
-    for (const auto& item : this->connections)
-        item->drops_bytes = true;
+    for (const auto& connection : this->connections)
+        connection->drops_bytes = true;
 }
 
 void loopback_proxy::reset_open_connections()
 {
-    for (const auto& item : this->connections) {
-        support::close_by_reset(bufferevent_getfd(item->caller.socket.get()));
-        support::close_by_reset(bufferevent_getfd(item->target.socket.get()));
-        item->is_removable = true;
+    for (const auto& connection : this->connections) {
+        support::close_by_reset(bufferevent_getfd(connection->caller.socket.get()));
+        support::close_by_reset(bufferevent_getfd(connection->target.socket.get()));
+        connection->is_removable = true;
     }
 }
 
 void loopback_proxy::tick(instant now)
 {
-    for (const auto& item : this->connections) {
-        for (connection_side* side : {&item->caller, &item->target}) {
-            const connection_side& other = side->is_target ? item->caller : item->target;
-            while (!side->late.empty() && side->late.front().due <= now) {
-                const std::string& bytes = side->late.front().bytes;
+    for (const auto& connection : this->connections) {
+        for (connection_side* side : {&connection->caller, &connection->target}) {
+            const connection_side& other =
+                side->is_target ? connection->caller : connection->target;
+            while (!side->delayed.empty() && side->delayed.front().due <= now) {
+                const std::string& bytes = side->delayed.front().bytes;
                 bufferevent_write(other.socket.get(), bytes.data(), bytes.size());
-                side->late.pop_front();
+                side->delayed.pop_front();
             }
         }
-        const bool nothing_delayed = item->caller.late.empty() && item->target.late.empty();
-        const bool passes_end_on =
-            item->kind == link_fault::none || item->kind == link_fault::delayed;
-        if (item->ended && !item->drops_bytes && passes_end_on && nothing_delayed)
-            item->is_removable = true;
+        const bool nothing_delayed =
+            connection->caller.delayed.empty() && connection->target.delayed.empty();
+        const bool forwards_close =
+            connection->kind == link_fault::none || connection->kind == link_fault::delayed;
+        if (connection->ended && !connection->drops_bytes && forwards_close && nothing_delayed)
+            connection->is_removable = true;
     }
     // Bytes written to the caller are flushed before its connection closes.
-    std::erase_if(this->connections, [](const auto& item) {
+    std::erase_if(this->connections, [](const auto& connection) {
         const auto unsent = [](const connection_side& side) {
             return evbuffer_get_length(bufferevent_get_output(side.socket.get()));
         };
-        return item->is_removable && (!item->ended || unsent(item->caller) == 0);
+        return connection->is_removable && (!connection->ended || unsent(connection->caller) == 0);
     });
 }
 
--- a/test/soak/loopback_proxy.h
+++ b/test/soak/loopback_proxy.h
@@ -52,7 +52,7 @@
 
     void accept(evutil_socket_t socket);
     void handle_bytes(connection_side& from);
-    void end(proxied_connection& item);
+    void end(proxied_connection& connection);
 
     event_base* base;
     worksshift::link_address target;
--- a/test/soak/soak.cpp
+++ b/test/soak/soak.cpp
@@ -66,17 +66,17 @@
     const std::size_t routers = number(count, values, "--routers", 6);
     std::size_t broken = 0;
     for (const std::uint64_t seed : seeds) {
-        soak::soak_run item(seed, routers, span);
-        item.run();
-        const soak::guarantee_checker& ledger = item.ledger();
-        for (const std::string& what : ledger.broken)
-            std::cout << "seed=" << seed << " broken=\"" << what << "\"\n";
-        std::cout << "seed=" << seed << " requests=" << ledger.asked << " served=" << ledger.served
-                  << " stalls=" << item.stalls;
-        for (const auto& [status, requests] : ledger.by_status)
+        soak::soak_run run(seed, routers, span);
+        run.run();
+        const soak::guarantee_checker& guarantees = run.checker();
+        for (const std::string& violation : guarantees.broken)
+            std::cout << "seed=" << seed << " broken=\"" << violation << "\"\n";
+        std::cout << "seed=" << seed << " requests=" << guarantees.asked
+                  << " served=" << guarantees.served << " stalls=" << run.stalls;
+        for (const auto& [status, requests] : guarantees.by_status)
             std::cout << " status_" << status << '=' << requests;
-        std::cout << " broken=" << ledger.broken.size() << std::endl;
-        broken += ledger.broken.size();
+        std::cout << " broken=" << guarantees.broken.size() << std::endl;
+        broken += guarantees.broken.size();
     }
     std::cout << seeds.size() << " seeds, " << broken << " broken promises\n";
     return broken == 0 ? 0 : 1;
--- a/test/soak/soak_run.cpp
+++ b/test/soak/soak_run.cpp
@@ -67,27 +67,29 @@
         this->guarantees.start_incarnation(i, this->now);
     }
     if (!this->fleet.wait_until_all_ready())
-        this->guarantees.broken.emplace_back("not ready after the start");
+        this->guarantees.broken.emplace_back("routers not ready after the start");
     this->now = std::chrono::steady_clock::now();
 }
 
 void soak_run::add_server(const std::string& service)
 {
-    proxied_server made;
-    made.id = service + std::to_string(this->next_server++);
-    made.service = service;
-    made.server = std::make_unique<soak_server>(
+    proxied_server added;
+    added.id = service + std::to_string(this->next_server++);
+    added.service = service;
+    added.server = std::make_unique<soak_server>(
         this->fleet.base.get(),
-        [this, id = made.id](const std::string& request) { return this->plan(id, request); },
+        [this, id = added.id](const std::string& request) {
+            return this->plan_response(id, request);
+        },
         [this](const std::string& request) { this->guarantees.record_run_end(request); });
-    made.proxy = std::make_unique<loopback_proxy>(this->fleet.base.get(), made.server->address());
-    this->fleet.register_server(made.id, service, made.proxy->address());
-    this->active_servers.push_back(made.id);
-    this->servers.push_back(std::move(made));
+    added.proxy = std::make_unique<loopback_proxy>(this->fleet.base.get(), added.server->address());
+    this->fleet.register_server(added.id, service, added.proxy->address());
+    this->active_servers.push_back(added.id);
+    this->servers.push_back(std::move(added));
 }
 
 /** A correct response spread over time, or a faulty one while servers fail. */
-response_plan soak_run::plan(const std::string& server, const std::string& request)
+response_plan soak_run::plan_response(const std::string& server, const std::string& request)
 {
     const bool failing = std::chrono::steady_clock::now() < this->servers_fail_until;
     const std::size_t behaviour = failing ? this->draw(10) : 9;
@@ -96,58 +98,60 @@
         this->guarantees.record_refusal(request, time);
         return {{{{}, answer_text(503, request, "", "X-Not-Executed: 1\r\n")}}, response_end::keep};
     }
-    const asked_request* item = this->guarantees.find(header_in(request, "x-request-id"));
+    const asked_request* sent_request = this->guarantees.find(header_in(request, "x-request-id"));
     constexpr std::size_t first_correct_behaviour = 7;
     this->guarantees.record_run(server, request, behaviour >= first_correct_behaviour, time);
-    if (item == nullptr) return {};
-    response_plan whole;
-    if (!item->route->stream) {
-        whole.pieces.push_back({this->draw_span(0, 40),
-                                answer_text(200, request, whole_body(*item->route, item->id))});
-        return this->apply_failure(behaviour, request, whole);
+    if (sent_request == nullptr) return {};
+    response_plan response;
+    if (!sent_request->route->stream) {
+        response.pieces.push_back(
+            {this->draw_span(0, 40),
+             answer_text(200, request, complete_body(*sent_request->route, sent_request->id))});
+        return this->apply_failure(behaviour, request, response);
     }
     const std::string last = header_in(request, "last-event-id");
-    whole.pieces.push_back({{}, stream_head(request)});
+    response.pieces.push_back({{}, stream_head(request)});
     duration at{};
     for (unsigned event = last.empty() ? 1 : std::stoul(last) + 1; event <= events_in_full_stream;
          ++event) {
         at += this->draw_span(5, 60);
-        whole.pieces.push_back({at, event_chunk(event, item->id)});
+        response.pieces.push_back({at, event_chunk(event, sent_request->id)});
     }
-    whole.pieces.push_back({at, "0\r\n\r\n"});
-    return this->apply_failure(behaviour, request, whole);
+    response.pieces.push_back({at, "0\r\n\r\n"});
+    return this->apply_failure(behaviour, request, response);
 }
 
 response_plan soak_run::apply_failure(std::size_t behaviour, const std::string& request,
-                                      response_plan whole)
+                                      response_plan response)
 {
-    std::string& last = whole.pieces.back().bytes;
+    std::string& last = response.pieces.back().bytes;
     switch (behaviour) {
     case 1:
         last.resize(last.size() / 2);
-        whole.end = response_end::close;
+        response.end = response_end::close;
         break;
     case 2:
-        whole.pieces.front().bytes = "rubbish\r\n\r\n";
+        response.pieces.front().bytes = "rubbish\r\n\r\n";
         break;
     case 3:
         last.resize(last.size() / 2);
-        whole.end = response_end::reset;
+        response.end = response_end::reset;
         break;
     case 4:
-        whole.pieces.push_back({whole.pieces.back().after, answer_text(200, request, "again")});
+        response.pieces.push_back(
+            {response.pieces.back().after, answer_text(200, request, "again")});
         break;
     case 5:
-        whole.pieces.clear();
-        whole.end = response_end::send_nothing;
+        response.pieces.clear();
+        response.end = response_end::send_nothing;
         break;
     case 6:
-        whole.pieces = {{{}, answer_text(500, request, "failed")}};
+        response.pieces = {{{}, answer_text(500, request, "failed")}};
         break;
     default:
         break;
     }
-    return whole;
+    return response;
 }
 
 void soak_run::run()
@@ -176,9 +180,9 @@
         ++this->stalls;
         this->guarantees.note_disturbance_of_all(this->now);
     }
-    for (const proxied_server& item : this->servers) {
-        item.server->tick(this->now);
-        item.proxy->tick(this->now);
+    for (const proxied_server& proxied : this->servers) {
+        proxied.server->tick(this->now);
+        proxied.proxy->tick(this->now);
     }
     for (const auto& proxy : this->store_proxies)
         proxy->tick(this->now);
@@ -189,12 +193,12 @@
 void soak_run::update_routers()
 {
     for (std::size_t i = 0; i < this->fleet.routers.size(); ++i) {
-        const auto wake = this->paused.find(i);
-        if (wake != this->paused.end()) {
+        const auto pause = this->paused.find(i);
+        if (pause != this->paused.end()) {
             this->guarantees.note_disturbance(i, this->now);
-            if (this->now > wake->second) {
+            if (this->now > pause->second) {
                 this->fleet.routers[i].signal(SIGCONT);
-                this->paused.erase(wake);
+                this->paused.erase(pause);
             }
         }
         if (!this->fleet.routers[i].ended()) continue;
@@ -206,15 +210,15 @@
 void soak_run::update_faults()
 {
     for (std::size_t i = 0; i < this->store_proxies.size(); ++i) {
-        const bool store = this->fleet.store->fault != fakes::store_fault::none;
-        if (store || this->store_proxies[i]->fault() != link_fault::none) {
+        const bool store_fails = this->fleet.store->fault != fakes::store_fault::none;
+        if (store_fails || this->store_proxies[i]->fault() != link_fault::none) {
             this->guarantees.note_disturbance(i, this->now);
         }
     }
-    for (const proxied_server& item : this->servers) {
+    for (const proxied_server& proxied : this->servers) {
         const bool failing = this->now < this->servers_fail_until;
-        if (failing || item.proxy->fault() != link_fault::none) {
-            this->guarantees.note_server_fault(item.id, this->now);
+        if (failing || proxied.proxy->fault() != link_fault::none) {
+            this->guarantees.note_server_fault(proxied.id, this->now);
         }
     }
     std::erase_if(this->faulty_proxies, [this](const auto& entry) {
@@ -227,11 +231,11 @@
 
 void soak_run::update_callers()
 {
-    for (caller& item : this->callers) {
-        if (!item.request_id.empty()) {
-            this->update_request(item);
-        } else if (this->now >= item.next) {
-            this->ask(item);
+    for (caller& from : this->callers) {
+        if (!from.request_id.empty()) {
+            this->update_request(from);
+        } else if (this->now >= from.next) {
+            this->ask(from);
         }
     }
 }
@@ -244,39 +248,41 @@
         from.connection = this->fleet.connect(from.router);
     }
     from.connection->received.clear();
-    asked_request item;
-    item.id = "q" + std::to_string(this->next_id++);
-    item.route = &routes()[this->draw(routes().size())];
-    item.router = from.router;
-    item.sent = this->now;
+    asked_request sent_request;
+    sent_request.id = "q" + std::to_string(this->next_id++);
+    sent_request.route = &routes()[this->draw(routes().size())];
+    sent_request.router = from.router;
+    sent_request.sent = this->now;
     // One request in four uses the API key of one of the newest three configurations.
     const std::size_t age = this->draw(12);
-    if (age < 3 && this->version > age) item.key_config_version = this->version - age;
-    from.request_id = item.id;
+    if (age < 3 && this->version > age) sent_request.key_config_version = this->version - age;
+    from.request_id = sent_request.id;
     from.leave_at = this->draw(12) == 0 ? this->now + this->draw_span(1, 150) : instant{};
-    this->guarantees.ask(item);
-    const bool is_post = item.route->method == "POST";
-    std::string text =
-        support::request_text(std::string(item.route->method), std::string(item.route->path),
-                              item.id, is_post ? "{}" : "");
-    const std::string api_key =
-        item.key_config_version == 0 ? "k1" : "r" + std::to_string(item.key_config_version);
+    this->guarantees.ask(sent_request);
+    const bool is_post = sent_request.route->method == "POST";
+    std::string text = support::request_text(std::string(sent_request.route->method),
+                                             std::string(sent_request.route->path), sent_request.id,
+                                             is_post ? "{}" : "");
+    const std::string api_key = sent_request.key_config_version == 0
+                                    ? "k1"
+                                    : "r" + std::to_string(sent_request.key_config_version);
     from.connection->send(text.replace(text.find(": k1") + 2, 2, api_key));
 }
 
 void soak_run::update_request(caller& from)
 {
-    asked_request* item = this->guarantees.find(from.request_id);
-    const std::string& got = from.connection->received;
-    const bool ended = from.connection->closed || support::is_complete_response(got);
-    if (item != nullptr && ended) this->guarantees.record_response(*item, got, this->now);
+    asked_request* sent_request = this->guarantees.find(from.request_id);
+    const std::string& received = from.connection->received;
+    const bool ended = from.connection->closed || support::is_complete_response(received);
+    if (sent_request != nullptr && ended)
+        this->guarantees.record_response(*sent_request, received, this->now);
     const bool caller_leaves = from.leave_at != instant{} && this->now >= from.leave_at;
     constexpr duration max_wait = seconds(4);
-    const bool gave_up = item == nullptr || this->now - item->sent > max_wait;
+    const bool gave_up = sent_request == nullptr || this->now - sent_request->sent > max_wait;
     if (!ended && !caller_leaves && !gave_up) return;
-    if (!ended && item != nullptr) {
-        item->left = this->now;
-        if (gave_up) this->guarantees.record_response(*item, got, this->now);
+    if (!ended && sent_request != nullptr) {
+        sent_request->left = this->now;
+        if (gave_up) this->guarantees.record_response(*sent_request, received, this->now);
     }
     if (!ended) from.connection.reset();
     from.request_id.clear();
@@ -304,7 +310,7 @@
         if (this->draw(3) == 0) {
             this->servers_fail_until = this->now + this->draw_span(300, 1500);
         } else if (this->draw(2) == 0) {
-            this->leave();
+            this->remove_random_server();
         } else {
             this->add_server(this->draw(2) == 0 ? "desk" : "llm");
         }
@@ -369,30 +375,31 @@
 /** A fault of the connections to one server. */
 void soak_run::inject_server_link_fault()
 {
-    const proxied_server& item = this->servers[this->draw(this->servers.size())];
-    this->guarantees.note_server_fault(item.id, this->now);
+    const proxied_server& proxied = this->servers[this->draw(this->servers.size())];
+    this->guarantees.note_server_fault(proxied.id, this->now);
     switch (this->draw(4)) {
     case 0:
-        item.proxy->reset_open_connections();
+        proxied.proxy->reset_open_connections();
         break;
     case 1:
-        item.proxy->silence_open_connections();
+        proxied.proxy->silence_open_connections();
         break;
     default:
-        item.proxy->set_fault(static_cast<link_fault>(1 + this->draw(4)), this->draw_span(20, 400));
-        this->faulty_proxies[item.proxy.get()] = this->now + this->draw_span(300, 2000);
+        proxied.proxy->set_fault(static_cast<link_fault>(1 + this->draw(4)),
+                                 this->draw_span(20, 400));
+        this->faulty_proxies[proxied.proxy.get()] = this->now + this->draw_span(300, 2000);
         break;
     }
 }
 
 /** A server is set to draining or removed; min_servers_left of its service stay. */
-void soak_run::leave()
+void soak_run::remove_random_server()
 {
     const std::string id = this->active_servers[this->draw(this->active_servers.size())];
     const std::string service = id.substr(0, id.find_first_of("0123456789"));
-    const auto others = std::ranges::count_if(
-        this->active_servers, [&](const std::string& each) { return each.starts_with(service); });
-    if (static_cast<std::size_t>(others) <= min_servers_left) return;
+    const auto remaining = std::ranges::count_if(
+        this->active_servers, [&](const std::string& other) { return other.starts_with(service); });
+    if (static_cast<std::size_t>(remaining) <= min_servers_left) return;
     if (this->draw(2) == 0) {
         this->fleet.set_server_state(id, "draining");
     } else {
@@ -424,14 +431,14 @@
     for (std::size_t router = 0; router < this->fleet.routers.size(); ++router) {
         bool served = false;
         while (!served && this->now < end) {
-            asked_request last;
-            last.id = "last" + std::to_string(this->next_id++);
-            last.route = routes().data();
-            last.router = router;
-            last.sent = this->now;
-            this->guarantees.ask(last);
+            asked_request probe;
+            probe.id = "last" + std::to_string(this->next_id++);
+            probe.route = routes().data();
+            probe.router = router;
+            probe.sent = this->now;
+            this->guarantees.ask(probe);
             const auto connection = this->fleet.connect(router);
-            std::string text = support::request_text("GET", "/safe/x", last.id);
+            std::string text = support::request_text("GET", "/safe/x", probe.id);
             connection->send(text.replace(text.find(": k1") + 2, 2, api_key));
             const instant limit = this->now + seconds(1);
             while (!connection->closed && !support::is_complete_response(connection->received) &&
@@ -444,7 +451,7 @@
                 this->step();
         }
         if (!served) {
-            this->guarantees.broken.push_back("does not serve again: router " +
+            this->guarantees.broken.push_back("does not serve after the faults ended: router " +
                                               std::to_string(router));
         }
     }
--- a/test/soak/soak_run.h
+++ b/test/soak/soak_run.h
@@ -23,7 +23,7 @@
 
     void run();
 
-    [[nodiscard]] const guarantee_checker& ledger() const { return this->guarantees; }
+    [[nodiscard]] const guarantee_checker& checker() const { return this->guarantees; }
     /** Number of steps in which this process itself was delayed; guarantees with a deadline are not
      * checked then. */
     std::size_t stalls = 0;
@@ -48,9 +48,9 @@
     [[nodiscard]] worksshift::duration draw_span(int min_ms, int max_ms);
     void prepare();
     void add_server(const std::string& service);
-    response_plan plan(const std::string& server, const std::string& request);
+    response_plan plan_response(const std::string& server, const std::string& request);
     response_plan apply_failure(std::size_t behaviour, const std::string& request,
-                                response_plan whole);
+                                response_plan response);
     void step();
     void update_routers();
     void update_callers();
@@ -61,7 +61,7 @@
     void inject_router_fault(std::size_t router);
     void inject_store_fault(std::size_t router);
     void inject_server_link_fault();
-    void leave();
+    void remove_random_server();
     void change_config();
     void check_recovery();
 
--- a/test/soak/soak_server.h
+++ b/test/soak/soak_server.h
@@ -19,7 +19,7 @@
 /** What happens to the connection after a response. */
 enum class response_end : std::uint8_t { keep, close, reset, send_nothing };
 
-/** A part of a response. */
+/** A part of a response, sent at a given time. */
 struct response_chunk {
     worksshift::duration after{}; ///< since the request was received
     std::string bytes;
@@ -45,21 +45,21 @@
     soak_server& operator=(soak_server&&) = delete;
 
     [[nodiscard]] worksshift::link_address address() const { return this->acceptor.address(); }
-    /** Sends the parts that are due and frees ended connections. */
+    /** Sends the response parts that are due and frees ended connections. */
     void tick(worksshift::instant now);
 
 private:
     struct connection;
 
     void accept(evutil_socket_t socket);
-    void read(connection& item);
-    void finish(connection& item);
+    void read(connection& open_connection);
+    void finish(connection& open_connection);
 
     event_base* base;
     script answer;
     listener ended;
     support::loopback_listener acceptor;
-    std::list<std::unique_ptr<connection>> open;
+    std::list<std::unique_ptr<connection>> connections;
 };
 
 } // namespace soak
