--- a/src/answer_relay.cpp
+++ b/src/answer_relay.cpp
@@ -26,14 +26,14 @@
 
 void answer_relay::bind(std::uint64_t request, const attempt_id& id, const vm_id& vm, bool stream)
 {
-    row& item = this->rows[request];
-    this->by_attempt.erase(item.attempt);
-    item.request = request;
-    item.attempt = id;
-    item.vm = vm;
-    item.stream = stream;
-    item.next_sequence = 0;
-    item.over = false;
+    response_row& response = this->rows[request];
+    this->by_attempt.erase(response.attempt);
+    response.request = request;
+    response.attempt = id;
+    response.vm = vm;
+    response.stream = stream;
+    response.next_sequence = 0;
+    response.ended = false;
     this->by_attempt[id] = request;
 }
 
@@ -45,82 +45,85 @@
     this->rows.erase(found);
 }
 
-std::optional<std::pair<attempt_id, vm_id>> answer_relay::bound(std::uint64_t request) const
+std::optional<std::pair<attempt_id, vm_id>> answer_relay::find_binding(std::uint64_t request) const
 {
     const auto found = this->rows.find(request);
-    if (found == this->rows.end() || found->second.over) return std::nullopt;
+    if (found == this->rows.end() || found->second.ended) return std::nullopt;
     return std::pair{found->second.attempt, found->second.vm};
 }
 
-answer_relay::row* answer_relay::find(const attempt_id& id)
+answer_relay::response_row* answer_relay::find(const attempt_id& id)
 {
     const auto found = this->by_attempt.find(id);
     if (found == this->by_attempt.end()) return nullptr;
-    row& item = this->rows.at(found->second);
-    return item.over ? nullptr : &item;
+    response_row& response = this->rows.at(found->second);
+    return response.ended ? nullptr : &response;
 }
 
-attempt_result answer_relay::finish(row& item, const attempt_ended& ended)
+attempt_result answer_relay::finish(response_row& response, const attempt_ended& ended)
 {
-    item.over = true;
-    const bool resumable = item.stream && (!item.head_forwarded || item.status == status_ok);
-    return {ended,       item.head_forwarded, resumable,   item.tokens_forwarded,
-            item.status, item.body,           item.version};
+    response.ended = true;
+    const bool resumable =
+        response.stream && (!response.head_forwarded || response.status == status_ok);
+    return {ended,           response.head_forwarded, resumable,       response.tokens_forwarded,
+            response.status, response.body,           response.version};
 }
 
-attempt_result answer_relay::fail_attempt(row& item, const char* detail)
+attempt_result answer_relay::fail_attempt(response_row& response, const char* detail)
 {
-    return finish(
-        item, {item.attempt, item.next_sequence, outcome::unknown, "relay", item.vm.text, detail});
+    return finish(response, {response.attempt, response.next_sequence, outcome::unknown, "relay",
+                             response.vm.text, detail});
 }
 
-std::optional<attempt_result> answer_relay::take(const attempt_head& head)
+std::optional<attempt_result> answer_relay::handle_frame(const attempt_head& head)
 {
-    row* item = this->find(head.id);
-    if (item == nullptr) return std::nullopt;
-    if (item->head_forwarded) {
+    response_row* response = this->find(head.id);
+    if (response == nullptr) return std::nullopt;
+    if (response->head_forwarded) {
         // A resumed response continues under the head that the caller already has.
-        const bool same = head.status == item->status && head.version == item->version;
+        const bool same = head.status == response->status && head.version == response->version;
         if (same) return std::nullopt;
-        return fail_attempt(*item, "the resumed answer has another status or version");
+        return fail_attempt(*response,
+                            "the resumed response has a different status or model version");
     }
-    item->head_forwarded = true;
-    item->status = head.status;
-    item->version = head.version;
-    this->on_head.emit(item->request, head.status, head.headers);
+    response->head_forwarded = true;
+    response->status = head.status;
+    response->version = head.version;
+    this->on_head.emit(response->request, head.status, head.headers);
     return std::nullopt;
 }
 
-std::optional<attempt_result> answer_relay::take(const attempt_data& data)
+std::optional<attempt_result> answer_relay::handle_frame(const attempt_data& data)
 {
-    row* item = this->find(data.id);
-    if (item == nullptr) return std::nullopt;
-    if (data.sequence != item->next_sequence || !item->head_forwarded) {
-        return fail_attempt(*item, "a frame of the answer is missing");
+    response_row* response = this->find(data.id);
+    if (response == nullptr) return std::nullopt;
+    if (data.sequence != response->next_sequence || !response->head_forwarded) {
+        return fail_attempt(*response, "a frame of the response is missing");
     }
-    ++item->next_sequence;
-    if (item->stream) item->tokens_forwarded += count_tokens(data.bytes);
-    if (item->body.size() <= max_recorded_body_bytes) item->body += data.bytes;
-    this->on_data.emit(item->request, data.bytes);
+    ++response->next_sequence;
+    if (response->stream) response->tokens_forwarded += count_tokens(data.bytes);
+    if (response->body.size() <= max_recorded_body_bytes) response->body += data.bytes;
+    this->on_data.emit(response->request, data.bytes);
     return std::nullopt;
 }
 
-std::optional<attempt_result> answer_relay::take(const attempt_ended& ended)
+std::optional<attempt_result> answer_relay::handle_frame(const attempt_ended& ended)
 {
-    row* item = this->find(ended.id);
-    if (item == nullptr) return std::nullopt;
+    response_row* response = this->find(ended.id);
+    if (response == nullptr) return std::nullopt;
     if (ended.result == outcome::done &&
-        (ended.sequence != item->next_sequence || !item->head_forwarded)) {
-        return fail_attempt(*item, "the end came before the whole answer");
+        (ended.sequence != response->next_sequence || !response->head_forwarded)) {
+        return fail_attempt(*response, "the end frame came before the complete response");
     }
-    return finish(*item, ended);
+    return finish(*response, ended);
 }
 
 std::vector<attempt_result> answer_relay::handle_peer_loss(const vm_id& vm)
 {
     std::vector<attempt_result> results;
-    for (auto& [request, item] : this->rows) {
-        if (item.vm == vm && !item.over) results.push_back(fail_attempt(item, "the link broke"));
+    for (auto& [request, response] : this->rows) {
+        if (response.vm == vm && !response.ended)
+            results.push_back(fail_attempt(response, "the link to the gate was lost"));
     }
     return results;
 }
--- a/src/answer_relay.h
+++ b/src/answer_relay.h
@@ -31,15 +31,16 @@
 
     /** Handles one frame. Returns the result of the attempt if the frame ends it, complete or
      * broken; std::nullopt otherwise. */
-    std::optional<attempt_result> take(const attempt_head& head);
-    std::optional<attempt_result> take(const attempt_data& data);
-    std::optional<attempt_result> take(const attempt_ended& ended);
+    std::optional<attempt_result> handle_frame(const attempt_head& head);
+    std::optional<attempt_result> handle_frame(const attempt_data& data);
+    std::optional<attempt_result> handle_frame(const attempt_ended& ended);
     /** Ends all attempts at a gate whose link broke, and returns their results. */
     std::vector<attempt_result> handle_peer_loss(const vm_id& vm);
 
     [[nodiscard]] std::size_t size() const { return this->rows.size(); }
     /** The attempt and gate that a request is bound to; std::nullopt if it has no open attempt. */
-    [[nodiscard]] std::optional<std::pair<attempt_id, vm_id>> bound(std::uint64_t request) const;
+    [[nodiscard]] std::optional<std::pair<attempt_id, vm_id>>
+    find_binding(std::uint64_t request) const;
 
     /** The head of the response, once per request: request, status, headers. */
     sigc::signal<void(std::uint64_t, std::uint16_t, const std::vector<header>&)> on_head;
@@ -47,7 +48,7 @@
     sigc::signal<void(std::uint64_t, std::string_view)> on_data;
 
 private:
-    struct row {
+    struct response_row {
         std::uint64_t request = 0;
         attempt_id attempt;
         vm_id vm;
@@ -58,14 +59,14 @@
         std::uint16_t status = 0;
         std::string body;    ///< beginning of the response, to be recorded with a claim
         std::string version; ///< of the model that generates the response
-        bool over = false;
+        bool ended = false;
     };
 
-    row* find(const attempt_id& id);
-    static attempt_result finish(row& item, const attempt_ended& ended);
-    static attempt_result fail_attempt(row& item, const char* detail);
+    response_row* find(const attempt_id& id);
+    static attempt_result finish(response_row& response, const attempt_ended& ended);
+    static attempt_result fail_attempt(response_row& response, const char* detail);
 
-    std::unordered_map<std::uint64_t, row> rows; ///< by request
+    std::unordered_map<std::uint64_t, response_row> rows; ///< by request
     std::unordered_map<attempt_id, std::uint64_t> by_attempt;
 };
 
--- a/src/daemon.cpp
+++ b/src/daemon.cpp
@@ -11,9 +11,9 @@
 
 namespace {
 
-constexpr duration heartbeat_period = milliseconds(20);
-constexpr duration list_period = seconds(10);
-constexpr duration load_period = seconds(1);
+constexpr duration max_tick_interval = milliseconds(20);
+constexpr duration vm_list_interval = seconds(10);
+constexpr duration load_poll_interval = seconds(1);
 /** Time between two watches of the manifest, unless the first one returned a newer manifest. */
 constexpr duration watch_interval = milliseconds(500);
 /** Time to flush the last response before the process exits. */
@@ -48,20 +48,20 @@
 
 } // namespace
 
-daemon::daemon(const settings& given)
-    : options(given), base(make_event_base()), keys(options.fleet_key),
+daemon::daemon(const settings& process_settings)
+    : options(process_settings), base(make_event_base()), auth(options.fleet_key),
       core(describe_self(options), options.node, options.membership, random_number(),
            random_number()),
-      links(base.get(), options.vm, options.link, keys),
-      gossip(base.get(), options.link, keys, options.datagram_loss_percent),
+      links(base.get(), options.vm, options.link, auth),
+      gossip(base.get(), options.link, auth, options.datagram_loss_percent),
       front(base.get(), options, telemetry),
-      calls(base.get(), milliseconds(options.server_idle_ms)), caller(base.get()), engines(caller),
-      platform(base.get(), caller, options.platform, options.platform_calls_per_s),
+      calls(base.get(), milliseconds(options.server_idle_ms)), http(base.get()), engines(http),
+      platform(base.get(), http, options.platform, options.platform_calls_per_s),
       fetcher(platform, core.config()), writer(core, platform, fetcher),
       next_tick(base.get(), [this] { this->tick(); }),
-      heartbeat(base.get(), [this] { this->schedule_tick(); }),
-      list_timer(base.get(), [this] { this->list_vms(); }),
-      load_timer(base.get(), [this] { this->poll_loads(); }),
+      tick_timer(base.get(), [this] { this->schedule_tick(); }),
+      vm_list_timer(base.get(), [this] { this->list_vms(); }),
+      load_poll_timer(base.get(), [this] { this->poll_loads(); }),
       watch_timer(base.get(), [this] { this->watch_config(); }),
       stop_timer(base.get(),
                  [this] {
@@ -130,9 +130,9 @@
               {{"data_centre", this->options.data_centre.text},
                {"link_port", this->options.link.port},
                {"front_port", this->options.front.port}});
-    this->heartbeat.start_every(heartbeat_period);
-    this->list_timer.start_every(list_period);
-    this->load_timer.start_every(load_period);
+    this->tick_timer.start_every(max_tick_interval);
+    this->vm_list_timer.start_every(vm_list_interval);
+    this->load_poll_timer.start_every(load_poll_interval);
     this->start_discovery();
     event_base_dispatch(this->base.get());
     log_event(log_level::info, "stopped", {{"exit", this->exit_status}});
@@ -150,12 +150,12 @@
 {
     this->tick_scheduled = false;
     const instant time = now();
-    this->caller.sweep();
+    this->http.sweep();
     this->links.sweep(time);
     this->calls.sweep(time);
     this->core.tick({time, unix_seconds()});
-    for (const action& item : this->core.take_actions())
-        this->execute(item);
+    for (const action& next_action : this->core.take_actions())
+        this->execute(next_action);
     for (const outgoing_gossip& datagram : this->core.members().drain()) {
         this->gossip.send(datagram, time);
     }
@@ -167,54 +167,54 @@
     if (this->stopping) this->finish_stop_if_idle();
 }
 
-void daemon::execute(const action& item)
+void daemon::execute(const action& next_action)
 {
-    std::visit([this](const auto& order) { this->execute_one(order); }, item);
+    std::visit([this](const auto& command) { this->execute_one(command); }, next_action);
 }
 
-void daemon::execute_one(const send_message& order)
+void daemon::execute_one(const send_message& command)
 {
-    this->send(order.to, order.message);
+    this->send(command.to, command.message);
 }
 
-void daemon::execute_one(const start_call& order)
+void daemon::execute_one(const start_call& command)
 {
-    this->calls.start(order, now());
+    this->calls.start(command, now());
 }
 
-void daemon::execute_one(const cancel_call& order)
+void daemon::execute_one(const cancel_call& command)
 {
-    this->calls.cancel(order.id);
+    this->calls.cancel(command.id);
 }
 
-void daemon::execute_one(const bind_attempt& order)
+void daemon::execute_one(const bind_attempt& command)
 {
-    const auto stream = this->streams.find(order.request);
-    this->core.answers().bind(order.request, order.id, order.gate,
+    const auto stream = this->streams.find(command.request);
+    this->core.answers().bind(command.request, command.id, command.gate,
                               stream != this->streams.end() && stream->second);
 }
 
-void daemon::execute_one(const complete_request& order)
+void daemon::execute_one(const complete_request& command)
 {
-    this->release_request(order.request);
-    this->front.complete(order.request);
+    this->release_request(command.request);
+    this->front.complete(command.request);
 }
 
-void daemon::execute_one(const fail_request& order)
+void daemon::execute_one(const fail_request& command)
 {
-    this->release_request(order.request);
-    this->front.fail(order);
+    this->release_request(command.request);
+    this->front.fail(command);
 }
 
-void daemon::execute_one(const replay_request& order)
+void daemon::execute_one(const replay_request& command)
 {
-    this->release_request(order.request);
-    this->front.replay(order);
+    this->release_request(command.request);
+    this->front.replay(command);
 }
 
-void daemon::execute_one(const drop_request& order)
+void daemon::execute_one(const drop_request& command)
 {
-    this->release_request(order.request);
+    this->release_request(command.request);
 }
 
 /** Releases the data path's state of a request that has ended. */
@@ -225,9 +225,9 @@
     this->credits.erase(request);
 }
 
-void daemon::execute_one(const object_call& order)
+void daemon::execute_one(const object_call& command)
 {
-    this->platform.run(order, [this](const object_result& result) {
+    this->platform.run(command, [this](const object_result& result) {
         this->core.data().in.objects.push_back(result);
         this->schedule_tick();
     });
@@ -235,7 +235,7 @@
 
 void daemon::execute_one(const start_order& order)
 {
-    this->engines.give_order(order, [this](order_result ended) {
+    this->engines.send_order(order, [this](order_result ended) {
         this->core.data().in.order_results.push_back(std::move(ended));
         this->schedule_tick();
     });
@@ -286,9 +286,9 @@
     std::uint32_t& drained = this->credits[request];
     drained += bytes;
     if (drained < min_credit_bytes) return;
-    const auto bound = this->core.answers().bound(request);
-    if (!bound) return;
-    this->send(bound->second, data_credit{bound->first, drained});
+    const auto binding = this->core.answers().find_binding(request);
+    if (!binding) return;
+    this->send(binding->second, data_credit{binding->first, drained});
     drained = 0;
 }
 
@@ -319,16 +319,16 @@
 
 void daemon::watch_config()
 {
-    if (this->watching || this->stopping) return;
+    if (this->watch_in_flight || this->stopping) return;
     const bool first = this->core.config().revision() == 0;
     if (!first && !is_watcher(this->core.members())) {
         this->watch_timer.start_once(seconds(1));
         return;
     }
-    this->watching = true;
+    this->watch_in_flight = true;
     this->platform.watch(manifest_object, this->manifest_version,
                          [this](const object_result& result) {
-                             this->watching = false;
+                             this->watch_in_flight = false;
                              this->handle_manifest(result);
                          });
 }
@@ -346,19 +346,19 @@
     }
     if (!newer || fetched_by_watchers) return;
     this->manifest_version = result.version;
-    parsed_manifest head;
+    parsed_manifest manifest;
     try {
-        head = parse_manifest(result.value);
+        manifest = parse_manifest(result.value);
     } catch (const user_error& fault) {
         log_event(log_level::error, "manifest_invalid",
                   {{"step", fault.step}, {"path", fault.peer}, {"why", fault.what()}});
         return;
     }
-    if (head.revision < this->core.config().revision()) {
+    if (manifest.revision < this->core.config().revision()) {
         log_event(log_level::error, "platform_shows_lower_revision",
-                  {{"platform", head.revision}, {"in_force", this->core.config().revision()}});
+                  {{"platform", manifest.revision}, {"in_force", this->core.config().revision()}});
     }
-    this->fetcher.fetch(result.value, head,
+    this->fetcher.fetch(result.value, manifest,
                         [this](const std::optional<config_documents>& documents) {
                             if (!documents) {
                                 this->manifest_version = 0; // so that the watch returns it again
@@ -386,8 +386,8 @@
     report.server = gate.server;
     report.sent = now();
     report.own_running_at_request = static_cast<std::uint32_t>(gate.running.size());
-    this->engines.ask_load(server->second.config, report, [this](load_report taken) {
-        this->core.data().in.load_reports.push_back(std::move(taken));
+    this->engines.request_load_report(server->second.config, report, [this](load_report completed) {
+        this->core.data().in.load_reports.push_back(std::move(completed));
         this->schedule_tick();
     });
 }
--- a/src/daemon.h
+++ b/src/daemon.h
@@ -18,7 +18,7 @@
 
 class daemon {
 public:
-    explicit daemon(const settings& options);
+    explicit daemon(const settings& process_settings);
     ~daemon();
     daemon(const daemon&) = delete;
     daemon& operator=(const daemon&) = delete;
@@ -33,17 +33,17 @@
     void connect_signals();
     void schedule_tick();
     void tick();
-    void execute(const action& item);
-    void execute_one(const send_message& order);
-    void execute_one(const start_call& order);
-    void execute_one(const cancel_call& order);
-    void execute_one(const bind_attempt& order);
-    void execute_one(const complete_request& order);
-    void execute_one(const fail_request& order);
-    void execute_one(const replay_request& order);
-    void execute_one(const drop_request& order);
+    void execute(const action& next_action);
+    void execute_one(const send_message& command);
+    void execute_one(const start_call& command);
+    void execute_one(const cancel_call& command);
+    void execute_one(const bind_attempt& command);
+    void execute_one(const complete_request& command);
+    void execute_one(const fail_request& command);
+    void execute_one(const replay_request& command);
+    void execute_one(const drop_request& command);
     void release_request(std::uint64_t request);
-    void execute_one(const object_call& order);
+    void execute_one(const object_call& command);
     void execute_one(const start_order& order);
 
     void send(const vm_id& to, link_message message);
@@ -64,14 +64,14 @@
 
     settings options;
     event_ptr<event_base> base;
-    authenticator keys;
+    authenticator auth;
     metrics telemetry;
     node core;
     link_hub links;
     gossip_socket gossip;
     http_frontend front;
     server_calls calls;
-    http_client caller;
+    http_client http;
     engine_client engines;
     platform_client platform;
     shard_fetcher fetcher;
@@ -79,9 +79,9 @@
     std::unique_ptr<admin_api> admin;
 
     timer next_tick;
-    timer heartbeat;
-    timer list_timer;
-    timer load_timer;
+    timer tick_timer;
+    timer vm_list_timer;
+    timer load_poll_timer;
     timer watch_timer;
     timer stop_timer;
     signal_watch on_term;
@@ -92,7 +92,7 @@
     std::unordered_map<std::uint64_t, std::uint32_t> credits;
     std::uint64_t manifest_version = 0;
     std::uint64_t published_revision = 0; ///< of the configuration that `front` uses
-    bool watching = false;
+    bool watch_in_flight = false;
     bool tick_scheduled = false;
     bool stopping = false;
     bool exiting = false;
--- a/src/engine_client.cpp
+++ b/src/engine_client.cpp
@@ -29,7 +29,7 @@
 }
 
 /** An unsigned integer field; std::nullopt if it is absent or of another type. */
-std::optional<std::uint64_t> read_number(const json& object, const char* name)
+std::optional<std::uint64_t> read_unsigned(const json& object, const char* name)
 {
     const bool fits =
         object.is_object() && object.contains(name) && object[name].is_number_unsigned();
@@ -38,36 +38,37 @@
 
 } // namespace
 
-void engine_client::ask_load(const server_config& engine, load_report report, report_handler done)
+void engine_client::request_load_report(const server_config& engine, load_report report,
+                                        report_handler done)
 {
     const auto handle = [report = std::move(report),
                          done = std::move(done)](const http_response& response) {
         const json body = json::parse(response.body, nullptr, false);
-        const auto running = read_number(body, "running");
+        const auto running = read_unsigned(body, "running");
         if (response.status != status_ok || !running) return;
         load_report completed = report;
         completed.running = static_cast<std::uint32_t>(*running);
         completed.versions = read_versions(body);
         done(std::move(completed));
     };
-    this->caller.call({engine.address, engine.port}, EVHTTP_REQ_GET, "/load", {}, {},
-                      {load_timeout}, handle);
+    this->http.call({engine.address, engine.port}, EVHTTP_REQ_GET, "/load", {}, {}, {load_timeout},
+                    handle);
 }
 
-void engine_client::give_order(const start_order& order, order_handler done)
+void engine_client::send_order(const start_order& order, order_handler done)
 {
-    const json body{{"order", order.kind == order_kind::load ? "load" : "unload"},
-                    {"version", order.version},
-                    {"fence", order.fence}};
+    const json order_body{{"order", order.kind == order_kind::load ? "load" : "unload"},
+                          {"version", order.version},
+                          {"fence", order.fence}};
     const auto handle = [server = order.server.id,
                          done = std::move(done)](const http_response& response) {
-        const json answer = json::parse(response.body, nullptr, false);
+        const json body = json::parse(response.body, nullptr, false);
         const bool refused = response.status == status_conflict;
-        const std::uint64_t known_fence = refused ? read_number(answer, "fence").value_or(0) : 0;
+        const std::uint64_t known_fence = refused ? read_unsigned(body, "fence").value_or(0) : 0;
         done({server, response.status == status_ok, known_fence});
     };
-    this->caller.call({order.server.address, order.server.port}, EVHTTP_REQ_POST, "/orders", {},
-                      body.dump(), {order_timeout}, handle);
+    this->http.call({order.server.address, order.server.port}, EVHTTP_REQ_POST, "/orders", {},
+                    order_body.dump(), {order_timeout}, handle);
 }
 
 } // namespace worksshift
--- a/src/engine_client.h
+++ b/src/engine_client.h
@@ -16,16 +16,16 @@
     using report_handler = std::function<void(load_report)>;
     using order_handler = std::function<void(order_result)>;
 
-    explicit engine_client(http_client& caller) : caller(caller) {}
+    explicit engine_client(http_client& http) : http(http) {}
 
     /** Fills in the report from the engine's response. \p done is not called if the engine does not
      * respond or its response lacks the number of running requests. */
-    void ask_load(const server_config& engine, load_report report, report_handler done);
+    void request_load_report(const server_config& engine, load_report report, report_handler done);
     /** Sends an order. \p done is called in any case; an order without response is not accepted. */
-    void give_order(const start_order& order, order_handler done);
+    void send_order(const start_order& order, order_handler done);
 
 private:
-    http_client& caller;
+    http_client& http;
 };
 
 } // namespace worksshift
--- a/src/http_frontend.cpp
+++ b/src/http_frontend.cpp
@@ -92,8 +92,8 @@
 
 } // namespace
 
-/** A caller whose request has not ended. */
-struct http_frontend::caller {
+/** A caller's request that has not ended, with its connection. */
+struct http_frontend::pending_request {
     http_frontend* owner = nullptr;
     std::uint64_t id = 0;
     evhttp_request* request = nullptr;
@@ -136,8 +136,8 @@
 
 http_frontend::~http_frontend()
 {
-    for (auto& [id, item] : this->callers)
-        this->detach(*item);
+    for (auto& [id, pending] : this->pending_requests)
+        this->detach(*pending);
 }
 
 void http_frontend::close()
@@ -147,10 +147,10 @@
     this->socket = nullptr;
 }
 
-http_frontend::caller* http_frontend::find(std::uint64_t id)
+http_frontend::pending_request* http_frontend::find(std::uint64_t id)
 {
-    const auto found = this->callers.find(id);
-    return found == this->callers.end() ? nullptr : found->second.get();
+    const auto found = this->pending_requests.find(id);
+    return found == this->pending_requests.end() ? nullptr : found->second.get();
 }
 
 void http_frontend::handle_http_request(evhttp_request* request)
@@ -173,7 +173,8 @@
         send_bad_request(request, {505, "http_version", "HTTP/1.1 is needed"});
     } else if (evbuffer_get_length(evhttp_request_get_input_buffer(request)) >
                this->options.max_request_body_bytes) {
-        send_bad_request(request, {413, "body_too_large", "the body is over the limit"});
+        send_bad_request(request,
+                         {413, "body_too_large", "the request body exceeds the size limit"});
     } else if (this->config == nullptr) {
         fail_request failure;
         failure.code = "no_configuration";
@@ -216,102 +217,103 @@
     }
     accepted_request accepted{std::move(std::get<parsed_request>(parsed).row),
                               std::get<parsed_request>(parsed).stream};
-    auto owned = std::make_unique<caller>();
-    caller* item = owned.get();
-    item->owner = this;
-    item->id = this->next_id++;
-    item->request = request;
-    item->connection = evhttp_request_get_connection(request);
-    item->service = accepted.row.service;
-    item->account = accepted.row.account;
-    item->started = now;
-    item->between_pieces =
-        &this->telemetry.find(latency::between_pieces, item->service, item->account);
-    this->callers[item->id] = std::move(owned);
+    auto owned = std::make_unique<pending_request>();
+    pending_request* pending = owned.get();
+    pending->owner = this;
+    pending->id = this->next_id++;
+    pending->request = request;
+    pending->connection = evhttp_request_get_connection(request);
+    pending->service = accepted.row.service;
+    pending->account = accepted.row.account;
+    pending->started = now;
+    pending->between_pieces =
+        &this->telemetry.find(latency::between_pieces, pending->service, pending->account);
+    this->pending_requests[pending->id] = std::move(owned);
 
     const auto closed = [](evhttp_connection*, void* context) {
-        auto* disconnected = static_cast<caller*>(context);
+        auto* disconnected = static_cast<pending_request*>(context);
         disconnected->owner->handle_closed(*disconnected);
     };
-    evhttp_connection_set_closecb(item->connection, closed, item);
-    bufferevent* socket = evhttp_connection_get_bufferevent(item->connection);
+    evhttp_connection_set_closecb(pending->connection, closed, pending);
+    bufferevent* socket = evhttp_connection_get_bufferevent(pending->connection);
     set_no_delay(bufferevent_getfd(socket));
     const auto drained = [](evbuffer*, const evbuffer_cb_info* info, void* context) {
-        const auto* reader = static_cast<caller*>(context);
+        const auto* drained_request = static_cast<pending_request*>(context);
         if (info->n_deleted > 0) {
-            reader->owner->on_drained.emit(reader->id, static_cast<std::uint32_t>(info->n_deleted));
+            drained_request->owner->on_drained.emit(drained_request->id,
+                                                    static_cast<std::uint32_t>(info->n_deleted));
         }
     };
-    item->drain_callback = evbuffer_add_cb(bufferevent_get_output(socket), drained, item);
+    pending->drain_callback = evbuffer_add_cb(bufferevent_get_output(socket), drained, pending);
     // evhttp does not read while a request is served, so it does not notice a disconnect.
     const auto on_closed_by_caller = [](evutil_socket_t, short, void* context) {
-        auto* disconnected = static_cast<caller*>(context);
+        auto* disconnected = static_cast<pending_request*>(context);
         disconnected->owner->handle_disconnect(*disconnected);
     };
-    item->disconnect_event.reset(
-        event_new(this->base, bufferevent_getfd(socket), EV_CLOSED, on_closed_by_caller, item));
-    event_add(item->disconnect_event.get(), nullptr);
+    pending->disconnect_event.reset(
+        event_new(this->base, bufferevent_getfd(socket), EV_CLOSED, on_closed_by_caller, pending));
+    event_add(pending->disconnect_event.get(), nullptr);
 
-    accepted.row.id = item->id;
-    accepted.row.request_id = this->id_prefix + std::to_string(item->id);
+    accepted.row.id = pending->id;
+    accepted.row.request_id = this->id_prefix + std::to_string(pending->id);
     this->on_request.emit(accepted);
 }
 
 void http_frontend::send_head(std::uint64_t request, std::uint16_t status,
                               std::span<const header> headers)
 {
-    caller* item = this->find(request);
-    if (item == nullptr || item->head_sent) return;
-    item->head_sent = true;
-    item->last_chunk_at = std::chrono::steady_clock::now();
-    this->telemetry.observe(latency::first_byte, item->service, item->account,
-                            item->last_chunk_at - item->started);
-    evkeyvalq* out = evhttp_request_get_output_headers(item->request);
+    pending_request* pending = this->find(request);
+    if (pending == nullptr || pending->head_sent) return;
+    pending->head_sent = true;
+    pending->last_chunk_at = std::chrono::steady_clock::now();
+    this->telemetry.observe(latency::first_byte, pending->service, pending->account,
+                            pending->last_chunk_at - pending->started);
+    evkeyvalq* out = evhttp_request_get_output_headers(pending->request);
     for (const header& extra : headers) {
         evhttp_add_header(out, extra.name.c_str(), extra.value.c_str());
     }
-    evhttp_send_reply_start(item->request, status, nullptr);
+    evhttp_send_reply_start(pending->request, status, nullptr);
 }
 
 void http_frontend::send_data(std::uint64_t request, std::string_view bytes)
 {
-    caller* item = this->find(request);
-    if (item == nullptr) return;
+    pending_request* pending = this->find(request);
+    if (pending == nullptr) return;
     const instant now = std::chrono::steady_clock::now();
-    item->between_pieces->add(now - item->last_chunk_at);
-    item->last_chunk_at = now;
+    pending->between_pieces->add(now - pending->last_chunk_at);
+    pending->last_chunk_at = now;
     event_ptr<evbuffer> chunk(evbuffer_new());
     evbuffer_add(chunk.get(), bytes.data(), bytes.size());
-    evhttp_send_reply_chunk(item->request, chunk.get());
-    flush_output(evhttp_connection_get_bufferevent(item->connection));
+    evhttp_send_reply_chunk(pending->request, chunk.get());
+    flush_output(evhttp_connection_get_bufferevent(pending->connection));
 }
 
 /** Removes this request's callbacks from the connection, which stays open for the caller's next
  * request. */
-void http_frontend::detach(caller& item)
+void http_frontend::detach(pending_request& pending)
 {
-    item.disconnect_event.reset();
-    bufferevent* socket = evhttp_connection_get_bufferevent(item.connection);
-    evbuffer_remove_cb_entry(bufferevent_get_output(socket), item.drain_callback);
-    evhttp_connection_set_closecb(item.connection, nullptr, nullptr);
+    pending.disconnect_event.reset();
+    bufferevent* socket = evhttp_connection_get_bufferevent(pending.connection);
+    evbuffer_remove_cb_entry(bufferevent_get_output(socket), pending.drain_callback);
+    evhttp_connection_set_closecb(pending.connection, nullptr, nullptr);
 }
 
 void http_frontend::complete(std::uint64_t request)
 {
-    caller* item = this->find(request);
-    if (item == nullptr) return;
+    pending_request* pending = this->find(request);
+    if (pending == nullptr) return;
     this->telemetry.count("worksshift_answers_done_total");
-    this->telemetry.observe(latency::whole, item->service, item->account,
-                            std::chrono::steady_clock::now() - item->started);
-    this->detach(*item);
-    evhttp_send_reply_end(item->request);
-    this->callers.erase(request);
+    this->telemetry.observe(latency::whole, pending->service, pending->account,
+                            std::chrono::steady_clock::now() - pending->started);
+    this->detach(*pending);
+    evhttp_send_reply_end(pending->request);
+    this->pending_requests.erase(request);
 }
 
 void http_frontend::fail(const fail_request& failure)
 {
-    caller* item = this->find(failure.request);
-    if (item == nullptr) return;
+    pending_request* pending = this->find(failure.request);
+    if (pending == nullptr) return;
     this->telemetry.count(std::string("worksshift_answers_") + outcome_name(failure.result) +
                           "_total");
     log_event(log_level::info, "request_failed",
@@ -320,48 +322,49 @@
                {"code", failure.code},
                {"step", failure.step},
                {"peer", failure.peer},
-               {"account", item->account.text}});
-    this->detach(*item);
-    if (item->head_sent) {
-        evhttp_connection_free(item->connection);
+               {"account", pending->account.text}});
+    this->detach(*pending);
+    if (pending->head_sent) {
+        evhttp_connection_free(pending->connection);
     } else {
-        send_error(item->request, failure);
+        send_error(pending->request, failure);
     }
-    this->callers.erase(failure.request);
+    this->pending_requests.erase(failure.request);
 }
 
 void http_frontend::replay(const replay_request& recorded)
 {
-    caller* item = this->find(recorded.request);
-    if (item == nullptr) return;
-    this->detach(*item);
-    evkeyvalq* headers = evhttp_request_get_output_headers(item->request);
+    pending_request* pending = this->find(recorded.request);
+    if (pending == nullptr) return;
+    this->detach(*pending);
+    evkeyvalq* headers = evhttp_request_get_output_headers(pending->request);
     evhttp_add_header(headers, "X-Worksshift-Replayed", "true");
-    send_text(item->request, recorded.status, "application/json", recorded.body);
-    this->callers.erase(recorded.request);
+    send_text(pending->request, recorded.status, "application/json", recorded.body);
+    this->pending_requests.erase(recorded.request);
 }
 
 /** Close callback: evhttp is freeing the connection. */
-void http_frontend::handle_closed(caller& item)
+void http_frontend::handle_closed(pending_request& pending)
 {
-    item.disconnect_event.reset();
-    bufferevent* socket = evhttp_connection_get_bufferevent(item.connection);
-    evbuffer_remove_cb_entry(bufferevent_get_output(socket), item.drain_callback);
+    pending.disconnect_event.reset();
+    bufferevent* socket = evhttp_connection_get_bufferevent(pending.connection);
+    evbuffer_remove_cb_entry(bufferevent_get_output(socket), pending.drain_callback);
     // evhttp detaches an unfinished request from a failed connection; it must then be freed here.
-    if (evhttp_request_get_connection(item.request) == nullptr) evhttp_request_free(item.request);
-    const std::uint64_t id = item.id;
-    this->callers.erase(id);
+    if (evhttp_request_get_connection(pending.request) == nullptr)
+        evhttp_request_free(pending.request);
+    const std::uint64_t id = pending.id;
+    this->pending_requests.erase(id);
     this->telemetry.count("worksshift_callers_gone_total");
     this->on_disconnect.emit(id);
 }
 
 /** The caller closed the connection while its request was served. */
-void http_frontend::handle_disconnect(caller& item)
+void http_frontend::handle_disconnect(pending_request& pending)
 {
-    evhttp_connection* connection = item.connection;
-    const std::uint64_t id = item.id;
-    this->detach(item);
-    this->callers.erase(id);
+    evhttp_connection* connection = pending.connection;
+    const std::uint64_t id = pending.id;
+    this->detach(pending);
+    this->pending_requests.erase(id);
     this->telemetry.count("worksshift_callers_gone_total");
     evhttp_connection_free(connection);
     this->on_disconnect.emit(id);
--- a/src/http_frontend.h
+++ b/src/http_frontend.h
@@ -53,7 +53,7 @@
     void fail(const fail_request& failure);
     void replay(const replay_request& recorded);
 
-    [[nodiscard]] std::size_t size() const { return this->callers.size(); }
+    [[nodiscard]] std::size_t size() const { return this->pending_requests.size(); }
 
     sigc::signal<void(const accepted_request&)> on_request;
     sigc::signal<void(std::uint64_t)> on_disconnect;
@@ -63,15 +63,15 @@
     std::function<std::string()> extra_metrics;
 
 private:
-    struct caller;
+    struct pending_request;
 
     void handle_http_request(evhttp_request* request);
     void handle_api_request(evhttp_request* request, const raw_request& raw);
     void send_models(evhttp_request* request, const raw_request& raw);
-    caller* find(std::uint64_t id);
-    void detach(caller& item);
-    void handle_closed(caller& item);
-    void handle_disconnect(caller& item);
+    pending_request* find(std::uint64_t id);
+    void detach(pending_request& pending);
+    void handle_closed(pending_request& pending);
+    void handle_disconnect(pending_request& pending);
 
     event_base* base;
     const settings& options;
@@ -82,7 +82,7 @@
     bool leaving = false;
     std::uint64_t next_id = 1;
     std::string id_prefix;
-    std::unordered_map<std::uint64_t, std::unique_ptr<caller>> callers;
+    std::unordered_map<std::uint64_t, std::unique_ptr<pending_request>> pending_requests;
 };
 
 } // namespace worksshift
--- a/src/node.cpp
+++ b/src/node.cpp
@@ -61,7 +61,7 @@
     run("open_attempts", [&] { open_attempts(t, time); });
     run("run_queues", [&] { run_queues(t, time); });
     run("hold_lease", [&] { maintain_lease(t, time); });
-    run("want_orders", [&] { request_orders(t, this->next_wants, time); });
+    run("want_orders", [&] { request_orders(t, this->next_order_request, time); });
     run("give_orders", [&] { issue_orders(t, time); });
     run("settle_claims", [&] { process_claims(t, time); });
     run("grant_quotas", [&] { grant_quotas(t, time); });
@@ -147,9 +147,11 @@
                 this->configuration.pull_target = {};
             } else if constexpr (std::is_same_v<Message, attempt_head> ||
                                  std::is_same_v<Message, attempt_data>) {
-                if (auto broken = this->relay.take(body)) in.ended.push_back(std::move(*broken));
+                if (auto broken = this->relay.handle_frame(body))
+                    in.ended.push_back(std::move(*broken));
             } else if constexpr (std::is_same_v<Message, attempt_ended>) {
-                if (auto ended = this->relay.take(body)) in.ended.push_back(std::move(*ended));
+                if (auto ended = this->relay.handle_frame(body))
+                    in.ended.push_back(std::move(*ended));
             }
         },
         message);
--- a/src/node.h
+++ b/src/node.h
@@ -57,7 +57,7 @@
     answer_relay relay;
     instant next_loads{};
     instant next_expiry{};
-    instant next_wants{};
+    instant next_order_request{};
     std::uint64_t applied_revision = 0;
 };
 
--- a/test/fuzz/relay_takes_frames_in_order.cpp
+++ b/test/fuzz/relay_forwards_frames_in_order.cpp
@@ -37,7 +37,7 @@
 }
 
 /** Drops, duplicates and swaps some frames. */
-std::vector<frame> disturb(std::vector<frame> frames)
+std::vector<frame> inject_faults(std::vector<frame> frames)
 {
     const int faults = *rc::gen::inRange(0, 3);
     for (int i = 0; i < faults && !frames.empty(); ++i) {
@@ -51,13 +51,13 @@
     return frames;
 }
 
-class relay_takes_frames_in_order : public CppUnit::TestFixture {
-    CPPUNIT_TEST_SUITE(relay_takes_frames_in_order);
-    CPPUNIT_TEST(whatever_arrives);
+class relay_forwards_frames_in_order : public CppUnit::TestFixture {
+    CPPUNIT_TEST_SUITE(relay_forwards_frames_in_order);
+    CPPUNIT_TEST(with_random_frame_faults);
     CPPUNIT_TEST_SUITE_END();
 
 public:
-    void whatever_arrives()
+    void with_random_frame_faults()
     {
         const bool property_holds = rc::check("only a beginning is passed", [] {
             const auto tokens = *rc::gen::inRange<std::uint32_t>(1, 12);
@@ -65,36 +65,37 @@
             for (std::uint32_t i = 0; i < tokens; ++i)
                 complete += token(i);
             answer_relay relay;
-            std::string passed;
-            relay.on_data.connect([&](std::uint64_t, std::string_view bytes) { passed += bytes; });
+            std::string forwarded;
+            relay.on_data.connect(
+                [&](std::uint64_t, std::string_view bytes) { forwarded += bytes; });
             std::vector<frame> abandoned_frames;
             std::uint32_t resume_from = 0;
             for (std::uint64_t attempt = 1; attempt <= 3; ++attempt) {
                 const attempt_id id{1, attempt};
                 relay.bind(1, id, {"vm"}, true);
-                std::vector<frame> frames = disturb(make_frames(id, resume_from, tokens));
+                std::vector<frame> frames = inject_faults(make_frames(id, resume_from, tokens));
                 // Frames of abandoned attempts arrive among those of the current one.
-                for (const frame& item : abandoned_frames) {
+                for (const frame& received : abandoned_frames) {
                     const auto at = *rc::gen::inRange<std::size_t>(0, frames.size() + 1);
-                    frames.insert(frames.begin() + static_cast<std::ptrdiff_t>(at), item);
+                    frames.insert(frames.begin() + static_cast<std::ptrdiff_t>(at), received);
                 }
                 std::optional<attempt_result> result;
-                for (const frame& item : frames) {
-                    const auto one =
-                        std::visit([&](const auto& body) { return relay.take(body); }, item);
-                    if (one) {
+                for (const frame& received : frames) {
+                    const auto ended = std::visit(
+                        [&](const auto& body) { return relay.handle_frame(body); }, received);
+                    if (ended) {
                         RC_ASSERT(!result);
-                        result = one;
+                        result = ended;
                     }
-                    RC_ASSERT(complete.starts_with(passed));
+                    RC_ASSERT(complete.starts_with(forwarded));
                 }
                 if (result && result->end.result == outcome::done) {
-                    RC_ASSERT(passed == complete);
+                    RC_ASSERT(forwarded == complete);
                     return;
                 }
                 // The end frame was lost; in a node, the deadline would end the request.
                 if (!result) return;
-                RC_ASSERT(result->tokens_forwarded == count_tokens(passed));
+                RC_ASSERT(result->tokens_forwarded == count_tokens(forwarded));
                 resume_from = result->tokens_forwarded;
                 abandoned_frames = make_frames(id, 0, tokens);
             }
@@ -103,6 +104,6 @@
     }
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(relay_takes_frames_in_order);
+CPPUNIT_TEST_SUITE_REGISTRATION(relay_forwards_frames_in_order);
 
 } // namespace
