--- a/src/codec.cpp
+++ b/src/codec.cpp
@@ -20,12 +20,12 @@
 constexpr std::size_t sha256_size = 32;
 
 /** The context of a link frame's tag: the receiver's nonce and the frame's sequence number. */
-std::array<std::uint8_t, 24> frame_context(const nonce& value, std::uint64_t number)
+std::array<std::uint8_t, 24> frame_context(const nonce& receiver_nonce, std::uint64_t sequence)
 {
     std::array<std::uint8_t, 24> context{};
-    std::ranges::copy(value, context.begin());
-    for (std::size_t i = 0; i < sizeof number; ++i) {
-        context[value.size() + i] = static_cast<std::uint8_t>(number >> (8 * i));
+    std::ranges::copy(receiver_nonce, context.begin());
+    for (std::size_t i = 0; i < sizeof sequence; ++i) {
+        context[receiver_nonce.size() + i] = static_cast<std::uint8_t>(sequence >> (8 * i));
     }
     return context;
 }
@@ -85,10 +85,11 @@
     std::string digest = "SHA256";
     const std::array parameters{OSSL_PARAM_construct_utf8_string("digest", digest.data(), 0),
                                 OSSL_PARAM_construct_end()};
-    const int ready =
+    const int initialised =
         EVP_MAC_init(this->inner->context, reinterpret_cast<const unsigned char*>(key.data()),
                      key.size(), parameters.data());
-    if (ready != 1) throw internal_error("authenticate", "", "HMAC-SHA256 cannot be initialised");
+    if (initialised != 1)
+        throw internal_error("authenticate", "", "HMAC-SHA256 cannot be initialised");
 }
 
 authenticator::~authenticator()
@@ -137,7 +138,8 @@
     if (length + length_size > max_frame_bytes) {
         throw internal_error("write frame", "", "frame exceeds the maximum length");
     }
-    const frame_tag tag = this->keys.tag(frame_context(this->peer_nonce, this->number++), body);
+    const frame_tag tag =
+        this->auth.tag(frame_context(this->peer_nonce, this->next_sequence++), body);
     std::string frame;
     frame.reserve(length_size + length);
     for (std::size_t i = 0; i < length_size; ++i) {
@@ -165,29 +167,29 @@
     frame_tag tag{};
     std::ranges::copy(frame.subspan(length_size, tag_size), tag.begin());
     const std::string_view body = as_text(frame.subspan(frame_header_size));
-    if (!this->keys.check(tag, frame_context(this->own_nonce, this->number++), body)) {
+    if (!this->auth.check(tag, frame_context(this->own_nonce, this->next_sequence++), body)) {
         throw peer_error("read frame", "",
                          "authentication failed: wrong fleet key, or frame out of order");
     }
     return decode<link_message>(body, "read frame");
 }
 
-std::optional<std::string> write_datagram(authenticator& keys, const gossip_message& message)
+std::optional<std::string> write_datagram(authenticator& auth, const gossip_message& message)
 {
     const std::string body = encode(message);
     if (body.size() + tag_size > max_datagram_bytes) return std::nullopt;
-    const frame_tag tag = keys.tag(datagram_context, body);
+    const frame_tag tag = auth.tag(datagram_context, body);
     std::string datagram(reinterpret_cast<const char*>(tag.data()), tag.size());
     return datagram + body;
 }
 
-gossip_message read_datagram(authenticator& keys, std::span<const std::uint8_t> datagram)
+gossip_message read_datagram(authenticator& auth, std::span<const std::uint8_t> datagram)
 {
     if (datagram.size() < tag_size) throw peer_error("read datagram", "", "datagram too short");
     frame_tag tag{};
     std::ranges::copy(datagram.first(tag_size), tag.begin());
     const std::string_view body = as_text(datagram.subspan(tag_size));
-    if (!keys.check(tag, datagram_context, body)) {
+    if (!auth.check(tag, datagram_context, body)) {
         throw peer_error("read datagram", "", "authentication failed: wrong fleet key");
     }
     return decode<gossip_message>(body, "read datagram");
--- a/src/codec.h
+++ b/src/codec.h
@@ -55,22 +55,22 @@
 /** Writes the frames of one direction of a link. */
 class frame_writer {
 public:
-    explicit frame_writer(authenticator& keys) : keys(keys) {}
+    explicit frame_writer(authenticator& auth) : auth(auth) {}
     /** Sets the peer's nonce. Call it after the first frame, the hello, which is written with an
      * empty nonce. */
     void set_nonce(const nonce& value) { this->peer_nonce = value; }
     std::string write(const link_message& message);
 
 private:
-    authenticator& keys;
+    authenticator& auth;
     nonce peer_nonce{};
-    std::uint64_t number = 0;
+    std::uint64_t next_sequence = 0;
 };
 
 /** Reads the frames of one direction of a link. */
 class frame_reader {
 public:
-    explicit frame_reader(authenticator& keys) : keys(keys) {}
+    explicit frame_reader(authenticator& auth) : auth(auth) {}
     void set_nonce(const nonce& value) { this->own_nonce = value; }
 
     /** Length of the frame that starts with \p head, head included.
@@ -81,14 +81,14 @@
     link_message read(std::span<const std::uint8_t> frame);
 
 private:
-    authenticator& keys;
+    authenticator& auth;
     nonce own_nonce{};
-    std::uint64_t number = 0;
+    std::uint64_t next_sequence = 0;
 };
 
 /** One datagram; std::nullopt if the message exceeds `max_datagram_bytes`. */
-std::optional<std::string> write_datagram(authenticator& keys, const gossip_message& message);
+std::optional<std::string> write_datagram(authenticator& auth, const gossip_message& message);
 /** \throws peer_error on a wrong tag or a malformed body. */
-gossip_message read_datagram(authenticator& keys, std::span<const std::uint8_t> datagram);
+gossip_message read_datagram(authenticator& auth, std::span<const std::uint8_t> datagram);
 
 } // namespace worksshift
--- a/src/gossip_socket.cpp
+++ b/src/gossip_socket.cpp
@@ -16,9 +16,9 @@
 
 } // namespace
 
-gossip_socket::gossip_socket(event_base* base, const link_address& listen, authenticator& keys,
+gossip_socket::gossip_socket(event_base* base, const link_address& listen, authenticator& auth,
                              std::uint32_t loss_percent)
-    : socket(::socket(AF_INET, SOCK_DGRAM | SOCK_NONBLOCK, 0)), keys(keys),
+    : socket(::socket(AF_INET, SOCK_DGRAM | SOCK_NONBLOCK, 0)), auth(auth),
       loss_percent(loss_percent)
 {
     const sockaddr_in own = to_socket_address(listen);
@@ -26,10 +26,10 @@
         throw user_error("listen", listen.address + ":" + std::to_string(listen.port),
                          "cannot bind the UDP port for gossip");
     }
-    const auto readable_now = [](evutil_socket_t, short, void* self) {
+    const auto on_readable = [](evutil_socket_t, short, void* self) {
         static_cast<gossip_socket*>(self)->read();
     };
-    this->readable.reset(event_new(base, this->socket, EV_READ | EV_PERSIST, readable_now, this));
+    this->readable.reset(event_new(base, this->socket, EV_READ | EV_PERSIST, on_readable, this));
     event_add(this->readable.get(), nullptr);
 }
 
@@ -39,7 +39,7 @@
     close(this->socket);
 }
 
-bool gossip_socket::take_budget(std::size_t bytes, bool sheddable, instant now)
+bool gossip_socket::withdraw_budget(std::size_t bytes, bool sheddable, instant now)
 {
     if (this->budget_at != instant{}) {
         const double elapsed_s = std::chrono::duration<double>(now - this->budget_at).count();
@@ -55,14 +55,14 @@
 
 void gossip_socket::send(const outgoing_gossip& datagram, instant now)
 {
-    const auto bytes = write_datagram(this->keys, datagram.message);
+    const auto bytes = write_datagram(this->auth, datagram.message);
     if (!bytes) {
         ++this->counts.datagrams_shed;
         return;
     }
     const bool sheddable = std::holds_alternative<notice>(datagram.message.body) &&
                            datagram.message.sender.state == member_state::alive;
-    if (!this->take_budget(bytes->size(), sheddable, now)) {
+    if (!this->withdraw_budget(bytes->size(), sheddable, now)) {
         ++this->counts.datagrams_shed;
         return;
     }
@@ -82,7 +82,7 @@
         if (length < 0) return;
         try {
             this->on_message.emit(read_datagram(
-                this->keys, std::span(bytes).first(static_cast<std::size_t>(length))));
+                this->auth, std::span(bytes).first(static_cast<std::size_t>(length))));
         } catch (const peer_error& fault) {
             ++this->counts.datagrams_refused;
             log_event(log_level::warn, "datagram_refused",
--- a/src/gossip_socket.h
+++ b/src/gossip_socket.h
@@ -31,7 +31,7 @@
 
 class gossip_socket {
 public:
-    gossip_socket(event_base* base, const link_address& listen, authenticator& keys,
+    gossip_socket(event_base* base, const link_address& listen, authenticator& auth,
                   std::uint32_t loss_percent);
     ~gossip_socket();
     gossip_socket(const gossip_socket&) = delete;
@@ -46,10 +46,10 @@
 
 private:
     void read();
-    bool take_budget(std::size_t bytes, bool sheddable, instant now);
+    bool withdraw_budget(std::size_t bytes, bool sheddable, instant now);
 
     evutil_socket_t socket;
-    authenticator& keys;
+    authenticator& auth;
     std::uint32_t loss_percent;
     std::minstd_rand random{1};
     event_ptr<event> readable;
--- a/src/link_hub.cpp
+++ b/src/link_hub.cpp
@@ -34,8 +34,8 @@
 
 /** One connection. */
 struct link_hub::link {
-    link(link_hub& owner, bufferevent* socket, authenticator& keys)
-        : hub(owner), socket(socket), writer(keys), reader(keys)
+    link(link_hub& owner, bufferevent* socket, authenticator& auth)
+        : hub(owner), socket(socket), writer(auth), reader(auth)
     {
     }
 
@@ -46,15 +46,15 @@
     /** Covered by the tags of the frames that the peer sends after it has read this VM's hello. */
     nonce own_nonce{};
     vm_id peer;
-    bool dialled = false;
+    bool dialled = false;        ///< this VM opened the connection
     bool hello_received = false; ///< the peer's hello was read
     bool closed = false;         ///< removed by the next sweep
     instant opened_at = std::chrono::steady_clock::now();
     std::deque<link_message> pending_messages; ///< queued until the peer's hello is read
 };
 
-link_hub::link_hub(event_base* base, vm_id self, const link_address& listen, authenticator& keys)
-    : base(base), self(std::move(self)), keys(keys)
+link_hub::link_hub(event_base* base, vm_id self, const link_address& listen, authenticator& auth)
+    : base(base), self(std::move(self)), auth(auth)
 {
     const sockaddr_in target = to_socket_address(listen);
     const auto accepted = [](evconnlistener*, evutil_socket_t socket, sockaddr*, int, void* hub) {
@@ -73,17 +73,17 @@
 
 link_hub::link& link_hub::add_link(bufferevent* socket)
 {
-    this->links.push_back(std::make_unique<link>(*this, socket, this->keys));
-    link& item = *this->links.back();
-    bufferevent_setcb(socket, &link_hub::on_read, nullptr, &link_hub::on_event, &item);
+    this->links.push_back(std::make_unique<link>(*this, socket, this->auth));
+    link& peer_link = *this->links.back();
+    bufferevent_setcb(socket, &link_hub::on_read, nullptr, &link_hub::on_event, &peer_link);
     bufferevent_enable(socket, EV_READ | EV_WRITE);
     ++this->counts.connections_opened;
-    item.own_nonce = make_nonce();
+    peer_link.own_nonce = make_nonce();
     hello greeting;
     greeting.vm = this->self;
-    greeting.nonce = item.own_nonce;
-    this->write(item, greeting);
-    return item;
+    greeting.nonce = peer_link.own_nonce;
+    this->write(peer_link, greeting);
+    return peer_link;
 }
 
 void link_hub::accept(evutil_socket_t socket)
@@ -95,143 +95,145 @@
 link_hub::link& link_hub::dial(const vm_id& to, const link_address& address)
 {
     bufferevent* socket = bufferevent_socket_new(this->base, -1, BEV_OPT_CLOSE_ON_FREE);
-    link& item = this->add_link(socket);
-    item.peer = to;
-    item.dialled = true;
-    this->outgoing[to] = &item;
+    link& peer_link = this->add_link(socket);
+    peer_link.peer = to;
+    peer_link.dialled = true;
+    this->outgoing[to] = &peer_link;
     const sockaddr_in target = to_socket_address(address);
     if (bufferevent_socket_connect(socket, reinterpret_cast<const sockaddr*>(&target),
                                    sizeof target) != 0) {
-        item.closed = true;
-        return item;
+        peer_link.closed = true;
+        return peer_link;
     }
     set_no_delay(bufferevent_getfd(socket));
-    return item;
+    return peer_link;
 }
 
 void link_hub::send(const vm_id& to, const link_address& address, const link_message& message)
 {
     const auto found = this->outgoing.find(to);
-    link& item = found == this->outgoing.end() ? this->dial(to, address) : *found->second;
-    if (!item.hello_received) {
-        item.pending_messages.push_back(message);
+    link& peer_link = found == this->outgoing.end() ? this->dial(to, address) : *found->second;
+    if (!peer_link.hello_received) {
+        peer_link.pending_messages.push_back(message);
         return;
     }
-    this->write(item, message);
+    this->write(peer_link, message);
 }
 
-void link_hub::write(link& item, const link_message& message)
+void link_hub::write(link& peer_link, const link_message& message)
 {
-    if (item.closed) return;
-    const std::string frame = item.writer.write(message);
+    if (peer_link.closed) return;
+    const std::string frame = peer_link.writer.write(message);
     this->counts.bytes_sent += frame.size();
     if (is_control(message)) this->counts.control_bytes_sent += frame.size();
-    evbuffer* output = bufferevent_get_output(item.socket.get());
+    evbuffer* output = bufferevent_get_output(peer_link.socket.get());
     if (evbuffer_get_length(output) > max_backlog_bytes) {
-        this->refuse(item, "send backlog exceeds 64 MiB: the peer reads too slowly");
+        this->refuse(peer_link, "send backlog exceeds 64 MiB: the peer reads too slowly");
         return;
     }
     evbuffer_add(output, frame.data(), frame.size());
-    if (item.hello_received) flush_output(item.socket.get());
+    if (peer_link.hello_received) flush_output(peer_link.socket.get());
 }
 
 void link_hub::on_read(bufferevent* /*socket*/, void* context)
 {
-    auto* item = static_cast<link*>(context);
-    item->hub.read(*item);
+    auto* peer_link = static_cast<link*>(context);
+    peer_link->hub.read(*peer_link);
 }
 
 void link_hub::on_event(bufferevent* /*socket*/, short what, void* context)
 {
-    auto* item = static_cast<link*>(context);
+    auto* peer_link = static_cast<link*>(context);
     if ((what & BEV_EVENT_CONNECTED) != 0) return;
-    item->hub.close(*item);
+    peer_link->hub.close(*peer_link);
 }
 
-void link_hub::read(link& item)
+void link_hub::read(link& peer_link)
 {
-    evbuffer* input = bufferevent_get_input(item.socket.get());
+    evbuffer* input = bufferevent_get_input(peer_link.socket.get());
     try {
-        while (!item.closed && evbuffer_get_length(input) >= frame_header_size) {
+        while (!peer_link.closed && evbuffer_get_length(input) >= frame_header_size) {
             const unsigned char* head = evbuffer_pullup(input, frame_header_size);
             const std::size_t length = frame_reader::frame_length({head, frame_header_size});
             if (evbuffer_get_length(input) < length) return;
             const unsigned char* frame = evbuffer_pullup(input, static_cast<ev_ssize_t>(length));
-            link_message message = item.reader.read({frame, length});
+            link_message message = peer_link.reader.read({frame, length});
             evbuffer_drain(input, length);
-            this->handle(item, std::move(message));
+            this->handle(peer_link, std::move(message));
         }
     } catch (const error& fault) {
-        this->refuse(item, fault.what());
+        this->refuse(peer_link, fault.what());
     }
 }
 
-void link_hub::handle(link& item, link_message message)
+void link_hub::handle(link& peer_link, link_message message)
 {
     if (const auto* greeting = std::get_if<hello>(&message)) {
-        this->handle_hello(item, *greeting);
+        this->handle_hello(peer_link, *greeting);
         return;
     }
-    if (!item.hello_received)
-        throw peer_error("read frame", item.peer.text, "first message is not a hello");
-    this->on_message.emit(item.peer, message);
+    if (!peer_link.hello_received)
+        throw peer_error("read frame", peer_link.peer.text, "first message is not a hello");
+    this->on_message.emit(peer_link.peer, message);
 }
 
-void link_hub::handle_hello(link& item, const hello& greeting)
+void link_hub::handle_hello(link& peer_link, const hello& greeting)
 {
-    if (item.hello_received) throw peer_error("hello", item.peer.text, "unexpected second hello");
+    if (peer_link.hello_received)
+        throw peer_error("hello", peer_link.peer.text, "unexpected second hello");
     if (greeting.version != protocol_version) {
         throw peer_error("hello", greeting.vm.text,
                          "unsupported protocol version " + std::to_string(greeting.version));
     }
-    if (item.dialled && greeting.vm != item.peer) {
+    if (peer_link.dialled && greeting.vm != peer_link.peer) {
         throw peer_error("hello", greeting.vm.text,
-                         "a different VM responds at the address of " + item.peer.text);
+                         "a different VM responds at the address of " + peer_link.peer.text);
     }
-    item.peer = greeting.vm;
-    item.hello_received = true;
-    item.writer.set_nonce(greeting.nonce);
-    item.reader.set_nonce(item.own_nonce);
-    this->outgoing.try_emplace(item.peer, &item);
-    for (const link_message& message : std::exchange(item.pending_messages, {})) {
-        this->write(item, message);
+    peer_link.peer = greeting.vm;
+    peer_link.hello_received = true;
+    peer_link.writer.set_nonce(greeting.nonce);
+    peer_link.reader.set_nonce(peer_link.own_nonce);
+    this->outgoing.try_emplace(peer_link.peer, &peer_link);
+    for (const link_message& message : std::exchange(peer_link.pending_messages, {})) {
+        this->write(peer_link, message);
     }
 }
 
-void link_hub::refuse(link& item, const std::string& why)
+void link_hub::refuse(link& peer_link, const std::string& reason)
 {
     ++this->counts.frames_refused;
-    log_event(log_level::warn, "link_refused", {{"peer", item.peer.text}, {"why", why}});
-    this->close(item);
+    log_event(log_level::warn, "link_refused", {{"peer", peer_link.peer.text}, {"why", reason}});
+    this->close(peer_link);
 }
 
-void link_hub::close(link& item)
+void link_hub::close(link& peer_link)
 {
-    if (item.closed) return;
-    item.closed = true;
-    bufferevent_disable(item.socket.get(), EV_READ | EV_WRITE);
+    if (peer_link.closed) return;
+    peer_link.closed = true;
+    bufferevent_disable(peer_link.socket.get(), EV_READ | EV_WRITE);
 }
 
 void link_hub::sweep(instant now)
 {
-    for (const link_ptr& item : this->links) {
-        if (!item->hello_received && now - item->opened_at > hello_timeout) item->closed = true;
+    for (const link_ptr& peer_link : this->links) {
+        if (!peer_link->hello_received && now - peer_link->opened_at > hello_timeout)
+            peer_link->closed = true;
     }
-    std::vector<link_ptr> gone;
-    for (link_ptr& item : this->links) {
-        if (item->closed) gone.push_back(std::move(item));
+    std::vector<link_ptr> closed_links;
+    for (link_ptr& peer_link : this->links) {
+        if (peer_link->closed) closed_links.push_back(std::move(peer_link));
     }
     std::erase(this->links, nullptr);
-    for (const link_ptr& item : gone) {
-        const auto found = this->outgoing.find(item->peer);
-        const bool was_outgoing = found != this->outgoing.end() && found->second == item.get();
+    for (const link_ptr& peer_link : closed_links) {
+        const auto found = this->outgoing.find(peer_link->peer);
+        const bool was_outgoing = found != this->outgoing.end() && found->second == peer_link.get();
         if (was_outgoing) this->outgoing.erase(found);
-        for (const link_message& message : item->pending_messages) {
+        for (const link_message& message : peer_link->pending_messages) {
             if (const auto* open = std::get_if<open_attempt>(&message)) {
                 this->on_undelivered.emit(open->id);
             }
         }
-        if (!item->peer.empty()) this->on_lost.emit(item->peer);
+        if (!peer_link->peer.empty()) this->on_lost.emit(peer_link->peer);
     }
 }
 
--- a/src/link_hub.h
+++ b/src/link_hub.h
@@ -33,7 +33,7 @@
 
 class link_hub {
 public:
-    link_hub(event_base* base, vm_id self, const link_address& listen, authenticator& keys);
+    link_hub(event_base* base, vm_id self, const link_address& listen, authenticator& auth);
     ~link_hub();
     link_hub(const link_hub&) = delete;
     link_hub& operator=(const link_hub&) = delete;
@@ -61,18 +61,18 @@
     void accept(evutil_socket_t socket);
     link& dial(const vm_id& to, const link_address& address);
     link& add_link(bufferevent* socket);
-    void read(link& item);
-    void handle(link& item, link_message message);
-    void handle_hello(link& item, const hello& greeting);
-    void write(link& item, const link_message& message);
-    void refuse(link& item, const std::string& why);
-    void close(link& item);
+    void read(link& peer_link);
+    void handle(link& peer_link, link_message message);
+    void handle_hello(link& peer_link, const hello& greeting);
+    void write(link& peer_link, const link_message& message);
+    void refuse(link& peer_link, const std::string& reason);
+    void close(link& peer_link);
     static void on_read(bufferevent* socket, void* context);
     static void on_event(bufferevent* socket, short what, void* context);
 
     event_base* base;
     vm_id self;
-    authenticator& keys;
+    authenticator& auth;
     event_ptr<evconnlistener> listener;
     std::vector<link_ptr> links;
     std::map<vm_id, link*> outgoing; ///< the link on which messages to a VM are sent
--- a/test/error/bad_peers_are_refused.cpp
+++ b/test/error/bad_peers_are_refused.cpp
@@ -21,42 +21,42 @@
 
 class bad_peers_are_refused : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(bad_peers_are_refused);
-    CPPUNIT_TEST(changed_frames);
-    CPPUNIT_TEST(repeated_frames);
+    CPPUNIT_TEST(modified_frames);
+    CPPUNIT_TEST(replayed_and_dropped_frames);
     CPPUNIT_TEST(wrong_key);
-    CPPUNIT_TEST(noise_on_a_link);
+    CPPUNIT_TEST(invalid_data_on_the_link_port);
     CPPUNIT_TEST_SUITE_END();
 
 public:
     /** Guards against a modified frame that is accepted, and a length over the maximum. */
-    void changed_frames()
+    void modified_frames()
     {
-        authenticator keys("0123456789abcdef");
+        authenticator auth("0123456789abcdef");
         attempt_data message;
         message.bytes = "data: token\n\n";
-        const std::string frame = frame_writer(keys).write(message);
+        const std::string frame = frame_writer(auth).write(message);
         for (std::size_t i = 4; i < frame.size(); ++i) {
             std::string changed = frame;
             changed[i] = static_cast<char>(changed[i] ^ 1);
-            CPPUNIT_ASSERT_THROW(frame_reader(keys).read(bytes_of(changed)), peer_error);
+            CPPUNIT_ASSERT_THROW(frame_reader(auth).read(bytes_of(changed)), peer_error);
         }
-        CPPUNIT_ASSERT(frame_reader(keys).read(bytes_of(frame)).index() ==
+        CPPUNIT_ASSERT(frame_reader(auth).read(bytes_of(frame)).index() ==
                        link_message(message).index());
         const std::string long_head = "\xff\xff\xff\xff";
         CPPUNIT_ASSERT_THROW(frame_reader::frame_length(bytes_of(long_head)), peer_error);
     }
 
     /** Guards against a replayed frame, and against one that follows a dropped frame. */
-    void repeated_frames()
+    void replayed_and_dropped_frames()
     {
-        authenticator keys("0123456789abcdef");
-        frame_writer writer(keys);
-        frame_reader reader(keys);
+        authenticator auth("0123456789abcdef");
+        frame_writer writer(auth);
+        frame_reader reader(auth);
         const std::string first = writer.write(cancel_attempt{{1, 1}});
         const std::string second = writer.write(cancel_attempt{{1, 2}});
         reader.read(bytes_of(first));
         CPPUNIT_ASSERT_THROW(reader.read(bytes_of(first)), peer_error);
-        frame_reader after_drop(keys);
+        frame_reader after_drop(auth);
         CPPUNIT_ASSERT_THROW(after_drop.read(bytes_of(second)), peer_error);
     }
 
@@ -64,20 +64,20 @@
      */
     void wrong_key()
     {
-        authenticator keys("0123456789abcdef");
-        authenticator others("fedcba9876543210");
-        const auto datagram = write_datagram(keys, gossip_message{});
+        authenticator auth("0123456789abcdef");
+        authenticator other_auth("fedcba9876543210");
+        const auto datagram = write_datagram(auth, gossip_message{});
         const std::string bytes = datagram.value_or("");
         CPPUNIT_ASSERT(!bytes.empty());
-        CPPUNIT_ASSERT_THROW(read_datagram(others, bytes_of(bytes)), peer_error);
-        CPPUNIT_ASSERT_THROW(read_datagram(keys, bytes_of("short")), peer_error);
+        CPPUNIT_ASSERT_THROW(read_datagram(other_auth, bytes_of(bytes)), peer_error);
+        CPPUNIT_ASSERT_THROW(read_datagram(auth, bytes_of("short")), peer_error);
         gossip_message large;
         large.updates.resize(100);
-        CPPUNIT_ASSERT(!write_datagram(keys, large).has_value());
+        CPPUNIT_ASSERT(!write_datagram(auth, large).has_value());
     }
 
     /** Guards against a VM that accepts, or is disturbed by, invalid data on its link port. */
-    void noise_on_a_link()
+    void invalid_data_on_the_link_port()
     {
         support::fleet_options options;
         options.routers = 2;
@@ -87,13 +87,13 @@
         support::fleet fleet(options);
         fleet.start();
         const std::uint16_t port = fleet.routers[0].link;
-        authenticator wrong("another-key-0123456789");
+        authenticator wrong_auth("another-key-0123456789");
         hello greeting;
         greeting.vm.text = "intruder";
-        support::send_raw(port, frame_writer(wrong).write(greeting), 500);
-        authenticator right("a-fleet-key-for-tests-only");
+        support::send_raw(port, frame_writer(wrong_auth).write(greeting), 500);
+        authenticator fleet_auth("a-fleet-key-for-tests-only");
         greeting.version = protocol_version + 1;
-        support::send_raw(port, frame_writer(right).write(greeting), 500);
+        support::send_raw(port, frame_writer(fleet_auth).write(greeting), 500);
         support::send_raw(port, std::string(64, '\xff'), 500);
         support::send_raw(port, "GET / HTTP/1.1\r\nHost: somewhere\r\n\r\n", 500);
         const bool all_refused = support::fleet::wait_for(
