--- a/src/admit_attempts.cpp
+++ b/src/admit_attempts.cpp
@@ -38,8 +38,8 @@
                                                        static_cast<double>(gate.running.size());
         server.load.cost += static_cast<std::uint64_t>(std::llround(mean * gate.foreign_running));
     }
-    server.load.accepting = !server.config.draining && gate.health.allows(now) && !t.leaving &&
-                            version_for(t, gate, {}).available;
+    server.load.accepting = !server.config.draining && gate.circuit_breaker.allows(now) &&
+                            !t.leaving && version_for(t, gate, {}).available;
     server.load_at = now;
 }
 
@@ -52,7 +52,7 @@
                        std::uint32_t cost, bool heavy, instant now)
 {
     const bool no_version = !version_for(t, gate, {}).available;
-    if (server.config.draining || t.leaving || no_version || !gate.health.allows(now)) {
+    if (server.config.draining || t.leaving || no_version || !gate.circuit_breaker.allows(now)) {
         return obstacle::unavailable;
     }
     const std::uint32_t limit = shared_limit(gate, server.config);
@@ -86,8 +86,8 @@
               const server_id& next)
 {
     server_row& server = t.servers.at(next);
-    const gate_row* own = t.gates.contains(next) ? &t.gates.at(next) : nullptr;
-    if (own == nullptr || !own->first) count_redirected_request(server, open.cost);
+    const gate_row* own_gate = t.gates.contains(next) ? &t.gates.at(next) : nullptr;
+    if (own_gate == nullptr || !own_gate->first) count_redirected_request(server, open.cost);
     attempt_refused message = make_refusal(open.id, reason, "admit", open.server.text);
     message.next_server = next;
     message.next_gate = gate_of(server);
@@ -111,7 +111,7 @@
     const std::string version = version_for(t, gate, open->version).version;
     gate.running[open->id] = {open->id, entry, open->account, open->cost, version};
     gate.cost += open->cost;
-    gate.health.on_sent(now);
+    gate.circuit_breaker.on_sent(now);
     t.server_by_attempt[open->id] = gate.server;
     sync_load(t, gate, server, now);
     ++t.counters.admitted;
@@ -145,8 +145,8 @@
 
 void remove_waiting(tables& t, gate_row& gate, const attempt_id& id)
 {
-    gate.opened.erase(id);
-    gate.entries.erase(id);
+    gate.queued_attempts.erase(id);
+    gate.queued_entry_vms.erase(id);
     t.server_by_attempt.erase(id);
 }
 
@@ -162,14 +162,14 @@
         refuse_full(t, gate, entry, open->id);
         return;
     }
-    const waiting_attempt item{open->id,      open->account,  open->cost, weight,
-                               open->urgency, now + max_wait, now};
-    gate.opened[open->id] = open;
-    gate.entries[open->id] = entry;
+    const waiting_attempt waiting{open->id,      open->account,  open->cost, weight,
+                                  open->urgency, now + max_wait, now};
+    gate.queued_attempts[open->id] = open;
+    gate.queued_entry_vms[open->id] = entry;
     t.server_by_attempt[open->id] = gate.server;
     ++t.counters.queued;
-    if (const auto shed = gate.queue.push(item)) {
-        refuse_full(t, gate, gate.entries.at(shed->id), shed->id);
+    if (const auto shed = gate.queue.push(waiting)) {
+        refuse_full(t, gate, gate.queued_entry_vms.at(shed->id), shed->id);
         remove_waiting(t, gate, shed->id);
     }
 }
@@ -223,7 +223,7 @@
     if (open.directed || open.is_final_attempt || !t.settings.remember_chats) return false;
     if (const auto cached = find_cached_server(t, service, open, now)) {
         record_chat_server(t, open, *cached, now);
-        redirect(t, from, open, refusal::warm_elsewhere, *cached);
+        redirect(t, from, open, refusal::cached_elsewhere, *cached);
         return true;
     }
     if (open.returning || t.chats.find(open.service, open.chat, now)) return false;
@@ -246,8 +246,8 @@
     }
     server_row& server = found->second;
     const auto gate_found = t.gates.find(open->server);
-    const bool own = gate_found != t.gates.end() && gate_found->second.first && !t.leaving;
-    if (!own) {
+    const bool is_gate = gate_found != t.gates.end() && gate_found->second.first && !t.leaving;
+    if (!is_gate) {
         attempt_refused message = make_refusal(
             open->id, t.leaving ? refusal::leaving : refusal::wrong_gate, "admit", t.self.text);
         message.next_server = open->server;
@@ -327,12 +327,13 @@
 void update_breaker(const tables& t, gate_row& gate, const call_ended& call, instant now)
 {
     if (call.result == outcome::done) {
-        gate.health.on_success();
+        gate.circuit_breaker.on_success();
     } else if (call.server_fault) {
         const auto service = t.services.find(gate.service);
-        gate.health.on_failure(now, service != t.services.end() && may_eject(t, service->second));
+        gate.circuit_breaker.on_failure(now, service != t.services.end() &&
+                                                 may_eject(t, service->second));
     } else {
-        gate.health.on_neutral();
+        gate.circuit_breaker.on_neutral();
     }
 }
 
@@ -380,7 +381,7 @@
         const auto running = std::ranges::count_if(
             gate.running, [&](const auto& entry) { return entry.second.account == account->id; });
         if (running >= static_cast<std::ptrdiff_t>(account->reserved)) continue;
-        if (auto item = gate.queue.pop_account(account->id)) return item;
+        if (auto waiting = gate.queue.pop_account(account->id)) return waiting;
     }
     return std::nullopt;
 }
@@ -388,20 +389,20 @@
 void run_queue(tables& t, gate_row& gate, server_row& server, instant now)
 {
     for (const waiting_attempt& expired : gate.queue.take_expired(now)) {
-        refuse_full(t, gate, gate.entries.at(expired.id), expired.id);
+        refuse_full(t, gate, gate.queued_entry_vms.at(expired.id), expired.id);
         remove_waiting(t, gate, expired.id);
     }
     while (!gate.queue.empty()) {
-        const auto free_for = [&](bool heavy) {
+        const auto can_start = [&](bool heavy) {
             return find_obstacle(t, gate, server, 1, heavy, now) == obstacle::none;
         };
-        if (!free_for(false)) return;
-        auto item = pop_reserved(t, gate);
-        if (!item) item = free_for(true) ? gate.queue.pop(now) : gate.queue.pop_light(now);
-        if (!item) return;
-        const auto open = gate.opened.at(item->id);
-        const vm_id entry = gate.entries.at(item->id);
-        remove_waiting(t, gate, item->id);
+        if (!can_start(false)) return;
+        auto waiting = pop_reserved(t, gate);
+        if (!waiting) waiting = can_start(true) ? gate.queue.pop(now) : gate.queue.pop_light(now);
+        if (!waiting) return;
+        const auto open = gate.queued_attempts.at(waiting->id);
+        const vm_id entry = gate.queued_entry_vms.at(waiting->id);
+        remove_waiting(t, gate, waiting->id);
         record_chat_server(t, *open, open->server, now);
         start_attempt(t, gate, server, entry, open, now);
     }
@@ -411,15 +412,15 @@
  * the server accepts no requests. */
 void refuse_all_waiting(tables& t, gate_row& gate, const server_row* server)
 {
-    for (const waiting_attempt& item : gate.queue.take_all()) {
+    for (const waiting_attempt& waiting : gate.queue.take_all()) {
         attempt_refused message =
-            make_refusal(item.id, refusal::wrong_gate, "queue", gate.server.text);
+            make_refusal(waiting.id, refusal::wrong_gate, "queue", gate.server.text);
         if (server != nullptr && !server->config.draining) {
             message.next_server = gate.server;
             message.next_gate = gate_of(*server);
         }
-        refuse(t, gate.entries.at(item.id), std::move(message));
-        remove_waiting(t, gate, item.id);
+        refuse(t, gate.queued_entry_vms.at(waiting.id), std::move(message));
+        remove_waiting(t, gate, waiting.id);
     }
 }
 
@@ -432,16 +433,16 @@
         if (found == t.gates.end()) continue;
         gate_row& gate = found->second;
         if (report.sent < gate.reported_at) continue;
-        const std::uint32_t own = report.own_running_at_request;
-        gate.foreign_running = report.running > own ? report.running - own : 0;
+        const std::uint32_t own_running = report.own_running_at_request;
+        gate.foreign_running = report.running > own_running ? report.running - own_running : 0;
         gate.reported_at = report.sent;
         if (report.versions.versions_reported) gate.versions = report.versions;
     }
     for (const load_summary& load : std::exchange(t.in.loads, {})) {
         const auto gate = t.gates.find(load.server);
-        const bool own = gate != t.gates.end() && gate->second.first;
+        const bool is_gate = gate != t.gates.end() && gate->second.first;
         const auto server = t.servers.find(load.server);
-        if (!own && server != t.servers.end()) server->second.load = load;
+        if (!is_gate && server != t.servers.end()) server->second.load = load;
     }
 }
 
@@ -462,7 +463,7 @@
             for (const auto& [id, attempt] : gate.running) {
                 if (attempt.entry == lost) orphans.push_back(id);
             }
-            for (const auto& [id, entry] : gate.entries) {
+            for (const auto& [id, entry] : gate.queued_entry_vms) {
                 if (entry == lost) orphans.push_back(id);
             }
         }
--- a/src/assign_gates.cpp
+++ b/src/assign_gates.cpp
@@ -12,17 +12,17 @@
 
 constexpr std::size_t max_records_per_message = 500;
 
-/** What ranking needs of a VM that may be a gate. */
-struct candidate {
+/** The properties of a VM that its rank as a possible gate depends on. */
+struct gate_candidate {
     vm_id vm;
     std::uint64_t hash = 0;
     data_centre_id data_centre;
     bool live = false;
 };
 
-std::vector<candidate> list_candidates(const tables& t, const membership& members)
+std::vector<gate_candidate> list_candidates(const tables& t, const membership& members)
 {
-    std::vector<candidate> candidates;
+    std::vector<gate_candidate> candidates;
     if (!t.leaving) {
         candidates.push_back({t.self, t.self.hash(), members.self().data_centre, true});
     }
@@ -34,38 +34,43 @@
     return candidates;
 }
 
-std::vector<candidate> rank(const server_row& server, std::span<const candidate> candidates)
+std::vector<gate_candidate> rank(const server_row& server,
+                                 std::span<const gate_candidate> candidates)
 {
-    std::vector<candidate> in_data_centre;
-    std::ranges::copy_if(
-        candidates, std::back_inserter(in_data_centre),
-        [&](const candidate& item) { return item.data_centre == server.config.data_centre; });
+    std::vector<gate_candidate> in_data_centre;
+    std::ranges::copy_if(candidates, std::back_inserter(in_data_centre),
+                         [&](const gate_candidate& candidate) {
+                             return candidate.data_centre == server.config.data_centre;
+                         });
     // With no VM in the server's data centre, any VM may be the gate.
-    if (std::ranges::none_of(in_data_centre, &candidate::live))
+    if (std::ranges::none_of(in_data_centre, &gate_candidate::live))
         in_data_centre.assign(candidates.begin(), candidates.end());
     const std::uint64_t key = server.config.id.hash();
-    std::ranges::sort(in_data_centre, std::greater{},
-                      [key](const candidate& item) { return rendezvous_weight(key, item.hash); });
+    std::ranges::sort(in_data_centre, std::greater{}, [key](const gate_candidate& candidate) {
+        return rendezvous_weight(key, candidate.hash);
+    });
     return in_data_centre;
 }
 
-void rank_server(server_row& server, std::span<const candidate> candidates,
+void rank_server(server_row& server, std::span<const gate_candidate> candidates,
                  gate_assignment& assignment)
 {
-    const std::vector<candidate> ranked = rank(server, candidates);
+    const std::vector<gate_candidate> ranked = rank(server, candidates);
     std::vector<vm_id>& all = assignment.ranked[server.config.id];
     all.clear();
     server.gates.clear();
-    for (const candidate& item : ranked) {
-        all.push_back(item.vm);
-        if (item.live && server.gates.size() < gates_per_server) server.gates.push_back(item.vm);
+    for (const gate_candidate& candidate : ranked) {
+        all.push_back(candidate.vm);
+        if (candidate.live && server.gates.size() < gates_per_server)
+            server.gates.push_back(candidate.vm);
     }
 }
 
-/** The first live VM of \p after, the VMs that rank below this one; null if there is none. */
-const member* find_successor(std::span<const vm_id> after, const membership& members)
+/** The first live VM of \p lower_ranked, the VMs that rank below this one; null if there is none.
+ */
+const member* find_successor(std::span<const vm_id> lower_ranked, const membership& members)
 {
-    for (const vm_id& vm : after) {
+    for (const vm_id& vm : lower_ranked) {
         const member* row = members.find(vm);
         if (row != nullptr && row->live()) return row;
     }
@@ -91,8 +96,8 @@
                                 const vm_id& self, const membership& members, instant now)
 {
     gate_claim_view view;
-    const auto own = std::ranges::find(ranked, self);
-    view.rank = static_cast<std::size_t>(std::ranges::distance(ranked.begin(), own));
+    const auto own_position = std::ranges::find(ranked, self);
+    view.rank = static_cast<std::size_t>(std::ranges::distance(ranked.begin(), own_position));
     for (const vm_id& vm : ranked.first(view.rank)) {
         const member* row = members.find(vm);
         if (row == nullptr) continue;
@@ -102,7 +107,7 @@
         }
     }
     view.since_became_first = gate.first ? now - gate.first_since : duration::zero();
-    if (own == ranked.end()) return view;
+    if (own_position == ranked.end()) return view;
     if (const member* successor = find_successor(ranked.subspan(view.rank + 1), members)) {
         view.has_successor = true;
         view.successor_ever_acked = successor->ever_acked;
@@ -123,12 +128,12 @@
     assignment.revision = revision;
     std::erase_if(assignment.ranked,
                   [&](const auto& entry) { return !t.servers.contains(entry.first); });
-    const std::vector<candidate> candidates = list_candidates(t, members);
-    assignment.own.clear();
+    const std::vector<gate_candidate> candidates = list_candidates(t, members);
+    assignment.gated_servers.clear();
     for (auto& [id, server] : t.servers) {
         rank_server(server, candidates, assignment);
         const bool first = !server.gates.empty() && server.gates.front() == t.self;
-        if (first || t.gates.contains(id)) assignment.own.push_back(id);
+        if (first || t.gates.contains(id)) assignment.gated_servers.push_back(id);
     }
     return true;
 }
@@ -137,7 +142,7 @@
                   const tick_time& time)
 {
     std::set<vm_id> targets;
-    for (const server_id& id : assignment.own) {
+    for (const server_id& id : assignment.gated_servers) {
         server_row& server = t.servers.at(id);
         const bool first = !server.gates.empty() && server.gates.front() == t.self;
         if (!first && !t.gates.contains(id)) continue;
@@ -160,8 +165,9 @@
             t.services.at(server.service).config.kind == service_kind::chat;
         view.foreign_load_counted = update_lease_start(gate, view, has_load_reports, time.now);
         gate.share = gate_share(view);
-        const auto own = std::ranges::find(ranked, t.self);
-        if (const member* next = find_successor(std::span(own + 1, ranked.end()), members)) {
+        const auto own_position = std::ranges::find(ranked, t.self);
+        if (const member* next =
+                find_successor(std::span(own_position + 1, ranked.end()), members)) {
             targets.insert(next->info.vm);
         }
     }
--- a/src/assign_gates.h
+++ b/src/assign_gates.h
@@ -19,7 +19,8 @@
     /** For each server, all VMs that were not removed from the membership, live or not, in rank
      * order. */
     std::unordered_map<server_id, std::vector<vm_id>> ranked;
-    std::vector<server_id> own; ///< servers whose gate this VM is, or was and still has work of
+    std::vector<server_id>
+        gated_servers; ///< servers whose gate this VM is, or was and still has work of
 };
 
 /** Ranks the VMs for every server if the members or the configuration changed. Returns whether they
--- a/src/gate_share.h
+++ b/src/gate_share.h
@@ -17,8 +17,8 @@
  * add up to less than 1/2. Only a VM that ranks third or lower and is partitioned from both the
  * first and its successor can exceed the limit, by at most 1/8 + 1/16 + … < 1/4 of it. So two or
  * more VMs that each consider themselves the gate together admit less than 1.25 times the limit,
- * and at most 1 time if no VM is partitioned from both. docs/design/gates.md has the proof and its
- * assumptions.
+ * and at most the limit itself if no VM is partitioned from both. docs/design/gates.md has the
+ * proof and its assumptions.
  */
 #pragma once
 
--- a/src/messages.h
+++ b/src/messages.h
@@ -93,15 +93,15 @@
 
 /** Why a gate refused; every reason guarantees `not_run`. */
 enum class refusal : std::uint8_t {
-    wrong_gate,     ///< another VM is the gate: `next_gate`
-    warm_elsewhere, ///< the chat's prompt cache is at `next_server`
-    over_bound,     ///< load over the service's bound; `next_server` is below it
-    draining,       ///< the server is draining
-    queue_full,     ///< cannot be expected to run in time; retry after `retry_after_ms`
-    deadline,       ///< the deadline passed while it waited
-    connect_failed, ///< no connection to the server could be made
-    server_refused, ///< the server stated that it did not run the request
-    leaving,        ///< this VM is stopping
+    wrong_gate,       ///< another VM is the gate: `next_gate`
+    cached_elsewhere, ///< the chat's prompt cache is at `next_server`
+    over_bound,       ///< load over the service's bound; `next_server` is below it
+    draining,         ///< the server is draining
+    queue_full,       ///< cannot be expected to run in time; retry after `retry_after_ms`
+    deadline,         ///< the deadline passed while it waited
+    connect_failed,   ///< no connection to the server could be made
+    server_refused,   ///< the server stated that it did not run the request
+    leaving,          ///< this VM is stopping
     unknown_server
 };
 
--- a/src/parse_request.cpp
+++ b/src/parse_request.cpp
@@ -25,7 +25,7 @@
 
 /** Thrown by refuse() and caught in parse_request(); does not leave this file. */
 struct request_error {
-    bad_request why;
+    bad_request response;
 };
 
 [[noreturn]] void refuse(std::uint16_t status, std::string code, std::string message)
@@ -65,10 +65,11 @@
     if (messages == value.end() || !messages->is_array() || messages->empty()) {
         refuse(400, "invalid_body", "messages must be a list that is not empty");
     }
-    const bool typed = std::ranges::all_of(*messages, [](const json& message) {
+    const bool all_have_role = std::ranges::all_of(*messages, [](const json& message) {
         return message.is_object() && message.contains("role") && message["role"].is_string();
     });
-    if (!typed) refuse(400, "invalid_body", "each of messages must be an object with a role");
+    if (!all_have_role)
+        refuse(400, "invalid_body", "each of messages must be an object with a role");
     return value;
 }
 
@@ -154,12 +155,12 @@
         refuse(400, "invalid_header", "X-Priority must be interactive or batch");
     }
     row.urgency = urgency == "batch" ? priority::batch : priority::interactive;
-    const std::string_view mark = find_header(raw.headers, "X-Non-Idempotent");
-    if (!mark.empty() && mark != "true" && mark != "false") {
+    const std::string_view non_idempotent = find_header(raw.headers, "X-Non-Idempotent");
+    if (!non_idempotent.empty() && non_idempotent != "true" && non_idempotent != "false") {
         refuse(400, "invalid_header", "X-Non-Idempotent must be true or false");
     }
-    if (mark == "true") row.idempotent = false;
-    if (mark == "false") row.idempotent = true;
+    if (non_idempotent == "true") row.idempotent = false;
+    if (non_idempotent == "false") row.idempotent = true;
     const std::string_view key = find_header(raw.headers, "Idempotency-Key");
     if (key.size() > max_idempotency_key_bytes) {
         refuse(400, "invalid_header", "Idempotency-Key is longer than 200 characters");
@@ -177,12 +178,12 @@
     constexpr std::array dropped{"authorization",  "idempotency-key", "x-deadline-ms",
                                  "content-length", "expect",          "x-request-id",
                                  "x-resume-from",  "x-model-version"};
-    std::vector<header> kept;
-    std::ranges::copy_if(raw.headers, std::back_inserter(kept), [&](const header& item) {
+    std::vector<header> forwarded;
+    std::ranges::copy_if(raw.headers, std::back_inserter(forwarded), [&](const header& entry) {
         return std::ranges::none_of(
-            dropped, [&](const char* name) { return strcasecmp(name, item.name.c_str()) == 0; });
+            dropped, [&](const char* name) { return strcasecmp(name, entry.name.c_str()) == 0; });
     });
-    return kept;
+    return forwarded;
 }
 
 } // namespace
@@ -202,9 +203,9 @@
 
 std::string_view find_header(std::span<const header> headers, std::string_view name)
 {
-    const std::string wanted(name);
-    const auto found = std::ranges::find_if(headers, [&](const header& item) {
-        return strcasecmp(item.name.c_str(), wanted.c_str()) == 0;
+    const std::string name_text(name);
+    const auto found = std::ranges::find_if(headers, [&](const header& entry) {
+        return strcasecmp(entry.name.c_str(), name_text.c_str()) == 0;
     });
     return found == headers.end() ? std::string_view() : std::string_view(found->value);
 }
@@ -227,7 +228,7 @@
             request_payload{raw.method, raw.path, select_headers(raw), raw.body});
         return result;
     } catch (const request_error& refused) {
-        return refused.why;
+        return refused.response;
     } catch (const json::exception& fault) {
         return bad_request{400, "invalid_body", fault.what()};
     }
--- a/src/placement.cpp
+++ b/src/placement.cpp
@@ -39,22 +39,22 @@
     std::unordered_map<server_id, server_row> servers;
     std::map<service_id, service_row> services;
     for (const service_config& service : config->services) {
-        service_row& row = services[service.id];
-        row.config = service;
+        service_row& service_state = services[service.id];
+        service_state.config = service;
         if (const auto old = t.services.find(service.id); old != t.services.end()) {
-            row.retries = old->second.retries;
+            service_state.retries = old->second.retries;
         }
         for (const server_config& server : service.servers) {
-            row.servers.push_back(server.id);
-            row.hashes.push_back(server.id.hash());
-            server_row& item = servers[server.id];
+            service_state.servers.push_back(server.id);
+            service_state.hashes.push_back(server.id.hash());
+            server_row& server_state = servers[server.id];
             if (const auto old = t.servers.find(server.id); old != t.servers.end()) {
-                item = std::move(old->second);
+                server_state = std::move(old->second);
             }
-            item.config = server;
-            item.service = service.id;
-            item.load.server = server.id;
-            item.load.service = service.id;
+            server_state.config = server;
+            server_state.service = service.id;
+            server_state.load.server = server.id;
+            server_state.load.service = service.id;
         }
     }
     t.needs_orders = std::ranges::any_of(
@@ -91,13 +91,13 @@
 }
 
 server_id first_ranked(const tables& t, const service_row& service, std::uint64_t key,
-                       std::span<const server_id> without)
+                       std::span<const server_id> excluded)
 {
     server_id best;
     std::uint64_t best_weight = 0;
     for (std::size_t i = 0; i < service.servers.size(); ++i) {
         const server_id& id = service.servers[i];
-        if (!accepts_requests(t.servers.at(id)) || contains(without, id)) continue;
+        if (!accepts_requests(t.servers.at(id)) || contains(excluded, id)) continue;
         const std::uint64_t weight = rendezvous_weight(key, service.hashes[i]);
         if (best.empty() || weight > best_weight) {
             best = id;
@@ -127,7 +127,7 @@
 }
 
 std::optional<server_id> find_alternate(tables& t, const service_row& service, std::uint32_t cost,
-                                        std::span<const server_id> without, bool heavy)
+                                        std::span<const server_id> excluded, bool heavy)
 {
     const double max_load = service.config.bound * mean_load(t, service, cost);
     std::vector<const server_row*> candidates;
@@ -135,23 +135,23 @@
         const server_row& server = t.servers.at(id);
         const bool fits = accepts_requests(server) && has_free_slot(server, heavy) &&
                           static_cast<double>(server.load.cost) < max_load;
-        if (fits && !contains(without, id)) candidates.push_back(&server);
+        if (fits && !contains(excluded, id)) candidates.push_back(&server);
     }
-    std::vector<const server_row*> drawn;
-    std::ranges::sample(candidates, std::back_inserter(drawn), 2, t.random);
+    std::vector<const server_row*> sampled;
+    std::ranges::sample(candidates, std::back_inserter(sampled), 2, t.random);
     const auto least = std::ranges::min_element(
-        drawn, {}, [](const server_row* server) { return server->load.cost; });
-    if (least == drawn.end()) return std::nullopt;
+        sampled, {}, [](const server_row* server) { return server->load.cost; });
+    if (least == sampled.end()) return std::nullopt;
     return (*least)->config.id;
 }
 
 std::optional<server_id> find_least_loaded(const tables& t, const service_row& service,
-                                           std::span<const server_id> without, bool heavy)
+                                           std::span<const server_id> excluded, bool heavy)
 {
     const server_row* least = nullptr;
     for (const server_id& id : service.servers) {
         const server_row& server = t.servers.at(id);
-        if (!accepts_requests(server) || contains(without, id)) continue;
+        if (!accepts_requests(server) || contains(excluded, id)) continue;
         if (!has_free_slot(server, heavy)) continue;
         if (least == nullptr || server.load.cost < least->load.cost) least = &server;
     }
--- a/src/placement.h
+++ b/src/placement.h
@@ -17,8 +17,8 @@
 
 constexpr double prefill_weight = 0.1;
 constexpr std::uint32_t default_answer_tokens = 256; ///< if the request sets no max_tokens
-constexpr std::uint32_t plain_call_cost = 100;  ///< tokens of work, of a call of a plain service
-constexpr std::size_t characters_per_token = 4; ///< to estimate a prompt's tokens
+constexpr std::uint32_t plain_call_cost = 100;       ///< tokens of work per call of a plain service
+constexpr std::size_t characters_per_token = 4;      ///< to estimate a prompt's tokens
 
 /** The load of a chat request in tokens of work. */
 std::uint32_t chat_cost(std::size_t prompt_characters, std::uint32_t answer_tokens);
@@ -35,10 +35,10 @@
  * is mature. Empty if the service has no servers. */
 server_id home_server(const service_row& service, chat_key chat);
 
-/** The first in rank among the servers that accept requests and are not in \p without; empty if
+/** The first in rank among the servers that accept requests and are not in \p excluded; empty if
  * there is none. */
 server_id first_ranked(const tables& t, const service_row& service, std::uint64_t key,
-                       std::span<const server_id> without);
+                       std::span<const server_id> excluded);
 
 /** The load of all servers of the service plus \p extra, in tokens, divided by the number of
  * servers that accept requests. */
@@ -61,12 +61,12 @@
 /** The less loaded of two random servers below their bound and limit; std::nullopt if there is
  * none. For a heavy account the limit excludes the spare slots. */
 std::optional<server_id> find_alternate(tables& t, const service_row& service, std::uint32_t cost,
-                                        std::span<const server_id> without, bool heavy);
+                                        std::span<const server_id> excluded, bool heavy);
 
 /** The least loaded server that accepts requests and is below its limit, regardless of the bound;
  * std::nullopt if there is none. */
 std::optional<server_id> find_least_loaded(const tables& t, const service_row& service,
-                                           std::span<const server_id> without, bool heavy);
+                                           std::span<const server_id> excluded, bool heavy);
 
 /** Counts a request as running at a server with another gate until that gate's next load summary
  * arrives. Without this, all gates would pick the same idle server in between. */
--- a/src/route_requests.cpp
+++ b/src/route_requests.cpp
@@ -32,8 +32,8 @@
     return home_of(t, claim_bucket(key) + 1);
 }
 
-void settle_claim(tables& t, const request_row& request, outcome result, std::uint16_t status,
-                  const std::string& body)
+void send_claim_outcome(tables& t, const request_row& request, outcome result, std::uint16_t status,
+                        const std::string& body)
 {
     if (!request.claimed) return;
     claim_outcome message{request.claim_holder, request.claim_key, result, status, body};
@@ -51,34 +51,34 @@
     t.requests.erase(request.id);
 }
 
-void fail(tables& t, const request_row& request, fail_request answer)
+void fail(tables& t, const request_row& request, fail_request failure)
 {
-    answer.request = request.id;
+    failure.request = request.id;
     // After an attempt with an unknown outcome, a later refusal no longer proves that the request
     // was not executed.
-    if (request.may_have_run) answer.result = outcome::unknown;
-    if (answer.result == outcome::not_run) refund_quota(t, request);
-    settle_claim(t, request, answer.result, answer.status, {});
-    t.out.emplace_back(std::move(answer));
+    if (request.may_have_run) failure.result = outcome::unknown;
+    if (failure.result == outcome::not_run) refund_quota(t, request);
+    send_claim_outcome(t, request, failure.result, failure.status, {});
+    t.out.emplace_back(std::move(failure));
     erase_request(t, request);
 }
 
 fail_request make_not_run_error(std::uint16_t status, std::string code, std::string message)
 {
-    fail_request answer;
-    answer.result = outcome::not_run;
-    answer.status = status;
-    answer.code = std::move(code);
-    answer.message = std::move(message);
-    answer.step = "route";
-    return answer;
+    fail_request failure;
+    failure.result = outcome::not_run;
+    failure.status = status;
+    failure.code = std::move(code);
+    failure.message = std::move(message);
+    failure.step = "route";
+    return failure;
 }
 
 void send_attempt(tables& t, request_row& request, const server_id& server, const vm_id& gate,
                   std::uint32_t resume_from, instant now)
 {
     t.request_by_attempt.erase(request.attempt);
-    request.attempt = t.next_attempt();
+    request.attempt = t.new_attempt_id();
     request.server = server;
     request.gate = gate;
     t.request_by_attempt[request.attempt] = request.id;
@@ -133,15 +133,15 @@
         service == t.services.end() ? server_id{} : choose_server(t, request, service->second);
     const vm_id gate = server.empty() ? vm_id{} : gate_of(t.servers.at(server));
     if (gate.empty()) {
-        fail_request answer =
+        fail_request failure =
             make_not_run_error(status_unavailable, "no_server",
-                               "no server of " + request.service.text + " takes work");
+                               "no server of " + request.service.text + " accepts requests");
         if (!request.last_peer.empty()) {
-            answer.step = request.last_step;
-            answer.peer = request.last_peer;
+            failure.step = request.last_step;
+            failure.peer = request.last_peer;
         }
-        answer.retry_after_ms = default_retry_after_ms;
-        fail(t, request, std::move(answer));
+        failure.retry_after_ms = default_retry_after_ms;
+        fail(t, request, std::move(failure));
         return;
     }
     send_attempt(t, request, server, gate, resume_from, now);
@@ -154,7 +154,7 @@
         try_server(t, request, 0, now);
         return;
     }
-    request.claim_holder = t.next_attempt();
+    request.claim_holder = t.new_attempt_id();
     const claim_request message{request.claim_holder, request.claim_key, request.fingerprint};
     t.claim_requests[request.claim_holder] = {request.id, message, now};
     t.send(claim_store_vm(t, request.claim_key), message);
@@ -170,10 +170,10 @@
         account != nullptr && account->concurrency > 0 && running > account->concurrency;
     request_row& request = t.requests[id] = std::move(arrival);
     if (over_limit) {
-        fail_request answer = make_not_run_error(status_too_many_requests, "account_limit",
-                                                 "the account has too many requests in flight");
-        answer.retry_after_ms = default_retry_after_ms;
-        fail(t, request, std::move(answer));
+        fail_request failure = make_not_run_error(status_too_many_requests, "account_limit",
+                                                  "the account has too many requests in flight");
+        failure.retry_after_ms = default_retry_after_ms;
+        fail(t, request, std::move(failure));
         return;
     }
     if (const auto service = t.services.find(request.service); service != t.services.end()) {
@@ -187,10 +187,10 @@
 void refuse_over_rate(tables& t, request_row& request, std::uint32_t retry_after_ms)
 {
     ++t.counters.over_account_rate;
-    fail_request answer = make_not_run_error(status_too_many_requests, "account_rate",
-                                             "the account's tokens per minute are used up");
-    answer.retry_after_ms = retry_after_ms;
-    fail(t, request, std::move(answer));
+    fail_request failure = make_not_run_error(status_too_many_requests, "account_rate",
+                                              "the account's tokens per minute are used up");
+    failure.retry_after_ms = retry_after_ms;
+    fail(t, request, std::move(failure));
 }
 
 void apply_quota_outcome(tables& t, const quota_outcome& outcome, instant now)
@@ -234,12 +234,12 @@
         erase_request(t, request);
         return;
     case claim_state::in_doubt: {
-        fail_request answer =
+        fail_request failure =
             make_not_run_error(status_conflict, "in_doubt",
                                "an earlier request with this key was sent and its outcome "
                                "is not known; it will not be sent again");
-        answer.result = outcome::unknown;
-        fail(t, request, std::move(answer));
+        failure.result = outcome::unknown;
+        fail(t, request, std::move(failure));
         return;
     }
     case claim_state::mismatch:
@@ -248,12 +248,12 @@
                                 "the idempotency key was used for a different request"));
         return;
     case claim_state::unavailable: {
-        fail_request answer = make_not_run_error(status_unavailable, "claims_unavailable",
-                                                 "the key could not be claimed; nothing was sent");
-        answer.step = "claim";
-        answer.peer = "platform";
-        answer.retry_after_ms = default_retry_after_ms;
-        fail(t, request, std::move(answer));
+        fail_request failure = make_not_run_error(status_unavailable, "claims_unavailable",
+                                                  "the key could not be claimed; nothing was sent");
+        failure.step = "claim";
+        failure.peer = "platform";
+        failure.retry_after_ms = default_retry_after_ms;
+        fail(t, request, std::move(failure));
         return;
     }
     }
@@ -265,24 +265,24 @@
     case refusal::queue_full:
     case refusal::over_bound:
         return make_not_run_error(status_too_many_requests, "overloaded",
-                                  "no server has a free place in time");
+                                  "no server has a free slot in time");
     case refusal::deadline:
         return make_not_run_error(status_timeout, "deadline",
                                   "the deadline passed before the request ran");
     default:
         return make_not_run_error(status_unavailable, "unavailable",
-                                  "no server could take the request");
+                                  "no server could accept the request");
     }
 }
 
 void fail_refused(tables& t, request_row& request, const attempt_refused& refused)
 {
-    fail_request answer = make_refusal_error(refused);
-    answer.step = refused.step;
-    answer.peer = refused.peer;
-    answer.retry_after_ms =
+    fail_request failure = make_refusal_error(refused);
+    failure.step = refused.step;
+    failure.peer = refused.peer;
+    failure.retry_after_ms =
         refused.retry_after_ms > 0 ? refused.retry_after_ms : default_retry_after_ms;
-    fail(t, request, std::move(answer));
+    fail(t, request, std::move(failure));
 }
 
 void handle_refusal(tables& t, request_row& request, const attempt_refused& refused, instant now)
@@ -301,8 +301,9 @@
     if (!same_server) request.tried.push_back(request.server);
     if (server_failed) {
         const auto service = t.services.find(request.service);
-        const bool paid = service != t.services.end() && service->second.retries.withdraw();
-        if (++request.tries >= t.settings.max_tries || !paid) {
+        const bool within_budget =
+            service != t.services.end() && service->second.retries.withdraw();
+        if (++request.tries >= t.settings.max_tries || !within_budget) {
             fail_refused(t, request, refused);
             return;
         }
@@ -329,7 +330,7 @@
 void end_attempt(tables& t, request_row& request, const attempt_result& result, instant now)
 {
     if (result.end.result == outcome::done) {
-        settle_claim(t, request, outcome::done, result.status, result.body);
+        send_claim_outcome(t, request, outcome::done, result.status, result.body);
         t.out.emplace_back(complete_request{request.id});
         erase_request(t, request);
         return;
@@ -344,14 +345,14 @@
                                ? next_step::give_up
                                : choose_next_step(request, result, t.settings, budget);
     if (step == next_step::give_up) {
-        fail_request answer;
-        answer.result = outcome::unknown;
-        answer.status = status_bad_gateway;
-        answer.code = "broken";
-        answer.message = "the answer broke off: " + result.end.detail;
-        answer.step = result.end.step;
-        answer.peer = result.end.peer;
-        fail(t, request, std::move(answer));
+        fail_request failure;
+        failure.result = outcome::unknown;
+        failure.status = status_bad_gateway;
+        failure.code = "broken";
+        failure.message = "the response was interrupted: " + result.end.detail;
+        failure.step = result.end.step;
+        failure.peer = result.end.peer;
+        fail(t, request, std::move(failure));
         return;
     }
     ++request.tries;
@@ -450,7 +451,7 @@
         cancel_request(t, found->second);
         // The claim of a request that was sent is not released, since the request may have run.
         const bool unsent = found->second.gate.empty();
-        if (unsent) settle_claim(t, found->second, outcome::not_run, 0, {});
+        if (unsent) send_claim_outcome(t, found->second, outcome::not_run, 0, {});
         t.out.emplace_back(drop_request{id});
         erase_request(t, found->second);
     }
@@ -461,11 +462,12 @@
     for (const std::uint64_t id : expired) {
         request_row& request = t.requests.at(id);
         cancel_request(t, request);
-        fail_request answer = make_not_run_error(status_timeout, "deadline", "the deadline passed");
-        answer.step = request.gate.empty() ? "claim" : "run";
-        answer.peer = request.server.text;
-        if (!request.gate.empty()) answer.result = outcome::unknown;
-        fail(t, request, std::move(answer));
+        fail_request failure =
+            make_not_run_error(status_timeout, "deadline", "the deadline passed");
+        failure.step = request.gate.empty() ? "claim" : "run";
+        failure.peer = request.server.text;
+        if (!request.gate.empty()) failure.result = outcome::unknown;
+        fail(t, request, std::move(failure));
     }
 }
 
--- a/src/share_loads.cpp
+++ b/src/share_loads.cpp
@@ -26,16 +26,16 @@
     if (time.now < next) return;
     std::map<vm_id, std::vector<load_summary>> by_receiver;
     for (const auto& [id, service] : t.services) {
-        std::vector<load_summary> own;
+        std::vector<load_summary> own_loads;
         for (const server_id& server : service.servers) {
             const auto gate = t.gates.find(server);
             if (gate != t.gates.end() && gate->second.first) {
-                own.push_back(t.servers.at(server).load);
+                own_loads.push_back(t.servers.at(server).load);
             }
         }
-        if (own.empty()) continue;
+        if (own_loads.empty()) continue;
         for (const vm_id& vm : other_gates(t, service)) {
-            std::ranges::copy(own, std::back_inserter(by_receiver[vm]));
+            std::ranges::copy(own_loads, std::back_inserter(by_receiver[vm]));
         }
     }
     next = time.now +
--- a/src/share_loads.h
+++ b/src/share_loads.h
@@ -15,8 +15,8 @@
  * about 5 KB/s of the 12 KB/s that it may use for control traffic. */
 constexpr duration load_interval_per_receiver = milliseconds(33);
 
-/** Sends the load summaries if a round is due. \p next is the time of the next round, and updated.
- */
+/** Sends the load summaries if a round is due. \p next is the time of the next round, which is
+ * updated. */
 void share_loads(const tables& t, membership& members, instant& next, const tick_time& time);
 
 } // namespace worksshift
--- a/src/tables.h
+++ b/src/tables.h
@@ -45,7 +45,7 @@
     duration max_chat_age = std::chrono::hours(12); ///< entries without a newer turn expire
     std::uint64_t ramp_time_s = 600;                ///< see `server_config::added_at_s`
     duration load_interval = milliseconds(250);     ///< between load summaries
-    std::size_t max_hops = 4;                       ///< redirects of one request, at most
+    std::size_t max_hops = 4;                       ///< refusals after which gates queue a request
     std::size_t max_tries = 3;            ///< attempts of one request, not counting redirects
     double max_ejected_share = 0.34;      ///< of a service's servers, that breakers may exclude
     std::size_t claims_per_slice = 256;   ///< see claim_slices.h
@@ -82,7 +82,7 @@
     server_id server;
     vm_id gate;
     std::vector<server_id> tried;
-    std::size_t hops = 0;
+    std::size_t hops = 0; ///< refusals since the last retry of an ended attempt
     std::size_t tries = 0;
     bool directed = false;
     bool claimed = false;
@@ -127,9 +127,9 @@
     std::uint64_t cost = 0;            ///< of `running`
     std::uint32_t foreign_running = 0; ///< requests in flight at the server that other gates sent
     fair_queue queue{0};
-    std::unordered_map<attempt_id, std::shared_ptr<const open_attempt>> opened; ///< queued attempts
-    std::unordered_map<attempt_id, vm_id> entries; ///< entry VMs of the queued attempts
-    breaker health;
+    std::unordered_map<attempt_id, std::shared_ptr<const open_attempt>> queued_attempts;
+    std::unordered_map<attempt_id, vm_id> queued_entry_vms;
+    breaker circuit_breaker;
     engine_versions versions;     ///< as last reported
     double served_cost_per_s = 0; ///< service rate while busy, smoothed; cost tokens per second
     instant busy_since{};
@@ -318,7 +318,7 @@
     {
         this->out.emplace_back(send_message{to, std::move(message)});
     }
-    attempt_id next_attempt() { return {this->origin, this->next_sequence++}; }
+    attempt_id new_attempt_id() { return {this->origin, this->next_sequence++}; }
 };
 
 } // namespace worksshift
