--- a/src/membership.cpp
+++ b/src/membership.cpp
@@ -12,17 +12,17 @@
 constexpr std::size_t sends_per_doubling = 3;
 constexpr std::size_t max_queued_datagrams = 4096;
 
-/** Whether \p next overrides \p held: by incarnation, then by state. */
-bool overrides(const member_update& next, const member_update& held)
+/** Whether \p next overrides \p current: by incarnation, then by state. */
+bool overrides(const member_update& next, const member_update& current)
 {
-    if (next.incarnation != held.incarnation) return next.incarnation > held.incarnation;
-    return next.state > held.state;
+    if (next.incarnation != current.incarnation) return next.incarnation > current.incarnation;
+    return next.state > current.state;
 }
 
 } // namespace
 
 membership::membership(member_update self, membership_settings settings, std::uint64_t seed)
-    : own(std::move(self)), settings(settings), random(seed)
+    : self_info(std::move(self)), settings(settings), random(seed)
 {
 }
 
@@ -34,7 +34,7 @@
 
 void membership::receive(const gossip_message& message, instant now)
 {
-    if (message.sender.vm == this->own.vm) return;
+    if (message.sender.vm == this->self_info.vm) return;
     this->apply(message.sender, now);
     const auto row = this->table.find(message.sender.vm);
     if (row != this->table.end()) row->second.config_revision = message.config_revision;
@@ -45,7 +45,7 @@
 
 void membership::apply(const member_update& update, instant now)
 {
-    if (update.vm == this->own.vm) {
+    if (update.vm == this->self_info.vm) {
         this->refute(update);
         return;
     }
@@ -58,9 +58,9 @@
     }
     member& row = found->second;
     if (!overrides(update, row.info)) return;
-    const bool accuses =
+    const bool reports_failure =
         update.state == member_state::suspect || update.state == member_state::dead;
-    if (accuses && this->seems_live(row, now)) return;
+    if (reports_failure && this->seems_live(row, now)) return;
     const bool changed = update.state != row.info.state;
     row.info = update;
     if (changed) {
@@ -73,16 +73,17 @@
 void membership::add(const member_update& update, instant now)
 {
     this->table[update.vm] = member{.info = update, .changed_at = now};
-    this->order.push_back(update.vm);
+    this->probe_order.push_back(update.vm);
     ++this->view_version;
 }
 
 void membership::refute(const member_update& update)
 {
-    if (update.incarnation < this->own.incarnation) return;
-    if (update.incarnation == this->own.incarnation && update.state <= this->own.state) return;
-    this->own.incarnation = update.incarnation + 1;
-    this->queue_update(this->own);
+    if (update.incarnation < this->self_info.incarnation) return;
+    if (update.incarnation == this->self_info.incarnation && update.state <= this->self_info.state)
+        return;
+    this->self_info.incarnation = update.incarnation + 1;
+    this->queue_update(this->self_info);
 }
 
 void membership::set_state(member& row, member_state state, instant now)
@@ -99,7 +100,7 @@
         sends_per_doubling * static_cast<std::size_t>(std::bit_width(this->table.size() + 1));
     const auto queued =
         std::ranges::find(this->pending_updates, update.vm,
-                          [](const pending_update& item) { return item.update.vm; });
+                          [](const pending_update& pending) { return pending.update.vm; });
     if (queued != this->pending_updates.end()) {
         *queued = {update, sends};
         return;
@@ -110,9 +111,9 @@
 void membership::handle(const ping& body, const member_update& sender, instant now)
 {
     const auto found = this->table.find(sender.vm);
-    const bool lease = found != this->table.end() && found->second.live();
-    if (lease) found->second.granted_at = now;
-    this->send(sender, ack{body.nonce, lease});
+    const bool grants_lease = found != this->table.end() && found->second.live();
+    if (grants_lease) found->second.granted_at = now;
+    this->send(sender, ack{body.nonce, grants_lease});
 }
 
 void membership::handle(const ack& body, const member_update& sender, instant now)
@@ -157,12 +158,12 @@
 {
     for (auto& [vm, row] : this->table)
         row.listed = false;
-    for (const listed_vm& item : list) {
-        if (item.info.vm == this->own.vm) continue;
-        const auto found = this->table.find(item.info.vm);
+    for (const listed_vm& entry : list) {
+        if (entry.info.vm == this->self_info.vm) continue;
+        const auto found = this->table.find(entry.info.vm);
         if (found == this->table.end()) {
             // Not gossiped: every VM gets the list, and a new VM announces itself.
-            if (!item.leaving) this->add(item.info, now);
+            if (!entry.leaving) this->add(entry.info, now);
         } else {
             found->second.listed = true;
         }
@@ -179,9 +180,9 @@
 
 void membership::announce_leave()
 {
-    this->own.state = member_state::leaving;
-    ++this->own.incarnation;
-    this->queue_update(this->own);
+    this->self_info.state = member_state::leaving;
+    ++this->self_info.incarnation;
+    this->queue_update(this->self_info);
     for (const auto& [vm, row] : this->table) {
         if (row.live()) this->send(row.info, notice{});
     }
@@ -230,7 +231,7 @@
         this->next_period = now + this->settings.period;
         this->probe_next_in_round(now);
     }
-    this->age_members(now);
+    this->expire_members(now);
 }
 
 void membership::probe(const vm_id& target, instant now)
@@ -251,13 +252,13 @@
         this->probe(vm, now);
     // Dead members are probed too, once per round, so that a healed partition is noticed.
     for (std::size_t attempts = 0; attempts < 2 && !this->table.empty(); ++attempts) {
-        if (this->order.empty()) {
-            std::ranges::transform(this->table, std::back_inserter(this->order),
+        if (this->probe_order.empty()) {
+            std::ranges::transform(this->table, std::back_inserter(this->probe_order),
                                    [](const auto& entry) { return entry.first; });
-            std::ranges::shuffle(this->order, this->random);
+            std::ranges::shuffle(this->probe_order, this->random);
         }
-        const vm_id next = this->order.back();
-        this->order.pop_back();
+        const vm_id next = this->probe_order.back();
+        this->probe_order.pop_back();
         if (this->table.contains(next)) {
             this->probe(next, now);
             return;
@@ -305,7 +306,7 @@
     });
 }
 
-void membership::age_members(instant now)
+void membership::expire_members(instant now)
 {
     for (auto& [vm, row] : this->table) {
         const duration age = now - row.changed_at;
@@ -323,9 +324,9 @@
     if (erased > 0) ++this->view_version;
 }
 
-gossip_message membership::make(gossip_body body)
+gossip_message membership::make_message(gossip_body body)
 {
-    gossip_message message{.sender = this->own,
+    gossip_message message{.sender = this->self_info,
                            .config_revision = this->config_revision,
                            .body = std::move(body),
                            .updates = {},
@@ -334,19 +335,19 @@
     std::ranges::sort(this->pending_updates, std::greater{}, &pending_update::sends_left);
     const std::size_t count =
         std::min(this->settings.updates_per_datagram, this->pending_updates.size());
-    for (pending_update& item : std::span(this->pending_updates).first(count)) {
-        message.updates.push_back(item.update);
-        --item.sends_left;
+    for (pending_update& pending : std::span(this->pending_updates).first(count)) {
+        message.updates.push_back(pending.update);
+        --pending.sends_left;
     }
     std::erase_if(this->pending_updates,
-                  [](const pending_update& item) { return item.sends_left == 0; });
+                  [](const pending_update& pending) { return pending.sends_left == 0; });
     return message;
 }
 
 void membership::send(const member_update& to, gossip_body body)
 {
     if (this->outbox.size() >= max_queued_datagrams) return;
-    gossip_message message = this->make(std::move(body));
+    gossip_message message = this->make_message(std::move(body));
     // A member not considered alive must receive its own state, or it could not refute it.
     const member* row = this->find(to.vm);
     if (row != nullptr && row->info.state != member_state::alive) {
@@ -359,7 +360,7 @@
  * same updates. */
 gossip_message membership::make_notice() const
 {
-    return {.sender = this->own,
+    return {.sender = this->self_info,
             .config_revision = this->config_revision,
             .body = notice{},
             .updates = {},
--- a/src/membership.h
+++ b/src/membership.h
@@ -3,11 +3,11 @@
  *
  * Each period a VM pings one member in shuffled round-robin order, and the members whose leases it
  * needs (gate_share.h). A missed ack is retried through other members before the target is
- * suspected, and a suspect has `suspicion` to refute. Updates are piggybacked on these datagrams,
- * so the cost per VM does not depend on the size of the fleet. Link messages are evidence of
- * liveness, too: a VM that receives messages directly from another ignores reports that it is
- * suspect or dead. After a stall of its own (the VM was paused) a VM discards its pending probes,
- * because a missing ack from before the stall proves nothing.
+ * suspected, and a suspect is declared dead unless it refutes within `suspicion`. Updates are
+ * piggybacked on these datagrams, so the cost per VM does not depend on the size of the fleet. Link
+ * messages are evidence of liveness, too: a VM that receives messages directly from another ignores
+ * reports that it is suspect or dead. After a stall of its own (the VM was paused) a VM discards
+ * its pending probes, because a missing ack from before the stall proves nothing.
  */
 #pragma once
 
@@ -101,7 +101,7 @@
 
     [[nodiscard]] const std::map<vm_id, member>& members() const { return this->table; }
     [[nodiscard]] const member* find(const vm_id& vm) const;
-    [[nodiscard]] const member_update& self() const { return this->own; }
+    [[nodiscard]] const member_update& self() const { return this->self_info; }
     /** Changes whenever a member is added, removed or changes state. */
     [[nodiscard]] std::uint64_t version() const { return this->view_version; }
 
@@ -138,16 +138,16 @@
     void expire_probes(instant now);
     void apply_link_messages(instant now);
     [[nodiscard]] bool seems_live(const member& row, instant now) const;
-    void age_members(instant now);
+    void expire_members(instant now);
     void send(const member_update& to, gossip_body body);
-    gossip_message make(gossip_body body);
+    gossip_message make_message(gossip_body body);
     [[nodiscard]] gossip_message make_notice() const;
 
-    member_update own;
+    member_update self_info;
     membership_settings settings;
     std::mt19937_64 random;
-    std::map<vm_id, member> table; ///< without this VM
-    std::vector<vm_id> order;      ///< members left to probe in this round
+    std::map<vm_id, member> table;  ///< without this VM
+    std::vector<vm_id> probe_order; ///< members left to probe in this round
     std::vector<vm_id> lease_targets;
     std::vector<vm_id> early_probes;
     std::vector<pending_probe> probes;
