--- a/src/server_calls.cpp
+++ b/src/server_calls.cpp
@@ -35,7 +35,7 @@
 /** One call of a server. */
 struct server_calls::call {
     server_calls* owner = nullptr;
-    start_call order;
+    start_call parameters;
     event_ptr<evhttp_connection> connection;
     evhttp_request* request = nullptr;            ///< owned by the connection
     evbuffer_cb_entry* output_callback = nullptr; ///< on the connection's output
@@ -64,8 +64,8 @@
 {
     // A request that is still on its connection is freed with it, and its callbacks must do
     // nothing.
-    for (auto& [id, item] : this->calls)
-        item->has_ended = true;
+    for (auto& [id, server_call] : this->calls)
+        server_call->has_ended = true;
 }
 
 event_ptr<evhttp_connection> server_calls::get_connection(const server_config& server)
@@ -81,19 +81,19 @@
     return connection;
 }
 
-void server_calls::write_request(call& item, evhttp_request* request) const
+void server_calls::write_request(call& server_call, evhttp_request* request) const
 {
-    const open_attempt& open = *item.order.request;
+    const open_attempt& open = *server_call.parameters.request;
     evkeyvalq* headers = evhttp_request_get_output_headers(request);
-    evhttp_add_header(headers, "Host", item.order.server.address.c_str());
+    evhttp_add_header(headers, "Host", server_call.parameters.server.address.c_str());
     for (const header& extra : open.headers) {
         if (!is_hop_by_hop_header(extra.name) && !header_names_equal(extra.name, "host")) {
             evhttp_add_header(headers, extra.name.c_str(), extra.value.c_str());
         }
     }
     evhttp_add_header(headers, "X-Request-Id", open.request_id.c_str());
-    if (!item.order.version.empty()) {
-        evhttp_add_header(headers, model_version_header, item.order.version.c_str());
+    if (!server_call.parameters.version.empty()) {
+        evhttp_add_header(headers, model_version_header, server_call.parameters.version.c_str());
     }
     if (open.resume_from > 0) {
         evhttp_add_header(headers, "X-Resume-From", std::to_string(open.resume_from).c_str());
@@ -101,17 +101,17 @@
     evbuffer_add(evhttp_request_get_output_buffer(request), open.body.data(), open.body.size());
 }
 
-void server_calls::start(const start_call& order, instant started)
+void server_calls::start(const start_call& parameters, instant started)
 {
     this->now = started;
     auto owned = std::make_unique<call>();
-    call* item = owned.get();
-    this->calls[order.request->id] = std::move(owned);
-    item->owner = this;
-    item->order = order;
-    item->started = started;
-    item->last_received = started;
-    item->connection = this->get_connection(order.server);
+    call* server_call = owned.get();
+    this->calls[parameters.request->id] = std::move(owned);
+    server_call->owner = this;
+    server_call->parameters = parameters;
+    server_call->started = started;
+    server_call->last_received = started;
+    server_call->connection = this->get_connection(parameters.server);
 
     const auto done = [](evhttp_request* response, void* context) {
         auto* ended = static_cast<call*>(context);
@@ -130,65 +130,66 @@
     const auto written = [](evbuffer*, const evbuffer_cb_info* info, void* context) {
         if (info->n_added > 0) static_cast<call*>(context)->bytes_written = true;
     };
-    item->request = evhttp_request_new(done, item);
-    evhttp_request_set_header_cb(item->request, head);
-    evhttp_request_set_chunked_cb(item->request, data);
-    bufferevent* socket = evhttp_connection_get_bufferevent(item->connection.get());
-    item->output_callback = evbuffer_add_cb(bufferevent_get_output(socket), written, item);
-    this->write_request(*item, item->request);
-    const open_attempt& open = *order.request;
-    if (evhttp_make_request(item->connection.get(), item->request, parse_method(open.method),
-                            open.path.c_str()) != 0) {
-        item->request = nullptr;
-        this->handle_end(*item, nullptr);
+    server_call->request = evhttp_request_new(done, server_call);
+    evhttp_request_set_header_cb(server_call->request, head);
+    evhttp_request_set_chunked_cb(server_call->request, data);
+    bufferevent* socket = evhttp_connection_get_bufferevent(server_call->connection.get());
+    server_call->output_callback =
+        evbuffer_add_cb(bufferevent_get_output(socket), written, server_call);
+    this->write_request(*server_call, server_call->request);
+    const open_attempt& open = *parameters.request;
+    if (evhttp_make_request(server_call->connection.get(), server_call->request,
+                            parse_method(open.method), open.path.c_str()) != 0) {
+        server_call->request = nullptr;
+        this->handle_end(*server_call, nullptr);
     }
 }
 
-void server_calls::handle_head(call& item, evhttp_request* response)
+void server_calls::handle_head(call& server_call, evhttp_request* response)
 {
     const int status = evhttp_request_get_response_code(response);
     const evkeyvalq* headers = evhttp_request_get_input_headers(response);
-    item.last_received = this->now;
+    server_call.last_received = this->now;
     if (evhttp_find_header(headers, not_run_header) != nullptr) {
-        item.refused = true;
+        server_call.refused = true;
         return;
     }
     const char* type = evhttp_find_header(headers, "Content-Type");
     const char* encoding = evhttp_find_header(headers, "Transfer-Encoding");
-    item.stream = type != nullptr && std::string_view(type).starts_with("text/event-stream");
-    item.length_known = evhttp_find_header(headers, "Content-Length") != nullptr ||
-                        (encoding != nullptr && strcasecmp(encoding, "chunked") == 0) ||
-                        status == status_no_content || status == status_not_modified;
+    server_call.stream = type != nullptr && std::string_view(type).starts_with("text/event-stream");
+    server_call.length_known = evhttp_find_header(headers, "Content-Length") != nullptr ||
+                               (encoding != nullptr && strcasecmp(encoding, "chunked") == 0) ||
+                               status == status_no_content || status == status_not_modified;
     attempt_head message;
-    message.id = item.order.request->id;
-    message.server = item.order.server.id;
+    message.id = server_call.parameters.request->id;
+    message.server = server_call.parameters.server.id;
     message.status = static_cast<std::uint16_t>(status);
-    message.version = item.order.version;
+    message.version = server_call.parameters.version;
     for (header& extra : copy_headers(headers)) {
         if (!is_hop_by_hop_header(extra.name)) message.headers.push_back(std::move(extra));
     }
-    item.head_sent = true;
-    this->on_frame.emit(item.order.entry, std::move(message));
+    server_call.head_sent = true;
+    this->on_frame.emit(server_call.parameters.entry, std::move(message));
 }
 
-void server_calls::handle_data(call& item, evhttp_request* response)
+void server_calls::handle_data(call& server_call, evhttp_request* response)
 {
-    item.last_received = std::chrono::steady_clock::now();
-    if (item.refused) return;
+    server_call.last_received = std::chrono::steady_clock::now();
+    if (server_call.refused) return;
     evbuffer* input = evhttp_request_get_input_buffer(response);
-    item.pending += read_all(input);
-    this->flush(item);
+    server_call.pending += read_all(input);
+    this->flush(server_call);
 }
 
 /** Sends what the window allows: complete events of a stream, any bytes of other responses. */
-void server_calls::flush(call& item)
+void server_calls::flush(call& server_call)
 {
-    while (!item.pending.empty() && item.window > 0) {
-        std::size_t length = std::min(item.pending.size(), max_data_frame_bytes);
-        if (item.stream) {
-            const std::size_t end = item.pending.rfind("\n\n", length);
+    while (!server_call.pending.empty() && server_call.window > 0) {
+        std::size_t length = std::min(server_call.pending.size(), max_data_frame_bytes);
+        if (server_call.stream) {
+            const std::size_t end = server_call.pending.rfind("\n\n", length);
             if (end == std::string::npos || end + 2 > length) {
-                const std::size_t first = item.pending.find("\n\n");
+                const std::size_t first = server_call.pending.find("\n\n");
                 if (first == std::string::npos) break;
                 length = first + 2;
             } else {
@@ -196,65 +197,71 @@
             }
         }
         attempt_data message;
-        message.id = item.order.request->id;
-        message.sequence = item.sequence++;
-        message.bytes = item.pending.substr(0, length);
-        item.pending.erase(0, length);
-        if (item.stream) item.end_marker_seen = message.bytes.ends_with(stream_end);
-        item.window -= std::min<std::uint32_t>(item.window, static_cast<std::uint32_t>(length));
-        this->on_frame.emit(item.order.entry, std::move(message));
+        message.id = server_call.parameters.request->id;
+        message.sequence = server_call.sequence++;
+        message.bytes = server_call.pending.substr(0, length);
+        server_call.pending.erase(0, length);
+        if (server_call.stream) server_call.end_marker_seen = message.bytes.ends_with(stream_end);
+        server_call.window -=
+            std::min<std::uint32_t>(server_call.window, static_cast<std::uint32_t>(length));
+        this->on_frame.emit(server_call.parameters.entry, std::move(message));
     }
-    const bool pause = item.window == 0;
-    if (pause != item.paused && item.connection != nullptr && item.request != nullptr) {
-        item.paused = pause;
-        bufferevent* socket = evhttp_connection_get_bufferevent(item.connection.get());
+    const bool pause = server_call.window == 0;
+    if (pause != server_call.paused && server_call.connection != nullptr &&
+        server_call.request != nullptr) {
+        server_call.paused = pause;
+        bufferevent* socket = evhttp_connection_get_bufferevent(server_call.connection.get());
         if (pause) {
             bufferevent_disable(socket, EV_READ);
         } else {
-            item.last_received = std::chrono::steady_clock::now();
+            server_call.last_received = std::chrono::steady_clock::now();
             bufferevent_enable(socket, EV_READ);
         }
     }
 }
 
-void server_calls::handle_end(call& item, evhttp_request* response)
+void server_calls::handle_end(call& server_call, evhttp_request* response)
 {
-    if (item.has_ended) return;
+    if (server_call.has_ended) return;
     const bool responded = response != nullptr && evhttp_request_get_response_code(response) != 0;
     if (!responded) {
-        const bool sent = item.bytes_written;
-        this->end(item, sent ? outcome::unknown : outcome::not_run, true, sent ? "read" : "connect",
+        const bool sent = server_call.bytes_written;
+        this->end(server_call, sent ? outcome::unknown : outcome::not_run, true,
+                  sent ? "read" : "connect",
                   sent ? "the server closed the connection" : "no connection to the server");
         return;
     }
-    item.reusable = true;
-    if (item.refused) {
-        this->end(item, outcome::not_run, false, "server", "the server refused it unrun");
+    server_call.reusable = true;
+    if (server_call.refused) {
+        this->end(server_call, outcome::not_run, false, "server",
+                  "the server refused the request without executing it");
         return;
     }
     // Data beyond the window is sent as well, since it was already read.
-    item.window =
-        std::max<std::uint32_t>(item.window, static_cast<std::uint32_t>(item.pending.size() + 1));
-    this->flush(item);
-    if (!item.length_known) {
-        this->end(item, outcome::unknown, true, "read", "the answer has no length");
+    server_call.window = std::max<std::uint32_t>(
+        server_call.window, static_cast<std::uint32_t>(server_call.pending.size() + 1));
+    this->flush(server_call);
+    if (!server_call.length_known) {
+        this->end(server_call, outcome::unknown, true, "read",
+                  "the response has neither Content-Length nor chunked encoding");
         return;
     }
-    if (item.stream && (!item.end_marker_seen || !item.pending.empty())) {
-        this->end(item, outcome::unknown, true, "read", "the stream has no end marker");
+    if (server_call.stream && (!server_call.end_marker_seen || !server_call.pending.empty())) {
+        this->end(server_call, outcome::unknown, true, "read", "the stream has no end marker");
         return;
     }
-    this->end(item, outcome::done, false, "read", "");
+    this->end(server_call, outcome::done, false, "read", "");
 }
 
-void server_calls::end(call& item, outcome result, bool server_fault, const char* step,
+void server_calls::end(call& server_call, outcome result, bool server_fault, const char* step,
                        const std::string& detail)
 {
-    item.has_ended = true;
-    const attempt_id id = item.order.request->id;
+    server_call.has_ended = true;
+    const attempt_id id = server_call.parameters.request->id;
     if (result != outcome::not_run) {
-        this->on_frame.emit(item.order.entry, attempt_ended{id, item.sequence, result, step,
-                                                            item.order.server.id.text, detail});
+        this->on_frame.emit(server_call.parameters.entry,
+                            attempt_ended{id, server_call.sequence, result, step,
+                                          server_call.parameters.server.id.text, detail});
     }
     this->on_ended.emit({id, result, server_fault, step, detail});
     const auto found = this->calls.find(id);
@@ -267,9 +274,9 @@
 {
     const auto found = this->calls.find(id);
     if (found == this->calls.end()) return;
-    call& item = *found->second;
-    item.has_ended = true;
-    const bool sent = item.bytes_written;
+    call& server_call = *found->second;
+    server_call.has_ended = true;
+    const bool sent = server_call.bytes_written;
     this->on_ended.emit({id, sent ? outcome::unknown : outcome::not_run, false, "cancel", ""});
     this->finished.push_back(std::move(found->second));
     this->calls.erase(found);
@@ -279,32 +286,35 @@
 {
     const auto found = this->calls.find(credit.id);
     if (found == this->calls.end()) return;
-    call& item = *found->second;
-    item.window = std::min(data_window_bytes, item.window + credit.bytes);
-    this->flush(item);
+    call& server_call = *found->second;
+    server_call.window = std::min(data_window_bytes, server_call.window + credit.bytes);
+    this->flush(server_call);
 }
 
 void server_calls::sweep(instant time)
 {
     this->now = time;
     std::vector<call*> timed_out;
-    for (auto& [id, item] : this->calls) {
-        const bool unconnected = !item->bytes_written && time - item->started > connect_timeout;
-        const bool receive_timed_out =
-            item->bytes_written && !item->paused && time - item->last_received > this->idle_timeout;
-        if (unconnected || receive_timed_out) timed_out.push_back(item.get());
+    for (auto& [id, server_call] : this->calls) {
+        const bool unconnected =
+            !server_call->bytes_written && time - server_call->started > connect_timeout;
+        const bool receive_timed_out = server_call->bytes_written && !server_call->paused &&
+                                       time - server_call->last_received > this->idle_timeout;
+        if (unconnected || receive_timed_out) timed_out.push_back(server_call.get());
     }
-    for (call* item : timed_out) {
-        const bool sent = item->bytes_written;
-        this->end(*item, sent ? outcome::unknown : outcome::not_run, true,
-                  sent ? "read" : "connect", sent ? "the server is silent" : "no connection");
+    for (call* server_call : timed_out) {
+        const bool sent = server_call->bytes_written;
+        this->end(*server_call, sent ? outcome::unknown : outcome::not_run, true,
+                  sent ? "read" : "connect",
+                  sent ? "the server sent nothing within the idle timeout"
+                       : "connecting to the server timed out");
     }
-    for (std::unique_ptr<call>& item : this->finished) {
-        bufferevent* socket = evhttp_connection_get_bufferevent(item->connection.get());
-        evbuffer_remove_cb_entry(bufferevent_get_output(socket), item->output_callback);
-        std::vector<pooled_connection>& pool = this->idle[item->order.server.id];
-        if (item->reusable && pool.size() < max_idle_connections_per_server) {
-            pool.push_back({std::move(item->connection), time});
+    for (std::unique_ptr<call>& server_call : this->finished) {
+        bufferevent* socket = evhttp_connection_get_bufferevent(server_call->connection.get());
+        evbuffer_remove_cb_entry(bufferevent_get_output(socket), server_call->output_callback);
+        std::vector<pooled_connection>& pool = this->idle[server_call->parameters.server.id];
+        if (server_call->reusable && pool.size() < max_idle_connections_per_server) {
+            pool.push_back({std::move(server_call->connection), time});
         }
     }
     this->finished.clear();
--- a/src/server_calls.h
+++ b/src/server_calls.h
@@ -36,11 +36,11 @@
     server_calls(server_calls&&) = delete;
     server_calls& operator=(server_calls&&) = delete;
 
-    void start(const start_call& order, instant now);
+    void start(const start_call& parameters, instant started);
     void cancel(const attempt_id& id);
     void credit(const data_credit& credit);
     /** Ends calls that got no connection or no byte in time, and frees ended calls. */
-    void sweep(instant now);
+    void sweep(instant time);
 
     [[nodiscard]] std::size_t size() const { return this->calls.size(); }
 
@@ -56,13 +56,13 @@
     };
 
     event_ptr<evhttp_connection> get_connection(const server_config& server);
-    void write_request(call& item, evhttp_request* request) const;
-    void end(call& item, outcome result, bool server_fault, const char* step,
+    void write_request(call& server_call, evhttp_request* request) const;
+    void end(call& server_call, outcome result, bool server_fault, const char* step,
              const std::string& detail);
-    void handle_head(call& item, evhttp_request* response);
-    void handle_data(call& item, evhttp_request* response);
-    void flush(call& item);
-    void handle_end(call& item, evhttp_request* response);
+    void handle_head(call& server_call, evhttp_request* response);
+    void handle_data(call& server_call, evhttp_request* response);
+    void flush(call& server_call);
+    void handle_end(call& server_call, evhttp_request* response);
 
     event_base* base;
     duration idle_timeout;
