--- a/test/correctness/chat_returns_whole.cpp
+++ b/test/correctness/chat_responses_are_complete.cpp
@@ -9,8 +9,8 @@
 
 namespace {
 
-class chat_returns_whole : public CppUnit::TestFixture {
-    CPPUNIT_TEST_SUITE(chat_returns_whole);
+class chat_responses_are_complete : public CppUnit::TestFixture {
+    CPPUNIT_TEST_SUITE(chat_responses_are_complete);
     CPPUNIT_TEST(streams_through_every_router);
     CPPUNIT_TEST_SUITE_END();
 
@@ -25,9 +25,9 @@
             CPPUNIT_ASSERT_EQUAL(200, streamed.status);
             CPPUNIT_ASSERT(streamed.whole);
             CPPUNIT_ASSERT_EQUAL(support::expected_stream(text, 20), streamed.body);
-            const support::reply whole = fleet.chat(router, text, text, 20, false);
-            CPPUNIT_ASSERT_EQUAL(200, whole.status);
-            CPPUNIT_ASSERT(whole.whole);
+            const support::reply unstreamed = fleet.chat(router, text, text, 20, false);
+            CPPUNIT_ASSERT_EQUAL(200, unstreamed.status);
+            CPPUNIT_ASSERT(unstreamed.whole);
         }
         std::size_t reused_tokens = 0;
         for (std::size_t i = 0; i < fleet.engines.size(); ++i) {
@@ -35,14 +35,14 @@
         }
         // The second request of each chat has the same prompt, which must be cached.
         CPPUNIT_ASSERT(reused_tokens > 0);
-        for (const support::router& item : fleet.routers)
-            item.process.signal(SIGTERM);
-        for (support::router& item : fleet.routers) {
-            CPPUNIT_ASSERT_EQUAL(0, item.process.wait());
+        for (const support::router& router : fleet.routers)
+            router.process.signal(SIGTERM);
+        for (support::router& router : fleet.routers) {
+            CPPUNIT_ASSERT_EQUAL(0, router.process.wait());
         }
     }
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(chat_returns_whole);
+CPPUNIT_TEST_SUITE_REGISTRATION(chat_responses_are_complete);
 
 } // namespace
--- a/test/error/bad_requests_are_refused.cpp
+++ b/test/error/bad_requests_are_refused.cpp
@@ -18,13 +18,13 @@
 
 class bad_requests_are_refused : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(bad_requests_are_refused);
-    CPPUNIT_TEST(each_has_its_error);
-    CPPUNIT_TEST(headers_towards_engines_are_ours);
+    CPPUNIT_TEST(each_has_its_error_code);
+    CPPUNIT_TEST(engine_headers_of_callers_are_dropped);
     CPPUNIT_TEST(broken_and_idle_connections);
     CPPUNIT_TEST_SUITE_END();
 
 public:
-    static support::fleet_options max_small_fleet_vms()
+    static support::fleet_options small_fleet()
     {
         support::fleet_options options;
         options.routers = 1;
@@ -37,14 +37,14 @@
 
     static void check_served(const support::fleet& fleet, const std::string& text)
     {
-        const reply answer = fleet.chat(0, text, text, 5);
-        CPPUNIT_ASSERT_EQUAL(200, answer.status);
-        CPPUNIT_ASSERT_EQUAL(support::expected_stream(text, 5), answer.body);
+        const reply response = fleet.chat(0, text, text, 5);
+        CPPUNIT_ASSERT_EQUAL(200, response.status);
+        CPPUNIT_ASSERT_EQUAL(support::expected_stream(text, 5), response.body);
     }
 
-    void each_has_its_error()
+    void each_has_its_error_code()
     {
-        support::fleet fleet(max_small_fleet_vms());
+        support::fleet fleet(small_fleet());
         fleet.start();
         const std::uint16_t port = fleet.routers[0].front;
         const std::string path = "/v1/chat/completions";
@@ -109,14 +109,14 @@
                      413,
                      "body_too_large"},
         };
-        for (const bad_case& item : cases) {
-            const reply answer =
-                support::http(port, item.method, item.path, item.headers, item.body);
-            CPPUNIT_ASSERT_EQUAL_MESSAGE(item.code, item.status, answer.status);
-            const nlohmann::json error = answer.json()["error"];
-            CPPUNIT_ASSERT_EQUAL(item.code, error["code"].get<std::string>());
+        for (const bad_case& invalid : cases) {
+            const reply response =
+                support::http(port, invalid.method, invalid.path, invalid.headers, invalid.body);
+            CPPUNIT_ASSERT_EQUAL_MESSAGE(invalid.code, invalid.status, response.status);
+            const nlohmann::json error = response.json()["error"];
+            CPPUNIT_ASSERT_EQUAL(invalid.code, error["code"].get<std::string>());
             CPPUNIT_ASSERT_EQUAL(std::string("parse"), error["step"].get<std::string>());
-            CPPUNIT_ASSERT_EQUAL(std::string("not_run"), answer.header("X-Worksshift-Outcome"));
+            CPPUNIT_ASSERT_EQUAL(std::string("not_run"), response.header("X-Worksshift-Outcome"));
         }
         check_served(fleet, "after bad requests");
         const reply models = support::http(port, "GET", "/v1/models");
@@ -128,22 +128,22 @@
         CPPUNIT_ASSERT_EQUAL(std::size_t{1}, executed);
     }
 
-    /** A caller that sets the headers that instruct engines would get a part of a response that
-     * looks complete. */
-    void headers_towards_engines_are_ours()
+    /** Guards against forwarding the headers that instruct engines: a caller that set them would
+     * get a part of a response that looks complete. */
+    void engine_headers_of_callers_are_dropped()
     {
-        support::fleet fleet(max_small_fleet_vms());
+        support::fleet fleet(small_fleet());
         fleet.start();
-        const reply answer = fleet.chat(
+        const reply response = fleet.chat(
             0, "a", "from the middle", 5, true,
             {{"X-Resume-From", "3"}, {"X-Model-Version", "none"}, {"X-Request-Id", "another"}});
-        CPPUNIT_ASSERT_EQUAL(200, answer.status);
-        CPPUNIT_ASSERT_EQUAL(support::expected_stream("from the middle", 5), answer.body);
+        CPPUNIT_ASSERT_EQUAL(200, response.status);
+        CPPUNIT_ASSERT_EQUAL(support::expected_stream("from the middle", 5), response.body);
     }
 
     void broken_and_idle_connections()
     {
-        support::fleet fleet(max_small_fleet_vms());
+        support::fleet fleet(small_fleet());
         fleet.start();
         const std::uint16_t port = fleet.routers[0].front;
         // A header without an end, one over the limit, a truncated body, invalid bytes, and
--- a/test/error/bad_servers_are_survived.cpp
+++ b/test/error/broken_responses_are_retried_or_reported.cpp
@@ -11,8 +11,8 @@
 
 using support::reply;
 
-class bad_servers_are_survived : public CppUnit::TestFixture {
-    CPPUNIT_TEST_SUITE(bad_servers_are_survived);
+class broken_responses_are_retried_or_reported : public CppUnit::TestFixture {
+    CPPUNIT_TEST_SUITE(broken_responses_are_retried_or_reported);
     CPPUNIT_TEST(engines);
     CPPUNIT_TEST(plain_service);
     CPPUNIT_TEST_SUITE_END();
@@ -81,10 +81,10 @@
             support::http(fleet.engines[static_cast<std::size_t>(i) % 3].port, "POST",
                           "/fault?mode=break&count=1&after=4");
             const std::string text = "resume " + std::to_string(i);
-            const reply answer = fleet.chat(0, text, text, 20);
-            CPPUNIT_ASSERT_EQUAL(200, answer.status);
-            CPPUNIT_ASSERT(answer.whole);
-            CPPUNIT_ASSERT_EQUAL(support::expected_stream(text, 20), answer.body);
+            const reply response = fleet.chat(0, text, text, 20);
+            CPPUNIT_ASSERT_EQUAL(200, response.status);
+            CPPUNIT_ASSERT(response.whole);
+            CPPUNIT_ASSERT_EQUAL(support::expected_stream(text, 20), response.body);
             ++resumed;
         }
         CPPUNIT_ASSERT_EQUAL(std::size_t{6}, resumed);
@@ -97,8 +97,8 @@
         fleet.start();
         const std::uint16_t port = fleet.routers[0].front;
         const worksshift::header key{"Authorization", "Bearer key-1"};
-        const reply made = support::http(port, "POST", "/desk/tickets", {key}, "ticket A");
-        CPPUNIT_ASSERT_EQUAL(201, made.status);
+        const reply created = support::http(port, "POST", "/desk/tickets", {key}, "ticket A");
+        CPPUNIT_ASSERT_EQUAL(201, created.status);
         for (const support::endpoint& desk : fleet.services) {
             support::http(desk.port, "POST", "/fault?mode=close&count=1");
         }
@@ -139,6 +139,6 @@
     }
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(bad_servers_are_survived);
+CPPUNIT_TEST_SUITE_REGISTRATION(broken_responses_are_retried_or_reported);
 
 } // namespace
--- a/test/fuzz/gates_that_disagree_share_the_limit.cpp
+++ b/test/fuzz/disagreeing_gates_keep_the_admission_bound.cpp
@@ -20,7 +20,7 @@
 void overload(support::core_fleet& fleet, duration span)
 {
     constexpr auto step = milliseconds(200);
-    for (duration passed{}; passed < span; passed += step) {
+    for (duration elapsed{}; elapsed < span; elapsed += step) {
         for (std::size_t node = 0; node < fleet.size(); ++node) {
             if (!fleet.up(node)) continue;
             for (std::uint64_t i = 0; i < 6; ++i) {
@@ -36,28 +36,28 @@
     }
 }
 
-void disturb(support::core_fleet& fleet, std::size_t node, std::size_t other, int kind)
+void inject_fault(support::core_fleet& fleet, std::size_t node, std::size_t other, int fault)
 {
-    if (kind == 0) fleet.restart(node);
-    if (kind == 1 && fleet.up(node)) fleet.pause(node, seconds(30));
-    if (kind == 2 && fleet.up(node)) fleet.pause(node, seconds(5));
-    if (kind == 3) fleet.cut(node, other);
-    if (kind == 4) {
+    if (fault == 0) fleet.restart(node);
+    if (fault == 1 && fleet.up(node)) fleet.pause(node, seconds(30));
+    if (fault == 2 && fleet.up(node)) fleet.pause(node, seconds(5));
+    if (fault == 3) fleet.cut(node, other);
+    if (fault == 4) {
         // Partitioned from all others.
         for (std::size_t i = 0; i < fleet.size(); ++i)
             fleet.cut(node, i);
     }
-    if (kind == 5) fleet.heal();
-    if (kind == 6) fleet.kill(node);
+    if (fault == 5) fleet.heal();
+    if (fault == 6) fleet.kill(node);
 }
 
-class gates_that_disagree_share_the_limit : public CppUnit::TestFixture {
-    CPPUNIT_TEST_SUITE(gates_that_disagree_share_the_limit);
-    CPPUNIT_TEST(under_any_disturbance);
+class disagreeing_gates_keep_the_admission_bound : public CppUnit::TestFixture {
+    CPPUNIT_TEST_SUITE(disagreeing_gates_keep_the_admission_bound);
+    CPPUNIT_TEST(under_random_faults);
     CPPUNIT_TEST_SUITE_END();
 
 public:
-    void under_any_disturbance()
+    void under_random_faults()
     {
         const bool property_holds = rc::check("the worst case holds", [] {
             support::core_options options;
@@ -73,7 +73,7 @@
                 overload(fleet, milliseconds(*rc::gen::element(1000, 3000)));
                 const auto node = *rc::gen::inRange<std::size_t>(0, node_count);
                 const auto other = *rc::gen::inRange<std::size_t>(0, node_count);
-                disturb(fleet, node, other, *rc::gen::inRange(0, 7));
+                inject_fault(fleet, node, other, *rc::gen::inRange(0, 7));
                 overload(fleet, seconds(*rc::gen::element(2, 9)));
             }
         });
@@ -81,6 +81,6 @@
     }
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(gates_that_disagree_share_the_limit);
+CPPUNIT_TEST_SUITE_REGISTRATION(disagreeing_gates_keep_the_admission_bound);
 
 } // namespace
--- a/test/fuzz/requests_keep_promises.cpp
+++ b/test/fuzz/request_guarantees_hold.cpp
@@ -117,14 +117,14 @@
 };
 
 struct hang_up : command {
-    std::size_t which = *rc::gen::inRange<std::size_t>(0, 200);
+    std::size_t request_index = *rc::gen::inRange<std::size_t>(0, 200);
 
     void run(const model& /*state*/, system_under_test& system) const override
     {
         if (system.fleet.results.empty()) return;
-        system.fleet.hang_up(this->which % system.fleet.results.size());
+        system.fleet.hang_up(this->request_index % system.fleet.results.size());
     }
-    void show(std::ostream& out) const override { out << "hang_up(" << this->which << ")"; }
+    void show(std::ostream& out) const override { out << "hang_up(" << this->request_index << ")"; }
 };
 
 struct disturb_node : command {
@@ -250,19 +250,19 @@
     check_all_ended(system);
 }
 
-class requests_keep_promises : public CppUnit::TestFixture {
-    CPPUNIT_TEST_SUITE(requests_keep_promises);
-    CPPUNIT_TEST(of_engines);
-    CPPUNIT_TEST(of_plain_services);
-    CPPUNIT_TEST(of_a_caller_that_a_paused_node_never_saw);
+class request_guarantees_hold : public CppUnit::TestFixture {
+    CPPUNIT_TEST_SUITE(request_guarantees_hold);
+    CPPUNIT_TEST(at_engines);
+    CPPUNIT_TEST(at_plain_services);
+    CPPUNIT_TEST(when_a_caller_disconnects_from_a_paused_node);
     CPPUNIT_TEST_SUITE_END();
 
 public:
-    void of_engines()
+    void at_engines()
     {
         CPPUNIT_ASSERT(rc::check("engines", [] { run_session(false); }));
     }
-    void of_plain_services()
+    void at_plain_services()
     {
         CPPUNIT_ASSERT(rc::check("plain services", [] { run_session(true); }));
     }
@@ -270,7 +270,7 @@
     /** Guards against a response row that is left over when a paused node resumes while it is
      * leaving: in the same tick it starts and refuses the request and learns that its caller
      * disconnected. */
-    void of_a_caller_that_a_paused_node_never_saw()
+    void when_a_caller_disconnects_from_a_paused_node()
     {
         CPPUNIT_ASSERT(rc::check("paused node", [] {
             system_under_test system(*rc::gen::arbitrary<bool>());
@@ -291,6 +291,6 @@
     }
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(requests_keep_promises);
+CPPUNIT_TEST_SUITE_REGISTRATION(request_guarantees_hold);
 
 } // namespace
