--- a/src/account_quota.cpp
+++ b/src/account_quota.cpp
@@ -54,21 +54,22 @@
     const std::uint64_t min_tokens =
         balance.waiting.empty() ? 1 : cost_of_request(t, balance.waiting.front());
     t.send(home_of(t, account.hash()),
-           quota_request{account, balance.number, balance.requested_tokens, min_tokens});
+           quota_request{account, balance.request_number, balance.requested_tokens, min_tokens});
 }
 
 /** Requests the cost of all waiting requests, and prefetches for those expected before the next
  * quota request. */
 void request_quota(tables& t, const client_account_id& account, quota_balance& balance, instant now)
 {
-    if (balance.asked) return;
-    std::uint64_t wanted = static_cast<std::uint64_t>(balance.recent_tokens_per_s * prefetch_s);
+    if (balance.request_in_flight) return;
+    std::uint64_t needed_tokens =
+        static_cast<std::uint64_t>(balance.recent_tokens_per_s * prefetch_s);
     for (const std::uint64_t request : balance.waiting)
-        wanted += cost_of_request(t, request);
-    balance.asked = true;
-    balance.requested_tokens = std::max<std::uint64_t>(1, wanted);
+        needed_tokens += cost_of_request(t, request);
+    balance.request_in_flight = true;
+    balance.requested_tokens = std::max<std::uint64_t>(1, needed_tokens);
     balance.sends = 0;
-    ++balance.number;
+    ++balance.request_number;
     send_quota_request(t, account, balance, now);
 }
 
@@ -106,8 +107,8 @@
     const auto found = t.quotas.balances.find(reply.account);
     if (found == t.quotas.balances.end()) return;
     quota_balance& balance = found->second;
-    if (!balance.asked || reply.number != balance.number) return;
-    balance.asked = false;
+    if (!balance.request_in_flight || reply.number != balance.request_number) return;
+    balance.request_in_flight = false;
     balance.tokens += reply.tokens;
     pay_waiting(t, balance, now, outcome);
     if (balance.waiting.empty()) return;
@@ -124,7 +125,7 @@
 void grant_own_share(tables& t, const client_account_id& account, quota_balance& balance,
                      instant now, quota_outcome& outcome)
 {
-    balance.asked = false;
+    balance.request_in_flight = false;
     const double entries = std::max<double>(1, static_cast<double>(t.homes.size()));
     const double elapsed_s =
         std::min(quota_burst_s, seconds_of(now - balance.own_share_granted_at));
@@ -135,7 +136,7 @@
     refuse_waiting(t, balance, own_share_retry_after_ms, outcome);
 }
 
-void fill(quota_bucket& bucket, double rate, instant now)
+void refill(quota_bucket& bucket, double rate, instant now)
 {
     const double capacity = rate * quota_burst_s;
     if (bucket.filled_at == instant{}) {
@@ -172,8 +173,9 @@
     if (balance.used_at == instant{}) balance.used_at = now;
     if (balance.waiting.empty() && balance.tokens >= request.cost) {
         pay_request(balance, request, now);
-        const auto low = static_cast<std::uint64_t>(balance.recent_tokens_per_s * prefetch_s / 2);
-        if (balance.tokens < low) request_quota(t, request.account, balance, now);
+        const auto prefetch_threshold =
+            static_cast<std::uint64_t>(balance.recent_tokens_per_s * prefetch_s / 2);
+        if (balance.tokens < prefetch_threshold) request_quota(t, request.account, balance, now);
         return quota_state::paid;
     }
     balance.waiting.push_back(request.id);
@@ -193,7 +195,7 @@
     for (const auto& [from, request] : std::exchange(t.in.quota_requests, {})) {
         const double rate = tokens_per_second_of(t, request.account);
         quota_bucket& bucket = t.quotas.buckets[request.account];
-        fill(bucket, rate, time.now);
+        refill(bucket, rate, time.now);
         t.send(from, grant(bucket, request, rate));
     }
     // An unused bucket is full after this time, as a new one would be.
@@ -209,7 +211,8 @@
         handle_reply(t, reply, time.now, outcome);
     }
     for (auto& [account, balance] : t.quotas.balances) {
-        if (!balance.asked || time.now - balance.requested_at < resend_interval) continue;
+        if (!balance.request_in_flight || time.now - balance.requested_at < resend_interval)
+            continue;
         if (balance.sends < max_sends) {
             send_quota_request(t, account, balance, time.now);
         } else {
--- a/src/account_quota.h
+++ b/src/account_quota.h
@@ -37,11 +37,11 @@
 struct quota_balance {
     std::uint64_t tokens = 0;
     std::vector<std::uint64_t> waiting; ///< ids of requests, in order of arrival
-    std::uint64_t number = 0;           ///< of the latest quota request
-    bool asked = false;                 ///< a quota request is in flight
+    std::uint64_t request_number = 0;   ///< of the latest quota request
+    bool request_in_flight = false;
     std::uint64_t requested_tokens = 0;
     instant requested_at{};
-    std::uint32_t sends = 0; ///< of the quota request in flight
+    std::uint32_t sends = 0; ///< how often the quota request in flight was sent
     instant used_at{};
     double recent_tokens_per_s = 0; ///< tokens per second, smoothed, used by this entry VM
     instant own_share_granted_at{}; ///< time up to which this entry VM granted itself its share
--- a/src/account_table.cpp
+++ b/src/account_table.cpp
@@ -20,7 +20,7 @@
     return hash_of(account.key_sha256);
 }
 
-bool holds(const account_bucket& bucket, const account_config* account)
+bool contains(const account_bucket& bucket, const account_config* account)
 {
     // std::less, unlike <, also orders pointers into different arrays.
     const std::less<const account_config*> before;
@@ -31,27 +31,27 @@
 bool in_any(std::span<const account_table::bucket_ptr> buckets, const account_config* account)
 {
     return std::ranges::any_of(buckets,
-                               [&](const auto& bucket) { return holds(*bucket, account); });
+                               [&](const auto& bucket) { return contains(*bucket, account); });
 }
 
 /** The account that satisfies \p matches among those of the same hash; null if there is none. */
-template <class Entries, class Fits>
-const account_config* look_up(const Entries& index, std::uint64_t hash, Fits matches)
+template <class Entries, class Predicate>
+const account_config* look_up(const Entries& index, std::uint64_t hash, Predicate matches)
 {
-    const auto same =
-        std::ranges::equal_range(index, hash, {}, [](const auto& item) { return item.hash; });
-    const auto found =
-        std::ranges::find_if(same, [&](const auto& item) { return matches(*item.account); });
-    return found == same.end() ? nullptr : found->account;
+    const auto same_hash =
+        std::ranges::equal_range(index, hash, {}, [](const auto& indexed) { return indexed.hash; });
+    const auto found = std::ranges::find_if(
+        same_hash, [&](const auto& indexed) { return matches(*indexed.account); });
+    return found == same_hash.end() ? nullptr : found->account;
 }
 
-/** Adds entries for the accounts of \p fresh to an index, and keeps it sorted by hash. */
+/** Adds entries for the accounts of \p added to an index, and keeps it sorted by hash. */
 template <class Entries, class Hash>
-void merge(Entries& index, std::span<const account_table::bucket_ptr> fresh, Hash hash)
+void merge(Entries& index, std::span<const account_table::bucket_ptr> added, Hash hash)
 {
     const auto by_hash = [](const auto& one, const auto& other) { return one.hash < other.hash; };
     const auto old_size = static_cast<std::ptrdiff_t>(index.size());
-    for (const auto& bucket : fresh) {
+    for (const auto& bucket : added) {
         for (const account_config& account : bucket->accounts)
             index.push_back({hash(account), &account});
     }
@@ -90,49 +90,52 @@
 
 void account_table::assign(std::vector<account_config> accounts)
 {
-    std::vector<account_bucket> spread(accounts.size() / accounts_per_bucket + 1);
+    std::vector<account_bucket> distributed(accounts.size() / accounts_per_bucket + 1);
     for (account_config& account : accounts) {
-        spread[account.id.hash() % spread.size()].accounts.push_back(std::move(account));
+        distributed[account.id.hash() % distributed.size()].accounts.push_back(std::move(account));
     }
-    std::vector<bucket_ptr> wanted;
-    std::ranges::transform(spread, std::back_inserter(wanted), [](account_bucket& bucket) {
-        return std::make_shared<const account_bucket>(std::move(bucket));
-    });
-    this->set_buckets(wanted);
-}
-
-void account_table::set_buckets(std::span<const bucket_ptr> wanted)
-{
-    const std::unordered_set<bucket_ptr> old_buckets(this->all.begin(), this->all.end());
-    const std::unordered_set<bucket_ptr> new_buckets(wanted.begin(), wanted.end());
-    std::vector<bucket_ptr> gone;
-    std::vector<bucket_ptr> fresh;
-    std::ranges::copy_if(this->all, std::back_inserter(gone),
+    std::vector<bucket_ptr> new_buckets;
+    std::ranges::transform(distributed, std::back_inserter(new_buckets),
+                           [](account_bucket& bucket) {
+                               return std::make_shared<const account_bucket>(std::move(bucket));
+                           });
+    this->set_buckets(new_buckets);
+}
+
+void account_table::set_buckets(std::span<const bucket_ptr> replacement)
+{
+    const std::unordered_set<bucket_ptr> old_buckets(this->all_buckets.begin(),
+                                                     this->all_buckets.end());
+    const std::unordered_set<bucket_ptr> new_buckets(replacement.begin(), replacement.end());
+    std::vector<bucket_ptr> removed;
+    std::vector<bucket_ptr> added;
+    std::ranges::copy_if(this->all_buckets, std::back_inserter(removed),
                          [&](const bucket_ptr& bucket) { return !new_buckets.contains(bucket); });
-    std::ranges::copy_if(wanted, std::back_inserter(fresh),
+    std::ranges::copy_if(replacement, std::back_inserter(added),
                          [&](const bucket_ptr& bucket) { return !old_buckets.contains(bucket); });
-    this->remove_from_indices(gone);
-    this->add_to_indices(fresh);
-    this->all.assign(wanted.begin(), wanted.end());
+    this->remove_from_indices(removed);
+    this->add_to_indices(added);
+    this->all_buckets.assign(replacement.begin(), replacement.end());
 }
 
 void account_table::set(account_config account)
 {
     const account_config* old = this->find(account.id);
-    if (old == nullptr && this->size() >= 2 * accounts_per_bucket * this->all.size()) {
-        std::vector<account_config> every{std::move(account)};
-        for (const bucket_ptr& bucket : this->all)
-            std::ranges::copy(bucket->accounts, std::back_inserter(every));
-        this->assign(std::move(every));
+    if (old == nullptr && this->size() >= 2 * accounts_per_bucket * this->all_buckets.size()) {
+        std::vector<account_config> all_accounts{std::move(account)};
+        for (const bucket_ptr& bucket : this->all_buckets)
+            std::ranges::copy(bucket->accounts, std::back_inserter(all_accounts));
+        this->assign(std::move(all_accounts));
         return;
     }
     const std::size_t index =
-        old == nullptr ? account.id.hash() % this->all.size() : this->bucket_of(old);
-    account_bucket changed{{}, this->all[index]->accounts};
+        old == nullptr ? account.id.hash() % this->all_buckets.size() : this->bucket_of(old);
+    account_bucket changed{{}, this->all_buckets[index]->accounts};
     if (old == nullptr) {
         changed.accounts.push_back(std::move(account));
     } else {
-        changed.accounts[static_cast<std::size_t>(old - this->all[index]->accounts.data())] =
+        changed
+            .accounts[static_cast<std::size_t>(old - this->all_buckets[index]->accounts.data())] =
             std::move(account);
     }
     this->replace(index, std::move(changed));
@@ -143,8 +146,9 @@
     const account_config* old = this->find(id);
     if (old == nullptr) return false;
     const std::size_t index = this->bucket_of(old);
-    account_bucket changed{{}, this->all[index]->accounts};
-    changed.accounts.erase(changed.accounts.begin() + (old - this->all[index]->accounts.data()));
+    account_bucket changed{{}, this->all_buckets[index]->accounts};
+    changed.accounts.erase(changed.accounts.begin() +
+                           (old - this->all_buckets[index]->accounts.data()));
     this->replace(index, std::move(changed));
     return true;
 }
@@ -152,39 +156,39 @@
 std::size_t account_table::bucket_of(const account_config* account) const
 {
     const auto found = std::ranges::find_if(
-        this->all, [&](const bucket_ptr& bucket) { return holds(*bucket, account); });
-    return static_cast<std::size_t>(found - this->all.begin());
+        this->all_buckets, [&](const bucket_ptr& bucket) { return contains(*bucket, account); });
+    return static_cast<std::size_t>(found - this->all_buckets.begin());
 }
 
 void account_table::replace(std::size_t index, account_bucket changed)
 {
-    std::vector<bucket_ptr> wanted = this->all;
-    wanted[index] = std::make_shared<const account_bucket>(std::move(changed));
-    this->set_buckets(wanted);
+    std::vector<bucket_ptr> new_buckets = this->all_buckets;
+    new_buckets[index] = std::make_shared<const account_bucket>(std::move(changed));
+    this->set_buckets(new_buckets);
 }
 
-void account_table::remove_from_indices(std::span<const bucket_ptr> gone)
+void account_table::remove_from_indices(std::span<const bucket_ptr> removed)
 {
-    if (gone.empty()) return;
-    if (gone.size() == this->all.size()) {
+    if (removed.empty()) return;
+    if (removed.size() == this->all_buckets.size()) {
         this->by_id.clear();
         this->by_key.clear();
         this->accounts_with_reservation.clear();
         return;
     }
-    const auto left_out = [&](const entry& item) { return in_any(gone, item.account); };
-    std::erase_if(this->by_id, left_out);
-    std::erase_if(this->by_key, left_out);
+    const auto is_removed = [&](const entry& indexed) { return in_any(removed, indexed.account); };
+    std::erase_if(this->by_id, is_removed);
+    std::erase_if(this->by_key, is_removed);
     std::erase_if(this->accounts_with_reservation,
-                  [&](const account_config* account) { return in_any(gone, account); });
+                  [&](const account_config* account) { return in_any(removed, account); });
 }
 
-void account_table::add_to_indices(std::span<const bucket_ptr> fresh)
+void account_table::add_to_indices(std::span<const bucket_ptr> added)
 {
-    if (fresh.empty()) return;
-    merge(this->by_id, fresh, id_hash);
-    merge(this->by_key, fresh, key_hash);
-    for (const bucket_ptr& bucket : fresh) {
+    if (added.empty()) return;
+    merge(this->by_id, added, id_hash);
+    merge(this->by_key, added, key_hash);
+    for (const bucket_ptr& bucket : added) {
         for (const account_config& account : bucket->accounts) {
             if (account.reserved > 0) this->accounts_with_reservation.push_back(&account);
         }
--- a/src/account_table.h
+++ b/src/account_table.h
@@ -50,7 +50,7 @@
     [[nodiscard]] const account_config* find(const client_account_id& id) const;
     [[nodiscard]] const account_config* find_key(std::string_view key_sha256) const;
     [[nodiscard]] std::size_t size() const { return this->by_id.size(); }
-    [[nodiscard]] std::span<const bucket_ptr> buckets() const { return this->all; }
+    [[nodiscard]] std::span<const bucket_ptr> buckets() const { return this->all_buckets; }
     /** Accounts with reserved capacity, of which there are few. */
     [[nodiscard]] std::span<const account_config* const> reserved() const
     {
@@ -58,10 +58,11 @@
     }
 
     /** Replaces all accounts, spread evenly over buckets.
-     * \throws user_error if an id or a key occurs twice; so do all functions below that add. */
+     * \throws user_error if an id or a key occurs twice; so do all functions below that add
+     * accounts. */
     void assign(std::vector<account_config> accounts);
-    /** Replaces the buckets. Those that the table already has need no indexing. */
-    void set_buckets(std::span<const bucket_ptr> wanted);
+    /** Replaces the buckets. Those that the table already has are not indexed again. */
+    void set_buckets(std::span<const bucket_ptr> replacement);
     /** Adds an account, or replaces the one of the same id. */
     void set(account_config account);
     /** Returns false if there is no such account. */
@@ -76,10 +77,10 @@
 
     [[nodiscard]] std::size_t bucket_of(const account_config* account) const;
     void replace(std::size_t index, account_bucket changed);
-    void remove_from_indices(std::span<const bucket_ptr> gone);
-    void add_to_indices(std::span<const bucket_ptr> fresh);
+    void remove_from_indices(std::span<const bucket_ptr> removed);
+    void add_to_indices(std::span<const bucket_ptr> added);
 
-    std::vector<bucket_ptr> all;
+    std::vector<bucket_ptr> all_buckets;
     std::vector<entry> by_id;  ///< sorted by hash
     std::vector<entry> by_key; ///< sorted by hash
     std::vector<const account_config*> accounts_with_reservation;
