--- a/src/config_documents.cpp
+++ b/src/config_documents.cpp
@@ -111,7 +111,7 @@
 };
 
 /** Serialises a configuration without the content of account shards whose name is in \p known; the
- * manifest lists these as well. */
+ * manifest lists those shards as well. */
 config_documents write_documents(const fleet_config& config, const std::set<std::string>& known)
 {
     document_writer writer;
@@ -136,17 +136,17 @@
 {
     const json value = parse_json(manifest, step, "manifest");
     json_reader reader(value, step, "manifest");
-    parsed_manifest head;
-    head.revision = reader.whole("revision", 1, UINT64_MAX);
-    head.shards = reader.names("shards");
-    if (reader.has("plans")) head.plans = reader.names("plans");
+    parsed_manifest result;
+    result.revision = reader.integer("revision", 1, UINT64_MAX);
+    result.shards = reader.names("shards");
+    if (reader.has("plans")) result.plans = reader.names("plans");
     reader.finish();
-    return head;
+    return result;
 }
 
 fleet_config parse_fleet_config(const config_documents& documents, const fleet_config* known)
 {
-    parsed_manifest head = parse_manifest(documents.manifest);
+    parsed_manifest manifest = parse_manifest(documents.manifest);
     std::unordered_map<std::string_view, std::shared_ptr<const config_shard_content>> known_shards;
     fleet_config config;
     if (known != nullptr) {
@@ -154,11 +154,11 @@
         for (const auto& shard : known->shards)
             known_shards.emplace(shard->name, shard);
     }
-    config.revision = head.revision;
-    config.plans = std::move(head.plans);
+    config.revision = manifest.revision;
+    config.plans = std::move(manifest.plans);
     std::vector<account_table::bucket_ptr> buckets;
     std::set<std::string> names;
-    for (const std::string& name : head.shards) {
+    for (const std::string& name : manifest.shards) {
         add_name(names, name, "manifest.shards");
         const auto received = documents.shards.find(name);
         const auto parsed = known_shards.find(name);
@@ -262,10 +262,10 @@
     server.id.text = reader.text("id");
     server.data_centre.text = reader.text("data_centre");
     server.address = reader.text("address");
-    server.port = static_cast<std::uint16_t>(reader.whole("port", 1, UINT16_MAX));
-    server.limit = reader.whole32("limit", 1, 100'000);
+    server.port = static_cast<std::uint16_t>(reader.integer("port", 1, UINT16_MAX));
+    server.limit = reader.integer32("limit", 1, 100'000);
     server.draining = reader.flag("draining", false);
-    server.added_at_s = reader.whole("added_at_s", 0, UINT32_MAX, 0);
+    server.added_at_s = reader.integer("added_at_s", 0, UINT32_MAX, 0);
     reader.finish();
     if (server.id.empty()) reader.fail("id", "must not be empty");
     return server;
@@ -278,9 +278,9 @@
     account.id.text = reader.text("id");
     account.key_sha256 = reader.text("key_sha256");
     account.weight = reader.number("weight", 0.01, 1000, 1.0);
-    account.reserved = reader.whole32("reserved", 0, 100'000, 0);
-    account.concurrency = reader.whole32("concurrency", 0, 1'000'000, 0);
-    account.tokens_per_minute = reader.whole("tokens_per_minute", 0, max_tokens_per_minute, 0);
+    account.reserved = reader.integer32("reserved", 0, 100'000, 0);
+    account.concurrency = reader.integer32("concurrency", 0, 1'000'000, 0);
+    account.tokens_per_minute = reader.integer("tokens_per_minute", 0, max_tokens_per_minute, 0);
     reader.finish();
     const bool hex = account.key_sha256.size() == sha256_hex_length &&
                      account.key_sha256.find_first_not_of("0123456789abcdef") == std::string::npos;
--- a/src/config_documents.h
+++ b/src/config_documents.h
@@ -54,7 +54,8 @@
  * a change of one server or account rewrites one small shard. */
 config_documents write_fleet_config(const fleet_config& config);
 
-/** The same, without the content of account shards from which \p known was parsed. */
+/** Like write_fleet_config, but without the content of account shards from which \p known was
+ * parsed. */
 config_documents write_changed_config(const fleet_config& config, const fleet_config& known);
 
 /** Conversion of single objects of the configuration to and from JSON, also used by plans. */
--- a/src/intents.cpp
+++ b/src/intents.cpp
@@ -33,10 +33,10 @@
 
 /** An optional unsigned integer field; std::nullopt if absent. */
 template <class Number>
-std::optional<Number> optional_whole(json_reader& reader, const char* name)
+std::optional<Number> optional_integer(json_reader& reader, const char* name)
 {
     if (!reader.has(name)) return std::nullopt;
-    return static_cast<Number>(reader.whole(name, 0, std::numeric_limits<Number>::max()));
+    return static_cast<Number>(reader.integer(name, 0, std::numeric_limits<Number>::max()));
 }
 
 intent read_set_account(json_reader& reader)
@@ -44,9 +44,9 @@
     set_account result;
     result.account.text = reader.text("client_account");
     if (reader.has("weight")) result.weight = reader.number("weight", 0.01, 1000);
-    result.reserved = optional_whole<std::uint32_t>(reader, "reserved");
-    result.concurrency = optional_whole<std::uint32_t>(reader, "concurrency");
-    result.tokens_per_minute = optional_whole<std::uint64_t>(reader, "tokens_per_minute");
+    result.reserved = optional_integer<std::uint32_t>(reader, "reserved");
+    result.concurrency = optional_integer<std::uint32_t>(reader, "concurrency");
+    result.tokens_per_minute = optional_integer<std::uint64_t>(reader, "tokens_per_minute");
     return result;
 }
 
@@ -180,81 +180,80 @@
     fleet_config& config;
     std::uint64_t unix_s;
 
-    void operator()(const drain_server& wanted) const
+    void operator()(const drain_server& requested) const
     {
-        require_server(this->config, wanted.server).server->draining = wanted.draining;
+        require_server(this->config, requested.server).server->draining = requested.draining;
     }
-    void operator()(const add_server& wanted) const
+    void operator()(const add_server& requested) const
     {
-        server_config server = wanted.server;
+        server_config server = requested.server;
         server.added_at_s = this->unix_s;
-        require_service(this->config, wanted.service).servers.push_back(std::move(server));
+        require_service(this->config, requested.service).servers.push_back(std::move(server));
     }
-    void operator()(const remove_server& wanted) const
+    void operator()(const remove_server& requested) const
     {
-        erase_server(require_server(this->config, wanted.server));
+        erase_server(require_server(this->config, requested.server));
     }
-    void operator()(const set_bound& wanted) const
+    void operator()(const set_bound& requested) const
     {
-        require_service(this->config, wanted.service).bound = wanted.bound;
+        require_service(this->config, requested.service).bound = requested.bound;
     }
-    void operator()(const set_fencing& wanted) const
+    void operator()(const set_fencing& requested) const
     {
-        require_service(this->config, wanted.service).fenced = wanted.fenced;
+        require_service(this->config, requested.service).fenced = requested.fenced;
     }
-    void operator()(const add_model_version& wanted) const
+    void operator()(const add_model_version& requested) const
     {
-        service_config& service = require_service(this->config, wanted.service);
-        service.versions.push_back(wanted.version);
-        if (service.serving.empty()) service.serving = wanted.version;
+        service_config& service = require_service(this->config, requested.service);
+        service.versions.push_back(requested.version);
+        if (service.serving.empty()) service.serving = requested.version;
     }
-    void operator()(const serve_model_version& wanted) const
+    void operator()(const serve_model_version& requested) const
     {
-        require_service(this->config, wanted.service).serving = wanted.version;
+        require_service(this->config, requested.service).serving = requested.version;
     }
-    void operator()(const retire_model_version& wanted) const
+    void operator()(const retire_model_version& requested) const
     {
-        service_config& service = require_service(this->config, wanted.service);
-        if (service.serving == wanted.version) {
+        service_config& service = require_service(this->config, requested.service);
+        if (service.serving == requested.version) {
             fail_at(step, "version",
-                    "callers are served by " + wanted.version +
-                        "; let another version serve first");
+                    "callers are served by " + requested.version + "; serve another version first");
         }
-        if (std::erase(service.versions, wanted.version) == 0) {
-            fail_at(step, "version", service.id.text + " has no version " + wanted.version);
+        if (std::erase(service.versions, requested.version) == 0) {
+            fail_at(step, "version", service.id.text + " has no version " + requested.version);
         }
     }
-    void operator()(const add_account& wanted) const
+    void operator()(const add_account& requested) const
     {
-        if (this->config.accounts.find(wanted.account.id) != nullptr) {
-            fail_at(step, "client_account.id", "there is an account " + wanted.account.id.text);
+        if (this->config.accounts.find(requested.account.id) != nullptr) {
+            fail_at(step, "client_account.id", "there is an account " + requested.account.id.text);
         }
-        this->config.accounts.set(wanted.account);
+        this->config.accounts.set(requested.account);
     }
-    void operator()(const remove_account& wanted) const
+    void operator()(const remove_account& requested) const
     {
-        require_account(this->config, wanted.account);
-        this->config.accounts.erase(wanted.account);
+        require_account(this->config, requested.account);
+        this->config.accounts.erase(requested.account);
     }
-    void operator()(const set_account& wanted) const
+    void operator()(const set_account& requested) const
     {
-        account_config account = require_account(this->config, wanted.account);
-        account.weight = wanted.weight.value_or(account.weight);
-        account.reserved = wanted.reserved.value_or(account.reserved);
-        account.concurrency = wanted.concurrency.value_or(account.concurrency);
-        account.tokens_per_minute = wanted.tokens_per_minute.value_or(account.tokens_per_minute);
+        account_config account = require_account(this->config, requested.account);
+        account.weight = requested.weight.value_or(account.weight);
+        account.reserved = requested.reserved.value_or(account.reserved);
+        account.concurrency = requested.concurrency.value_or(account.concurrency);
+        account.tokens_per_minute = requested.tokens_per_minute.value_or(account.tokens_per_minute);
         this->config.accounts.set(std::move(account));
     }
-    void operator()(const restore_object& wanted) const
+    void operator()(const restore_object& requested) const
     {
-        if (const auto server = name_of(wanted.touched, server_prefix)) {
-            restore_server(this->config, {*server}, wanted.document);
-        } else if (const auto service = name_of(wanted.touched, service_prefix)) {
-            restore_service(this->config, {*service}, wanted.document);
-        } else if (const auto account = name_of(wanted.touched, account_prefix)) {
-            restore_account(this->config, {*account}, wanted.document);
+        if (const auto server = name_of(requested.touched, server_prefix)) {
+            restore_server(this->config, {*server}, requested.document);
+        } else if (const auto service = name_of(requested.touched, service_prefix)) {
+            restore_service(this->config, {*service}, requested.document);
+        } else if (const auto account = name_of(requested.touched, account_prefix)) {
+            restore_account(this->config, {*account}, requested.document);
         } else {
-            fail_at(step, "touched", "is not an object: " + wanted.touched);
+            fail_at(step, "touched", "is not an object: " + requested.touched);
         }
     }
 };
@@ -272,30 +271,30 @@
             known += (known.empty() ? "" : ", ") + name;
         reader.fail("kind", "must be one of " + known + "; is " + kind);
     }
-    intent wanted = found->second(reader);
+    intent requested = found->second(reader);
     reader.finish();
-    return wanted;
+    return requested;
 }
 
-std::string touched_object(const intent& wanted)
+std::string touched_object(const intent& requested)
 {
     return std::visit(
-        []<class Intent>(const Intent& item) -> std::string {
+        []<class Intent>(const Intent& typed) -> std::string {
             if constexpr (std::is_same_v<Intent, restore_object>) {
-                return item.touched;
+                return typed.touched;
             } else if constexpr (std::is_same_v<Intent, add_server>) {
-                return server_prefix + item.server.id.text;
-            } else if constexpr (requires { item.server; }) {
-                return server_prefix + item.server.text;
-            } else if constexpr (requires { item.service; }) {
-                return service_prefix + item.service.text;
+                return server_prefix + typed.server.id.text;
+            } else if constexpr (requires { typed.server; }) {
+                return server_prefix + typed.server.text;
+            } else if constexpr (requires { typed.service; }) {
+                return service_prefix + typed.service.text;
             } else if constexpr (std::is_same_v<Intent, add_account>) {
-                return account_prefix + item.account.id.text;
+                return account_prefix + typed.account.id.text;
             } else {
-                return account_prefix + item.account.text;
+                return account_prefix + typed.account.text;
             }
         },
-        wanted);
+        requested);
 }
 
 json object_document(const fleet_config& config, const std::string& touched)
@@ -318,10 +317,10 @@
     return {};
 }
 
-void apply_intent(fleet_config& config, const intent& wanted, std::uint64_t unix_s)
+void apply_intent(fleet_config& config, const intent& requested, std::uint64_t unix_s)
 {
     try {
-        std::visit(intent_applier{config, unix_s}, wanted);
+        std::visit(intent_applier{config, unix_s}, requested);
     } catch (const json::exception& fault) {
         fail_at(step, "document", fault.what());
     }
--- a/src/intents.h
+++ b/src/intents.h
@@ -81,7 +81,7 @@
 intent parse_intent(const nlohmann::json& value);
 
 /** The one object that the intent changes, such as `server e1` or `client_account a`. */
-std::string touched_object(const intent& wanted);
+std::string touched_object(const intent& requested);
 
 /** The object's state as a document, null if it does not exist. The document of a service excludes
  * its servers. */
@@ -89,6 +89,6 @@
 
 /** Applies the intent to the configuration. \throws user_error when it does not fit, such as when
  * it names an unknown object. */
-void apply_intent(fleet_config& config, const intent& wanted, std::uint64_t unix_s);
+void apply_intent(fleet_config& config, const intent& requested, std::uint64_t unix_s);
 
 } // namespace worksshift
--- a/src/json_reader.cpp
+++ b/src/json_reader.cpp
@@ -43,7 +43,7 @@
 
 const json* json_reader::find_field(const char* name, bool optional)
 {
-    this->seen.insert(name);
+    this->read_fields.insert(name);
     const auto found = this->value.find(name);
     if (found != this->value.end()) return &*found;
     if (!optional) this->fail(name, "is missing");
@@ -63,33 +63,33 @@
 {
     const json* field = this->find_field(name, fallback.has_value());
     if (field == nullptr) return fallback.value_or(0);
-    const bool fits =
+    const bool valid =
         field->is_number() && field->get<double>() >= low && field->get<double>() <= high;
-    if (!fits) {
+    if (!valid) {
         this->fail(name, "must be a number from " + json(low).dump() + " to " + json(high).dump() +
                              ", is " + field->dump());
     }
     return field->get<double>();
 }
 
-std::uint64_t json_reader::whole(const char* name, std::uint64_t low, std::uint64_t high,
-                                 std::optional<std::uint64_t> fallback)
+std::uint64_t json_reader::integer(const char* name, std::uint64_t low, std::uint64_t high,
+                                   std::optional<std::uint64_t> fallback)
 {
     const json* field = this->find_field(name, fallback.has_value());
     if (field == nullptr) return fallback.value_or(0);
-    const bool fits = field->is_number_unsigned() && field->get<std::uint64_t>() >= low &&
-                      field->get<std::uint64_t>() <= high;
-    if (!fits) {
+    const bool valid = field->is_number_unsigned() && field->get<std::uint64_t>() >= low &&
+                       field->get<std::uint64_t>() <= high;
+    if (!valid) {
         this->fail(name, "must be a whole number from " + std::to_string(low) + " to " +
                              std::to_string(high) + ", is " + field->dump());
     }
     return field->get<std::uint64_t>();
 }
 
-std::uint32_t json_reader::whole32(const char* name, std::uint32_t low, std::uint32_t high,
-                                   std::optional<std::uint32_t> fallback)
+std::uint32_t json_reader::integer32(const char* name, std::uint32_t low, std::uint32_t high,
+                                     std::optional<std::uint32_t> fallback)
 {
-    return static_cast<std::uint32_t>(this->whole(name, low, high, fallback));
+    return static_cast<std::uint32_t>(this->integer(name, low, high, fallback));
 }
 
 bool json_reader::flag(const char* name, bool fallback)
@@ -110,9 +110,9 @@
 std::vector<std::string> json_reader::names(const char* name)
 {
     std::vector<std::string> result;
-    for (const json& item : this->list(name)) {
-        if (!item.is_string()) this->fail(name, "must hold strings, holds " + item.dump());
-        result.push_back(item.get<std::string>());
+    for (const json& element : this->list(name)) {
+        if (!element.is_string()) this->fail(name, "must hold strings, holds " + element.dump());
+        result.push_back(element.get<std::string>());
     }
     return result;
 }
@@ -127,7 +127,7 @@
 void json_reader::finish() const
 {
     for (const auto& [name, field] : this->value.items()) {
-        if (!this->seen.contains(name)) this->fail(name, "is not a known field");
+        if (!this->read_fields.contains(name)) this->fail(name, "is not a known field");
     }
 }
 
--- a/src/json_reader.h
+++ b/src/json_reader.h
@@ -18,8 +18,9 @@
 
 namespace worksshift {
 
-/** Reads the fields of one object. A field without \p fallback is required. All calls throw
- * user_error with the step and the field's path. */
+/** Reads the fields of one object. Numbers must be in the range from \p low to \p high. A field
+ * without \p fallback is required. All calls throw user_error with the step and the field's path.
+ */
 class json_reader {
 public:
     /** \p step names what is read, such as `configuration`; \p path locates the object within it.
@@ -29,10 +30,10 @@
     std::string text(const char* name, const std::optional<std::string>& fallback = std::nullopt);
     double number(const char* name, double low, double high,
                   std::optional<double> fallback = std::nullopt);
-    std::uint64_t whole(const char* name, std::uint64_t low, std::uint64_t high,
-                        std::optional<std::uint64_t> fallback = std::nullopt);
-    std::uint32_t whole32(const char* name, std::uint32_t low, std::uint32_t high,
-                          std::optional<std::uint32_t> fallback = std::nullopt);
+    std::uint64_t integer(const char* name, std::uint64_t low, std::uint64_t high,
+                          std::optional<std::uint64_t> fallback = std::nullopt);
+    std::uint32_t integer32(const char* name, std::uint32_t low, std::uint32_t high,
+                            std::optional<std::uint32_t> fallback = std::nullopt);
     bool flag(const char* name, bool fallback);
     const nlohmann::json& list(const char* name);
     std::vector<std::string> names(const char* name);
@@ -52,7 +53,7 @@
     const nlohmann::json& value;
     std::string step;
     std::string path;
-    std::set<std::string> seen;
+    std::set<std::string> read_fields;
 };
 
 /** \throws user_error when the text is not JSON. */
