--- a/src/plans.cpp
+++ b/src/plans.cpp
@@ -42,96 +42,99 @@
                            });
 }
 
-void describe_capacity(const fleet_config& before, const fleet_config& after, plan& item)
+void describe_capacity(const fleet_config& before, const fleet_config& after, plan& result)
 {
     for (const service_config& service : after.services) {
         const service_config* old = before.find_service(service.id);
         const std::uint32_t old_capacity = old == nullptr ? 0 : capacity(*old);
         const std::uint32_t new_capacity = capacity(service);
         if (old_capacity == new_capacity) continue;
-        item.effect += "capacity of " + service.id.text + " from " + std::to_string(old_capacity) +
-                       " to " + std::to_string(new_capacity) + " requests; ";
+        result.effect += "capacity of " + service.id.text + " from " +
+                         std::to_string(old_capacity) + " to " + std::to_string(new_capacity) +
+                         " requests; ";
         if (new_capacity == 0)
-            item.warnings.push_back("no server of " + service.id.text + " would be left");
+            result.warnings.push_back("no server of " + service.id.text + " would be left");
         if (new_capacity * 4 < old_capacity * 3) {
-            item.warnings.push_back("the rest of " + service.id.text +
-                                    " loses more than a quarter of its capacity");
+            result.warnings.push_back("service " + service.id.text +
+                                      " loses more than a quarter of its capacity");
         }
     }
 }
 
 /** Describes changes of the serving version, and warns if no engine was ordered to load
  * it before. */
-void describe_versions(const fleet_config& before, const fleet_config& after, plan& item)
+void describe_versions(const fleet_config& before, const fleet_config& after, plan& result)
 {
     for (const service_config& service : after.services) {
         const service_config* old = before.find_service(service.id);
         if (old == nullptr || old->serving == service.serving) continue;
-        const bool known = std::ranges::find(old->versions, service.serving) != old->versions.end();
-        item.effect += "each engine of " + service.id.text + " serves by " + service.serving +
-                       " as soon as it has it loaded; ";
-        if (!known) {
-            item.warnings.push_back("no engine of " + service.id.text + " was told to load " +
-                                    service.serving + " before");
+        const bool load_ordered =
+            std::ranges::find(old->versions, service.serving) != old->versions.end();
+        result.effect += "each engine of " + service.id.text + " serves " + service.serving +
+                         " as soon as it has loaded it; ";
+        if (!load_ordered) {
+            result.warnings.push_back("no engine of " + service.id.text + " was ordered to load " +
+                                      service.serving + " before");
         }
     }
 }
 
 /** Applies the intent and validates the whole result by serialising and parsing it. */
-fleet_config config_after(const fleet_config& config, const intent& wanted, std::uint64_t unix_s)
+fleet_config config_after(const fleet_config& config, const intent& requested, std::uint64_t unix_s)
 {
     fleet_config next = config;
-    apply_intent(next, wanted, unix_s);
+    apply_intent(next, requested, unix_s);
     ++next.revision;
     return parse_fleet_config(write_changed_config(next, config), &config);
 }
 
 } // namespace
 
-plan make_plan(const fleet_config& config, const json& wanted, std::string id, std::string who,
-               std::uint64_t unix_s)
+plan make_plan(const fleet_config& config, const json& intent_document, std::string id,
+               std::string who, std::uint64_t unix_s)
 {
-    const intent parsed = parse_intent(wanted);
-    plan item;
-    item.id = std::move(id);
-    item.who = std::move(who);
-    item.base_revision = config.revision;
-    item.created_at_s = unix_s;
-    item.wanted = wanted;
-    item.touches = touched_object(parsed);
+    const intent parsed = parse_intent(intent_document);
+    plan result;
+    result.id = std::move(id);
+    result.who = std::move(who);
+    result.base_revision = config.revision;
+    result.created_at_s = unix_s;
+    result.intent_document = intent_document;
+    result.touches = touched_object(parsed);
     const fleet_config next = config_after(config, parsed, unix_s);
-    item.before = object_document(config, item.touches);
-    describe_changes(item.before, object_document(next, item.touches), item.touches, item.changes);
-    if (item.changes.empty()) item.warnings.emplace_back("nothing would change");
-    describe_capacity(config, next, item);
-    describe_versions(config, next, item);
-    return item;
+    result.before = object_document(config, result.touches);
+    describe_changes(result.before, object_document(next, result.touches), result.touches,
+                     result.changes);
+    if (result.changes.empty()) result.warnings.emplace_back("nothing would change");
+    describe_capacity(config, next, result);
+    describe_versions(config, next, result);
+    return result;
 }
 
-fleet_config apply_plan(const fleet_config& config, const plan& item, std::uint64_t unix_s)
+fleet_config apply_plan(const fleet_config& config, const plan& confirmed, std::uint64_t unix_s)
 {
-    if (item.created_at_s + plan_lifetime_s < unix_s) {
-        throw user_error("expired", item.id, "the plan is older than an hour; make a new one");
+    if (confirmed.created_at_s + plan_lifetime_s < unix_s) {
+        throw user_error("expired", confirmed.id, "the plan is older than an hour; make a new one");
     }
-    const json now = object_document(config, item.touches);
-    if (now != item.before) {
-        throw user_error("conflict", item.id,
-                         item.touches + " changed since revision " +
-                             std::to_string(item.base_revision) + "; it is now " +
-                             (now.is_null() ? "(none)" : now.dump()) + " at revision " +
+    const json current = object_document(config, confirmed.touches);
+    if (current != confirmed.before) {
+        throw user_error("conflict", confirmed.id,
+                         confirmed.touches + " changed since revision " +
+                             std::to_string(confirmed.base_revision) + "; it is now " +
+                             (current.is_null() ? "(none)" : current.dump()) + " at revision " +
                              std::to_string(config.revision));
     }
-    fleet_config next = config_after(config, parse_intent(item.wanted), unix_s);
-    next.plans.push_back(item.id);
+    fleet_config next = config_after(config, parse_intent(confirmed.intent_document), unix_s);
+    next.plans.push_back(confirmed.id);
     if (next.plans.size() > max_plans_in_manifest) next.plans.erase(next.plans.begin());
     return next;
 }
 
-json undo_intent(const plan& item)
+json undo_intent(const plan& applied)
 {
-    json wanted{{"kind", "restore_object"}, {"touched", item.touches}};
-    if (!item.before.is_null()) wanted["document"] = item.before;
-    return wanted;
+    json restore{{"kind", "restore_object"}, {"touched", applied.touches}};
+    if (!applied.before.is_null()) restore["document"] = applied.before;
+    return restore;
 }
 
 bool is_applied(const std::vector<std::string>& plans, const std::string& id)
@@ -139,18 +142,18 @@
     return std::ranges::find(plans, id) != plans.end();
 }
 
-json write_plan(const plan& item)
+json write_plan(const plan& source)
 {
-    return {{"id", item.id},
-            {"base_revision", item.base_revision},
-            {"created_at_s", item.created_at_s},
-            {"who", item.who},
-            {"intent", item.wanted},
-            {"touches", item.touches},
-            {"before", item.before},
-            {"changes", item.changes},
-            {"warnings", item.warnings},
-            {"effect", item.effect}};
+    return {{"id", source.id},
+            {"base_revision", source.base_revision},
+            {"created_at_s", source.created_at_s},
+            {"who", source.who},
+            {"intent", source.intent_document},
+            {"touches", source.touches},
+            {"before", source.before},
+            {"changes", source.changes},
+            {"warnings", source.warnings},
+            {"effect", source.effect}};
 }
 
 plan parse_plan(const std::string& text)
