--- a/src/admin_api.cpp
+++ b/src/admin_api.cpp
@@ -23,18 +23,18 @@
 
 std::uint64_t unix_seconds()
 {
-    const auto since = std::chrono::system_clock::now().time_since_epoch();
-    return static_cast<std::uint64_t>(std::chrono::duration_cast<seconds>(since).count());
+    const auto since_epoch = std::chrono::system_clock::now().time_since_epoch();
+    return static_cast<std::uint64_t>(std::chrono::duration_cast<seconds>(since_epoch).count());
 }
 
 void reply(evhttp_request* request, int status, const json& body)
 {
-    event_ptr<evbuffer> text(evbuffer_new());
-    const std::string dumped = body.dump(2, ' ', false, json::error_handler_t::replace) + "\n";
-    evbuffer_add(text.get(), dumped.data(), dumped.size());
+    event_ptr<evbuffer> buffer(evbuffer_new());
+    const std::string serialized = body.dump(2, ' ', false, json::error_handler_t::replace) + "\n";
+    evbuffer_add(buffer.get(), serialized.data(), serialized.size());
     evhttp_add_header(evhttp_request_get_output_headers(request), "Content-Type",
                       "application/json");
-    evhttp_send_reply(request, status, nullptr, text.get());
+    evhttp_send_reply(request, status, nullptr, buffer.get());
 }
 
 json error_body(const std::string& code, const std::string& why, const std::string& step)
@@ -113,8 +113,8 @@
 
 } // namespace
 
-/** A request that waits for the platform; its caller may disconnect in the meantime. */
-struct admin_api::call {
+/** A request whose reply waits for the platform; its caller may disconnect in the meantime. */
+struct admin_api::pending_request {
     evhttp_request* request = nullptr;
     evhttp_connection* connection = nullptr;
     bool caller_gone = false;
@@ -152,10 +152,10 @@
         evhttp_find_header(evhttp_request_get_input_headers(request), "Authorization");
     constexpr std::string_view bearer = "Bearer ";
     if (value == nullptr || !std::string_view(value).starts_with(bearer)) return nullptr;
-    const std::string given = sha256_hex(std::string_view(value).substr(bearer.size()));
-    const auto found = std::ranges::find_if(this->tokens, [&](const operator_token& token) {
-        const std::string held = sha256_hex(token.token);
-        return CRYPTO_memcmp(held.data(), given.data(), held.size()) == 0;
+    const std::string presented = sha256_hex(std::string_view(value).substr(bearer.size()));
+    const auto found = std::ranges::find_if(this->tokens, [&](const operator_token& candidate) {
+        const std::string expected = sha256_hex(candidate.token);
+        return CRYPTO_memcmp(expected.data(), presented.data(), expected.size()) == 0;
     });
     return found == this->tokens.end() ? nullptr : &*found;
 }
@@ -164,29 +164,29 @@
 {
     const std::string path = evhttp_request_get_uri(request);
     const bool post = evhttp_request_get_command(request) == EVHTTP_REQ_POST;
-    const operator_token* who = this->authenticate(request);
+    const operator_token* token = this->authenticate(request);
     log_event(log_level::info, "admin_call",
-              {{"who", who == nullptr ? "unknown" : who->name},
+              {{"who", token == nullptr ? "unknown" : token->name},
                {"method", post ? "POST" : "GET"},
                {"path", path}});
-    if (who == nullptr) {
+    if (token == nullptr) {
         reply(request, 401,
               error_body("unknown_token", "give an operator's token", "authenticate"));
         return;
     }
-    if (post && who->allowed != role::operating) {
+    if (post && token->allowed != role::operating) {
         reply(request, 403, error_body("viewer", "a viewer cannot change anything", "authorize"));
         return;
     }
-    this->route(request, path, *who);
+    this->route(request, path, *token);
 }
 
-void admin_api::route(evhttp_request* request, const std::string& path, const operator_token& who)
+void admin_api::route(evhttp_request* request, const std::string& path, const operator_token& token)
 {
     const bool post = evhttp_request_get_command(request) == EVHTTP_REQ_POST;
     const bool plan_path = path.starts_with(plan_prefix);
     if (post && path == "/admin/plans") {
-        this->create_plan(request, who);
+        this->create_plan(request, token);
     } else if (post && path == "/admin/bootstrap") {
         this->bootstrap(request);
     } else if (post && plan_path && path.ends_with(confirm_suffix)) {
@@ -206,166 +206,173 @@
     }
 }
 
-admin_api::call_ptr admin_api::start_call(evhttp_request* request)
+admin_api::pending_ptr admin_api::defer_reply(evhttp_request* request)
 {
-    auto item = std::make_shared<call>();
-    item->request = request;
-    item->connection = evhttp_request_get_connection(request);
+    auto pending = std::make_shared<pending_request>();
+    pending->request = request;
+    pending->connection = evhttp_request_get_connection(request);
     const auto closed = [](evhttp_connection*, void* context) {
-        static_cast<call*>(context)->caller_gone = true;
+        static_cast<pending_request*>(context)->caller_gone = true;
     };
-    evhttp_connection_set_closecb(item->connection, closed, item.get());
-    return item;
+    evhttp_connection_set_closecb(pending->connection, closed, pending.get());
+    return pending;
 }
 
-void admin_api::finish(const call_ptr& item, int status, const json& body)
+void admin_api::finish(const pending_ptr& pending, int status, const json& body)
 {
-    if (item->caller_gone) {
-        if (evhttp_request_get_connection(item->request) == nullptr) {
-            evhttp_request_free(item->request);
+    if (pending->caller_gone) {
+        if (evhttp_request_get_connection(pending->request) == nullptr) {
+            evhttp_request_free(pending->request);
         }
         return;
     }
-    evhttp_connection_set_closecb(item->connection, nullptr, nullptr);
-    reply(item->request, status, body);
+    evhttp_connection_set_closecb(pending->connection, nullptr, nullptr);
+    reply(pending->request, status, body);
 }
 
-void admin_api::finish_change(const call_ptr& item, const std::string& plan_id,
+void admin_api::finish_change(const pending_ptr& pending, const std::string& plan_id,
                               const change_result& result)
 {
     if (result.state == change_state::accepted) {
-        finish(item, 200, {{"plan", plan_id}, {"applied", true}, {"revision", result.revision}});
+        finish(pending, 200, {{"plan", plan_id}, {"applied", true}, {"revision", result.revision}});
     } else {
-        finish(item, http_status(result.state),
+        finish(pending, http_status(result.state),
                error_body(change_code(result.state), result.why, result.step));
     }
 }
 
-void admin_api::read_plan(const call_ptr& item, const std::string& id,
+void admin_api::read_plan(const pending_ptr& pending, const std::string& id,
                           const std::function<void(const plan&)>& then)
 {
-    this->platform.run({0, plan_object(id), false, 0, {}}, [item, id,
+    this->platform.run({0, plan_object(id), false, 0, {}}, [pending, id,
                                                             then](const object_result& r) {
         if (r.status == object_status::missing) {
-            finish(item, 404, error_body("unknown_plan", "there is no plan " + id, "read plan"));
+            finish(pending, 404, error_body("unknown_plan", "there is no plan " + id, "read plan"));
             return;
         }
         if (r.status != object_status::ok) {
-            finish(item, 503, error_body("platform", "the platform did not answer", "read plan"));
+            finish(pending, 503,
+                   error_body("platform", "the platform did not answer", "read plan"));
             return;
         }
         try {
             then(parse_plan(r.value));
         } catch (const user_error& fault) {
-            finish(item, 500, error_body("bad_plan", fault.what(), fault.step));
+            finish(pending, 500, error_body("bad_plan", fault.what(), fault.step));
         }
     });
 }
 
-void admin_api::create_plan(evhttp_request* request, const operator_token& who)
+void admin_api::create_plan(evhttp_request* request, const operator_token& token)
 {
-    const call_ptr item = start_call(request);
+    const pending_ptr pending = defer_reply(request);
     if (this->core.config().config == nullptr) {
-        finish(item, 503, error_body("no_configuration", "there is no configuration yet", "plan"));
+        finish(pending, 503,
+               error_body("no_configuration", "there is no configuration yet", "plan"));
         return;
     }
-    const json wanted =
+    const json intent_document =
         json::parse(read_all(evhttp_request_get_input_buffer(request)), nullptr, false);
-    const bool rollback = wanted.is_object() && wanted.value("kind", json()) == "rollback" &&
-                          wanted.value("plan", json()).is_string();
+    const bool rollback = intent_document.is_object() &&
+                          intent_document.value("kind", json()) == "rollback" &&
+                          intent_document.value("plan", json()).is_string();
     if (rollback) {
-        this->plan_rollback(item, wanted["plan"].get<std::string>(), who.name);
+        this->plan_rollback(pending, intent_document["plan"].get<std::string>(), token.name);
     } else {
-        this->store_plan(item, wanted, who.name);
+        this->store_plan(pending, intent_document, token.name);
     }
 }
 
-void admin_api::plan_rollback(const call_ptr& item, const std::string& plan_id,
-                              const std::string& who)
+void admin_api::plan_rollback(const pending_ptr& pending, const std::string& plan_id,
+                              const std::string& operator_name)
 {
-    this->read_plan(item, plan_id, [this, item, who](const plan& earlier) {
+    this->read_plan(pending, plan_id, [this, pending, operator_name](const plan& earlier) {
         if (!is_applied(this->core.config().config->plans, earlier.id)) {
             finish(
-                item, 409,
+                pending, 409,
                 error_body("not_applied", "plan " + earlier.id + " is not in force", "rollback"));
             return;
         }
-        this->store_plan(item, undo_intent(earlier), who);
+        this->store_plan(pending, undo_intent(earlier), operator_name);
     });
 }
 
-void admin_api::store_plan(const call_ptr& item, const json& wanted, const std::string& who)
+void admin_api::store_plan(const pending_ptr& pending, const json& intent_document,
+                           const std::string& operator_name)
 {
-    plan made;
+    plan created;
     try {
-        made = make_plan(*this->core.config().config, wanted, make_id(), who, unix_seconds());
+        created = make_plan(*this->core.config().config, intent_document, make_id(), operator_name,
+                            unix_seconds());
     } catch (const user_error& fault) {
-        finish(item, 400, error_body("bad_intent", fault.what(), fault.step));
+        finish(pending, 400, error_body("bad_intent", fault.what(), fault.step));
         return;
     }
-    const json document = write_plan(made);
-    const object_call write{0, plan_object(made.id), true, 0, document.dump()};
-    this->platform.run(write, [item, document](const object_result& result) {
+    const json document = write_plan(created);
+    const object_call write{0, plan_object(created.id), true, 0, document.dump()};
+    this->platform.run(write, [pending, document](const object_result& result) {
         if (result.status == object_status::ok) {
-            finish(item, 201, document);
+            finish(pending, 201, document);
         } else {
-            finish(item, 503, error_body("platform", "the plan could not be stored", "store plan"));
+            finish(pending, 503,
+                   error_body("platform", "the plan could not be stored", "store plan"));
         }
     });
 }
 
 void admin_api::show_plan(evhttp_request* request, const std::string& id)
 {
-    const call_ptr item = start_call(request);
-    this->read_plan(item, id, [this, item](const plan& found) {
+    const pending_ptr pending = defer_reply(request);
+    this->read_plan(pending, id, [this, pending](const plan& found) {
         json body = write_plan(found);
         const auto& config = this->core.config().config;
         body["applied"] = config != nullptr && is_applied(config->plans, found.id);
-        finish(item, 200, body);
+        finish(pending, 200, body);
     });
 }
 
 void admin_api::show_history(evhttp_request* request)
 {
-    const call_ptr item = start_call(request);
+    const pending_ptr pending = defer_reply(request);
     std::vector<std::string> ids;
     if (this->core.config().config != nullptr) ids = this->core.config().config->plans;
     if (ids.size() > max_history_entries) {
         ids.erase(ids.begin(), ids.end() - static_cast<std::ptrdiff_t>(max_history_entries));
     }
-    this->add_history(item, std::move(ids), json::array());
+    this->add_history(pending, std::move(ids), json::array());
 }
 
 /** Reads the plans sequentially, the newest first, and replies when all have been read. */
-void admin_api::add_history(const call_ptr& item, std::vector<std::string> ids, const json& shown)
+void admin_api::add_history(const pending_ptr& pending, std::vector<std::string> ids,
+                            const json& plans)
 {
     if (ids.empty()) {
-        finish(item, 200, shown);
+        finish(pending, 200, plans);
         return;
     }
     const std::string id = ids.back();
     ids.pop_back();
-    this->read_plan(item, id, [this, item, ids, shown](const plan& found) {
-        json more = shown;
-        more.push_back({{"plan", found.id},
-                        {"who", found.who},
-                        {"created_at_s", found.created_at_s},
-                        {"changes", found.changes}});
-        this->add_history(item, ids, more);
+    this->read_plan(pending, id, [this, pending, ids, plans](const plan& found) {
+        json extended = plans;
+        extended.push_back({{"plan", found.id},
+                            {"who", found.who},
+                            {"created_at_s", found.created_at_s},
+                            {"changes", found.changes}});
+        this->add_history(pending, ids, extended);
     });
 }
 
 void admin_api::confirm_plan(evhttp_request* request, const std::string& id)
 {
-    const call_ptr item = start_call(request);
-    this->writer.confirm(id, unix_seconds(), [item, id](const change_result& result) {
-        finish_change(item, id, result);
+    const pending_ptr pending = defer_reply(request);
+    this->writer.confirm(id, unix_seconds(), [pending, id](const change_result& result) {
+        finish_change(pending, id, result);
     });
 }
 
 void admin_api::bootstrap(evhttp_request* request)
 {
-    const call_ptr item = start_call(request);
+    const pending_ptr pending = defer_reply(request);
     const std::string text = read_all(evhttp_request_get_input_buffer(request));
     fleet_config first;
     try {
@@ -373,7 +380,7 @@
         const json manifest{{"revision", 1}, {"shards", {name}}};
         first = parse_fleet_config({manifest.dump(), {{name, text}}});
     } catch (const user_error& fault) {
-        finish(item, 400, error_body("bad_configuration", fault.what(), fault.step));
+        finish(pending, 400, error_body("bad_configuration", fault.what(), fault.step));
         return;
     }
     // The single uploaded document is split into one shard for each bucket of accounts.
@@ -382,14 +389,14 @@
         std::ranges::copy(bucket->accounts, std::back_inserter(accounts));
     first.accounts.assign(std::move(accounts));
     this->writer.bootstrap(
-        first, [item](const change_result& result) { finish_change(item, {}, result); });
+        first, [pending](const change_result& result) { finish_change(pending, {}, result); });
 }
 
 void admin_api::show_status(evhttp_request* request)
 {
     const tables& t = this->core.data();
     // The revision that the last tick applied and that serves callers. Newer documents may already
-    // be held.
+    // have been received.
     const std::uint64_t in_force = t.config->revision;
     json vms = json::array();
     vms.push_back({{"vm", t.self.text},
--- a/src/admin_api.h
+++ b/src/admin_api.h
@@ -1,5 +1,6 @@
 /** \file
- * The administration API over HTTP (docs/admin-api.md): plans, confirmation, history, status.
+ * The administration API over HTTP (docs/admin-api.md): plans, their confirmation and history, the
+ * status and the configuration.
  *
  * Any VM can serve it. It reports the state as this VM sees it; changes go through config_writer.h.
  */
@@ -32,29 +33,31 @@
         role allowed = role::none;
         std::string token;
     };
-    struct call;
-    using call_ptr = std::shared_ptr<call>;
+    struct pending_request;
+    using pending_ptr = std::shared_ptr<pending_request>;
 
     void handle_request(evhttp_request* request);
-    void route(evhttp_request* request, const std::string& path, const operator_token& who);
+    void route(evhttp_request* request, const std::string& path, const operator_token& token);
     [[nodiscard]] const operator_token* authenticate(evhttp_request* request) const;
-    void create_plan(evhttp_request* request, const operator_token& who);
-    void plan_rollback(const call_ptr& item, const std::string& plan_id, const std::string& who);
-    void store_plan(const call_ptr& item, const nlohmann::json& wanted, const std::string& who);
+    void create_plan(evhttp_request* request, const operator_token& token);
+    void plan_rollback(const pending_ptr& pending, const std::string& plan_id,
+                       const std::string& operator_name);
+    void store_plan(const pending_ptr& pending, const nlohmann::json& intent_document,
+                    const std::string& operator_name);
     void show_plan(evhttp_request* request, const std::string& id);
     void show_history(evhttp_request* request);
-    void add_history(const call_ptr& item, std::vector<std::string> ids,
-                     const nlohmann::json& shown);
+    void add_history(const pending_ptr& pending, std::vector<std::string> ids,
+                     const nlohmann::json& plans);
     void confirm_plan(evhttp_request* request, const std::string& id);
     void bootstrap(evhttp_request* request);
     void show_status(evhttp_request* request);
     void show_config(evhttp_request* request);
 
-    static call_ptr start_call(evhttp_request* request);
-    static void finish(const call_ptr& item, int status, const nlohmann::json& body);
-    static void finish_change(const call_ptr& item, const std::string& plan_id,
+    static pending_ptr defer_reply(evhttp_request* request);
+    static void finish(const pending_ptr& pending, int status, const nlohmann::json& body);
+    static void finish_change(const pending_ptr& pending, const std::string& plan_id,
                               const change_result& result);
-    void read_plan(const call_ptr& item, const std::string& id,
+    void read_plan(const pending_ptr& pending, const std::string& id,
                    const std::function<void(const plan&)>& then);
 
     const settings& options;
