--- a/src/shard_fetcher.h
+++ b/src/shard_fetcher.h
@@ -25,24 +25,25 @@
     /** Receives std::nullopt if a shard could not be read; the fetch may be retried later. */
     using handler = std::function<void(std::optional<config_documents>)>;
 
-    shard_fetcher(platform_client& platform, const config_state& held)
-        : platform(platform), held(held)
+    shard_fetcher(platform_client& platform, const config_state& local)
+        : platform(platform), local(local)
     {
     }
 
-    /** Fetches the documents, except for shards that are already held. */
-    void fetch(const std::string& manifest, const parsed_manifest& head, handler done);
+    /** Fetches the shards that this VM does not hold. \p manifest is the parsed form of
+     * \p manifest_text. */
+    void fetch(const std::string& manifest_text, const parsed_manifest& manifest, handler done);
 
 private:
-    struct job;
+    struct pending_fetch;
 
-    void start_next(const std::shared_ptr<job>& item);
-    void handle_shard(const std::shared_ptr<job>& item, const std::string& name,
+    void start_next(const std::shared_ptr<pending_fetch>& pending);
+    void handle_shard(const std::shared_ptr<pending_fetch>& pending, const std::string& name,
                       const object_result& result);
-    void finish(const std::shared_ptr<job>& item);
+    void finish(const std::shared_ptr<pending_fetch>& pending);
 
     platform_client& platform;
-    const config_state& held;
+    const config_state& local;
     shard_map fetched; ///< shards of a configuration that is not complete yet
 };
 
--- a/src/sync_config.cpp
+++ b/src/sync_config.cpp
@@ -14,19 +14,20 @@
 constexpr std::uint64_t watcher_key = 0x636f6e666967ULL;
 
 /** Whether every shard that the manifest names was received or is already held. */
-bool has_all_shards(const parsed_manifest& head, const shard_map& received, const shard_map& held)
+bool has_all_shards(const parsed_manifest& manifest, const shard_map& received,
+                    const shard_map& held)
 {
-    return std::ranges::all_of(head.shards, [&](const std::string& name) {
+    return std::ranges::all_of(manifest.shards, [&](const std::string& name) {
         return held.contains(name) || received.contains(name);
     });
 }
 
 /** The documents of the shards that the manifest names. They are moved out of \p held where
  * present, otherwise out of \p received, so that a change copies no shard. */
-shard_map collect_shards(const parsed_manifest& head, shard_map& held, shard_map& received)
+shard_map collect_shards(const parsed_manifest& manifest, shard_map& held, shard_map& received)
 {
     shard_map shards;
-    for (const std::string& name : head.shards) {
+    for (const std::string& name : manifest.shards) {
         shard_map& source = held.contains(name) ? held : received;
         shards.insert(source.extract(name));
     }
@@ -38,17 +39,17 @@
 offer_result offer_config(config_state& state, config_documents documents)
 {
     try {
-        const parsed_manifest head = parse_manifest(documents.manifest);
-        if (head.revision < state.revision()) {
+        const parsed_manifest manifest = parse_manifest(documents.manifest);
+        if (manifest.revision < state.revision()) {
             ++state.lower_revisions_seen;
             return offer_result::lower;
         }
-        if (head.revision == state.revision()) return offer_result::same;
+        if (manifest.revision == state.revision()) return offer_result::same;
         shard_map& held = state.documents.shards;
-        if (!has_all_shards(head, documents.shards, held)) return offer_result::incomplete;
+        if (!has_all_shards(manifest, documents.shards, held)) return offer_result::incomplete;
         state.config =
             std::make_shared<const fleet_config>(parse_fleet_config(documents, state.config.get()));
-        documents.shards = collect_shards(head, held, documents.shards);
+        documents.shards = collect_shards(manifest, held, documents.shards);
         state.documents = std::move(documents);
         return offer_result::applied;
     } catch (const user_error& fault) {
--- a/src/sync_config.h
+++ b/src/sync_config.h
@@ -26,8 +26,8 @@
     std::shared_ptr<const fleet_config> config;
     /** Number of lower revisions offered, such as by a platform restored from a backup. */
     std::uint64_t lower_revisions_seen = 0;
-    std::uint64_t invalid_documents_seen =
-        0; ///< number of offers with documents that failed to parse
+    /** Number of offers whose documents were invalid. */
+    std::uint64_t invalid_documents_seen = 0;
     vm_id pull_target;
     instant pull_started_at{};
     std::uint64_t advertised_revision = 0; ///< highest revision advertised by a peer
