--- a/src/platform_client.cpp
+++ b/src/platform_client.cpp
@@ -58,9 +58,9 @@
 
 } // namespace
 
-platform_client::platform_client(event_base* base, http_client& caller, link_address address,
+platform_client::platform_client(event_base* base, http_client& http, link_address address,
                                  double calls_per_second)
-    : caller(caller), address(std::move(address)), calls_per_second(calls_per_second),
+    : http(http), address(std::move(address)), calls_per_second(calls_per_second),
       queue_timer(base, [this] { this->run_queued(); })
 {
 }
@@ -68,15 +68,16 @@
 void platform_client::refill()
 {
     const instant now = std::chrono::steady_clock::now();
-    if (this->budget_at != instant{}) {
-        const double elapsed_s = std::chrono::duration<double>(now - this->budget_at).count();
+    if (this->budget_updated_at != instant{}) {
+        const double elapsed_s =
+            std::chrono::duration<double>(now - this->budget_updated_at).count();
         this->budget =
             std::min(platform_call_burst, this->budget + elapsed_s * this->calls_per_second);
     }
-    this->budget_at = now;
+    this->budget_updated_at = now;
 }
 
-bool platform_client::take_budget()
+bool platform_client::spend_budget()
 {
     this->refill();
     if (this->budget < 1) return false;
@@ -87,7 +88,7 @@
 
 void platform_client::run(const object_call& call, object_handler handler)
 {
-    if (!this->take_budget()) {
+    if (!this->spend_budget()) {
         handler({call.id, object_status::failed, 0, {}});
         return;
     }
@@ -96,20 +97,20 @@
 
 void platform_client::run_when_budget_allows(object_call call, object_handler handler)
 {
-    this->queued.push_back({std::move(call), std::move(handler)});
+    this->bulk_queue.push_back({std::move(call), std::move(handler)});
     this->run_queued();
 }
 
 void platform_client::run_queued()
 {
     this->refill();
-    while (!this->queued.empty() && this->budget >= reserved_platform_calls + 1) {
-        queued_call next = std::move(this->queued.front());
-        this->queued.pop_front();
-        this->take_budget();
+    while (!this->bulk_queue.empty() && this->budget >= reserved_platform_calls + 1) {
+        queued_call next = std::move(this->bulk_queue.front());
+        this->bulk_queue.pop_front();
+        this->spend_budget();
         this->start(next.call, std::move(next.handler));
     }
-    if (!this->queued.empty()) this->queue_timer.start_once(queue_interval);
+    if (!this->bulk_queue.empty()) this->queue_timer.start_once(queue_interval);
 }
 
 void platform_client::start(const object_call& call, object_handler handler)
@@ -119,13 +120,13 @@
     };
     std::string path = object_path(call.name);
     if (call.write) path += "?if_version=" + std::to_string(call.expected_version);
-    this->caller.call(this->address, call.write ? EVHTTP_REQ_PUT : EVHTTP_REQ_GET, path, {},
-                      call.value, {call_timeout}, done);
+    this->http.call(this->address, call.write ? EVHTTP_REQ_PUT : EVHTTP_REQ_GET, path, {},
+                    call.value, {call_timeout}, done);
 }
 
 void platform_client::watch(const std::string& name, std::uint64_t version, object_handler handler)
 {
-    if (!this->take_budget()) {
+    if (!this->spend_budget()) {
         handler({0, object_status::failed, 0, {}});
         return;
     }
@@ -134,13 +135,13 @@
     };
     const std::string path = object_path(name) + "?after=" + std::to_string(version) +
                              "&wait_s=" + std::to_string(watch_timeout_s);
-    this->caller.call(this->address, EVHTTP_REQ_GET, path, {}, {},
-                      {seconds(watch_timeout_s) + call_timeout}, done);
+    this->http.call(this->address, EVHTTP_REQ_GET, path, {}, {},
+                    {seconds(watch_timeout_s) + call_timeout}, done);
 }
 
 void platform_client::list_vms(list_handler handler)
 {
-    if (!this->take_budget()) {
+    if (!this->spend_budget()) {
         handler(std::nullopt);
         return;
     }
@@ -157,20 +158,20 @@
             handler(std::nullopt);
         }
     };
-    this->caller.call(this->address, EVHTTP_REQ_GET, "/v1/vms", {}, {}, {call_timeout}, done);
+    this->http.call(this->address, EVHTTP_REQ_GET, "/v1/vms", {}, {}, {call_timeout}, done);
 }
 
 std::vector<listed_vm> parse_vm_list(const std::string& body)
 {
     std::vector<listed_vm> list;
     try {
-        for (const auto& item : nlohmann::json::parse(body)) {
+        for (const auto& entry : nlohmann::json::parse(body)) {
             listed_vm vm;
-            vm.info.vm.text = item.at("vm");
-            vm.info.data_centre.text = item.at("data_centre");
-            vm.info.address = item.at("address");
-            vm.info.port = item.at("port");
-            vm.leaving = item.value("leaving", false);
+            vm.info.vm.text = entry.at("vm");
+            vm.info.data_centre.text = entry.at("data_centre");
+            vm.info.address = entry.at("address");
+            vm.info.port = entry.at("port");
+            vm.leaving = entry.value("leaving", false);
             list.push_back(std::move(vm));
         }
     } catch (const nlohmann::json::exception& fault) {
--- a/src/platform_client.h
+++ b/src/platform_client.h
@@ -28,7 +28,7 @@
     using list_handler = std::function<void(const std::optional<std::vector<listed_vm>>&)>;
 
     /** \p calls_per_second is the sustained rate of this VM's calls. */
-    platform_client(event_base* base, http_client& caller, link_address address,
+    platform_client(event_base* base, http_client& http, link_address address,
                     double calls_per_second);
 
     /** Reads or writes an object; fails at once if the budget is used up. */
@@ -49,17 +49,17 @@
     };
 
     void refill();
-    bool take_budget();
+    bool spend_budget();
     void run_queued();
     void start(const object_call& call, object_handler handler);
 
-    http_client& caller;
+    http_client& http;
     link_address address;
     double calls_per_second;
     std::uint64_t call_count = 0;
-    double budget = platform_call_burst;
-    instant budget_at{};
-    std::deque<queued_call> queued;
+    double budget = platform_call_burst; ///< calls
+    instant budget_updated_at{};
+    std::deque<queued_call> bulk_queue;
     timer queue_timer;
 };
 
