--- a/src/settings.cpp
+++ b/src/settings.cpp
@@ -85,11 +85,11 @@
         "NAME:viewer|operator:TOKEN,… of the operators");
     add("log-level", options::value<std::string>()->default_value("info"),
         "trace, debug, info, warn, error or off");
-    for (const number_setting& item : number_settings) {
-        const std::string help = std::string(item.help) + " (" + std::to_string(item.low) + " to " +
-                                 std::to_string(item.high) + ")";
-        add(item.name,
-            options::value<std::string>()->default_value(std::to_string(item.default_value)),
+    for (const number_setting& setting : number_settings) {
+        const std::string help = std::string(setting.help) + " (" + std::to_string(setting.low) +
+                                 " to " + std::to_string(setting.high) + ")";
+        add(setting.name,
+            options::value<std::string>()->default_value(std::to_string(setting.default_value)),
             help.c_str());
     }
     return all;
@@ -113,15 +113,15 @@
     return parts;
 }
 
-std::uint32_t parse_number(const number_setting& item, const std::string& text)
+std::uint32_t parse_number(const number_setting& setting, const std::string& text)
 {
     std::uint32_t value = 0;
     const auto [end, fault] = std::from_chars(text.data(), text.data() + text.size(), value);
     const bool valid_number = fault == std::errc{} && end == text.data() + text.size();
-    if (!valid_number || value < item.low || value > item.high) {
+    if (!valid_number || value < setting.low || value > setting.high) {
         throw user_error("settings", "",
-                         std::string(item.name) + "=" + text + " is not a whole number from " +
-                             std::to_string(item.low) + " to " + std::to_string(item.high));
+                         std::string(setting.name) + "=" + text + " is not a whole number from " +
+                             std::to_string(setting.low) + " to " + std::to_string(setting.high));
     }
     return value;
 }
@@ -161,8 +161,8 @@
     result.admin_tokens = split(values["admin-tokens"].as<std::string>());
     check_tokens(result.admin_tokens);
     result.level = parse_log_level(values["log-level"].as<std::string>());
-    for (const number_setting& item : number_settings) {
-        item.apply(result, parse_number(item, values[item.name].as<std::string>()));
+    for (const number_setting& setting : number_settings) {
+        setting.apply(result, parse_number(setting, values[setting.name].as<std::string>()));
     }
     return result;
 }
@@ -171,12 +171,12 @@
 
 settings parse_settings(int count, const char* const* arguments)
 {
-    const parsed_options given = read_options(describe(), count, arguments);
+    const parsed_options parsed = read_options(describe(), count, arguments);
     settings result;
-    if (!given.help) result = read(given.values);
-    result.help = given.help;
-    result.check_only = given.check_only;
-    result.help_text = given.help_text;
+    if (!parsed.help) result = read(parsed.values);
+    result.help = parsed.help;
+    result.check_only = parsed.check_only;
+    result.help_text = parsed.help_text;
     return result;
 }
 
--- a/src/settings.h
+++ b/src/settings.h
@@ -29,9 +29,9 @@
     std::vector<std::string> admin_tokens; ///< NAME:ROLE:TOKEN
     log_level level = log_level::info;
     std::uint32_t stop_deadline_s = 120;
-    std::uint32_t stop_linger_s = 5;          ///< time for which a stopping VM accepts new requests
-    std::uint32_t max_request_body_bytes = 0; ///< of a request; bytes
-    std::uint32_t idle_timeout_s = 0;         ///< of callers' connections
+    std::uint32_t stop_linger_s = 5; ///< time for which a stopping VM accepts new requests
+    std::uint32_t max_request_body_bytes = 0;
+    std::uint32_t idle_timeout_s = 0; ///< of callers' connections
     std::uint32_t default_deadline_ms = 0;
     std::uint32_t server_idle_ms = 0;        ///< silence after which a server is unresponsive
     std::uint32_t platform_calls_per_s = 0;  ///< of this VM, sustained
