--- a/src/chat_directory.cpp
+++ b/src/chat_directory.cpp
@@ -3,17 +3,17 @@
 namespace worksshift {
 
 void chat_directory::record(const service_id& service, chat_key chat, const server_id& server,
-                            instant at)
+                            instant used_at)
 {
-    const key name{service.hash(), chat};
-    if (const auto found = this->index.find(name); found != this->index.end()) {
+    const key id{service.hash(), chat};
+    if (const auto found = this->index.find(id); found != this->index.end()) {
         // A record that another VM sent late must not replace a newer one.
-        if (found->second->used > at) return;
+        if (found->second->used_at > used_at) return;
         this->by_use.erase(found->second);
         this->index.erase(found);
     }
-    this->by_use.push_front({service, chat, server, at});
-    this->index[name] = this->by_use.begin();
+    this->by_use.push_front({service, chat, server, used_at});
+    this->index[id] = this->by_use.begin();
     if (this->index.size() > this->capacity) {
         const entry& oldest = this->by_use.back();
         this->index.erase({oldest.service.hash(), oldest.chat});
@@ -25,7 +25,7 @@
                                               instant now) const
 {
     const auto found = this->index.find({service.hash(), chat});
-    if (found == this->index.end() || now - found->second->used > this->max_age) {
+    if (found == this->index.end() || now - found->second->used_at > this->max_age) {
         return std::nullopt;
     }
     return found->second->server;
@@ -41,7 +41,7 @@
 
 void chat_directory::expire(instant now)
 {
-    while (!this->by_use.empty() && now - this->by_use.back().used > this->max_age) {
+    while (!this->by_use.empty() && now - this->by_use.back().used_at > this->max_age) {
         const entry& oldest = this->by_use.back();
         this->index.erase({oldest.service.hash(), oldest.chat});
         this->by_use.pop_back();
--- a/src/chat_directory.h
+++ b/src/chat_directory.h
@@ -22,8 +22,9 @@
 public:
     chat_directory(std::size_t capacity, duration max_age) : capacity(capacity), max_age(max_age) {}
 
-    /** Records that a turn of the chat went to \p server at \p at, unless a later one is known. */
-    void record(const service_id& service, chat_key chat, const server_id& server, instant at);
+    /** Records that a turn of the chat went to \p server at \p used_at, unless a later turn is
+     * recorded already. */
+    void record(const service_id& service, chat_key chat, const server_id& server, instant used_at);
     /** The server of the chat's latest turn; std::nullopt if there is no entry below the maximum
      * age. */
     [[nodiscard]] std::optional<server_id> find(const service_id& service, chat_key chat,
@@ -33,16 +34,16 @@
     void expire(instant now);
     [[nodiscard]] std::size_t size() const { return this->index.size(); }
 
-    /** Removes and returns the entries for which \p moved holds, to be sent to another VM. */
+    /** Removes and returns the entries that satisfy \p should_extract, to be sent to another VM. */
     template <class Predicate>
-    std::vector<chat_record> extract_if(Predicate moved, instant now);
+    std::vector<chat_record> extract_if(Predicate should_extract, instant now);
 
 private:
     struct entry {
         service_id service;
         chat_key chat{};
         server_id server;
-        instant used{};
+        instant used_at{};
     };
     struct key {
         std::uint64_t service = 0;
@@ -50,9 +51,9 @@
         bool operator==(const key&) const = default;
     };
     struct key_hash {
-        std::size_t operator()(const key& item) const noexcept
+        std::size_t operator()(const key& id) const noexcept
         {
-            return item.service ^ static_cast<std::uint64_t>(item.chat);
+            return id.service ^ static_cast<std::uint64_t>(id.chat);
         }
     };
 
@@ -63,19 +64,19 @@
 };
 
 template <class Predicate>
-std::vector<chat_record> chat_directory::extract_if(Predicate moved, instant now)
+std::vector<chat_record> chat_directory::extract_if(Predicate should_extract, instant now)
 {
     std::vector<chat_record> records;
-    for (auto item = this->by_use.begin(); item != this->by_use.end();) {
-        if (!moved(item->service, item->chat)) {
-            ++item;
+    for (auto position = this->by_use.begin(); position != this->by_use.end();) {
+        if (!should_extract(position->service, position->chat)) {
+            ++position;
             continue;
         }
-        const auto age = std::chrono::duration_cast<seconds>(now - item->used);
-        records.push_back({item->service, item->chat, item->server,
+        const auto age = std::chrono::duration_cast<seconds>(now - position->used_at);
+        records.push_back({position->service, position->chat, position->server,
                            static_cast<std::uint32_t>(std::max<std::int64_t>(0, age.count()))});
-        this->index.erase({item->service.hash(), item->chat});
-        item = this->by_use.erase(item);
+        this->index.erase({position->service.hash(), position->chat});
+        position = this->by_use.erase(position);
     }
     return records;
 }
--- a/src/claims.cpp
+++ b/src/claims.cpp
@@ -15,7 +15,7 @@
 /** Limits the write rate of a bucket, so that 64 busy buckets stay within the platform's rate
  * limit. */
 constexpr duration min_write_interval = milliseconds(150);
-constexpr std::size_t max_queued_items = 4096;
+constexpr std::size_t max_queue_length = 4096;
 
 claim_reply reply_to(const claim_request& request, claim_state state)
 {
@@ -94,8 +94,8 @@
 bool has_queued_outcome(const claim_bucket_row& bucket, const std::string& key,
                         const attempt_id& holder)
 {
-    return std::ranges::any_of(bucket.queue, [&](const queued_claim& item) {
-        const auto* report = std::get_if<claim_outcome>(&item.what);
+    return std::ranges::any_of(bucket.queue, [&](const queued_claim& queued) {
+        const auto* report = std::get_if<claim_outcome>(&queued.message);
         return report != nullptr && report->key == key && report->id == holder;
     });
 }
@@ -103,10 +103,10 @@
 /** Replies to queued claims whose key is already claimed, and drops outcomes that have no claim. */
 void reply_to_queued_claims(tables& t, claim_bucket_row& bucket, std::uint64_t unix_s)
 {
-    std::erase_if(bucket.queue, [&](const queued_claim& item) {
-        const auto* request = std::get_if<claim_request>(&item.what);
+    std::erase_if(bucket.queue, [&](const queued_claim& queued) {
+        const auto* request = std::get_if<claim_request>(&queued.message);
         if (request == nullptr) {
-            const auto& report = std::get<claim_outcome>(item.what);
+            const auto& report = std::get<claim_outcome>(queued.message);
             const claim_slice* slice = find_live_slice(bucket, report.key, unix_s);
             return slice == nullptr || slice->records.at(report.key).holder != report.id;
         }
@@ -115,7 +115,7 @@
         const claim_record& record = slice->records.at(request->key);
         // A caller that retries immediately gets the recorded response instead of `in_doubt`.
         if (has_queued_outcome(bucket, request->key, record.holder)) return false;
-        t.send(item.entry, reply_for_claimed_key(record, *request));
+        t.send(queued.entry, reply_for_claimed_key(record, *request));
         return true;
     });
 }
@@ -127,9 +127,9 @@
 }
 
 /** Whether the item is a claim of an unclaimed key, so that a write may grant it. */
-bool is_new_claim(claim_bucket_row& bucket, const queued_claim& item, std::uint64_t unix_s)
+bool is_new_claim(claim_bucket_row& bucket, const queued_claim& queued, std::uint64_t unix_s)
 {
-    const auto* request = std::get_if<claim_request>(&item.what);
+    const auto* request = std::get_if<claim_request>(&queued.message);
     return request != nullptr && find_live_slice(bucket, request->key, unix_s) == nullptr;
 }
 
@@ -138,8 +138,8 @@
  * claim. */
 std::uint64_t first_outcome_slice(claim_bucket_row& bucket, std::uint64_t unix_s)
 {
-    for (const queued_claim& item : bucket.queue) {
-        const auto* report = std::get_if<claim_outcome>(&item.what);
+    for (const queued_claim& queued : bucket.queue) {
+        const auto* report = std::get_if<claim_outcome>(&queued.message);
         if (report != nullptr) return find_live_slice(bucket, report->key, unix_s)->number;
     }
     return bucket.newest;
@@ -149,34 +149,35 @@
  * queued, otherwise the slice of the first outcome. */
 void prepare_write(claim_bucket_row& bucket, std::uint64_t unix_s)
 {
-    const bool has_new_claims = std::ranges::any_of(
-        bucket.queue, [&](const queued_claim& item) { return is_new_claim(bucket, item, unix_s); });
+    const bool has_new_claims = std::ranges::any_of(bucket.queue, [&](const queued_claim& queued) {
+        return is_new_claim(bucket, queued, unix_s);
+    });
     const std::uint64_t number =
         has_new_claims ? bucket.newest : first_outcome_slice(bucket, unix_s);
     bucket.pending_slice = bucket.slices.at(number);
     std::vector<queued_claim> remaining;
-    for (queued_claim& item : std::exchange(bucket.queue, {})) {
-        if (const auto* request = std::get_if<claim_request>(&item.what)) {
+    for (queued_claim& queued : std::exchange(bucket.queue, {})) {
+        if (const auto* request = std::get_if<claim_request>(&queued.message)) {
             const auto existing = bucket.pending_slice.records.find(request->key);
             const bool duplicate = existing != bucket.pending_slice.records.end() &&
                                    existing->second.claimed_at_s + claim_lifetime_s >= unix_s;
-            if (duplicate || !is_new_claim(bucket, item, unix_s)) {
+            if (duplicate || !is_new_claim(bucket, queued, unix_s)) {
                 // Gets its reply once the earlier claim of the key is stored.
-                remaining.push_back(std::move(item));
+                remaining.push_back(std::move(queued));
                 continue;
             }
             bucket.pending_slice.records[request->key] = {
                 request->id, request->fingerprint, unix_s, false, 0, {}};
-            bucket.in_write.push_back(std::move(item));
+            bucket.in_write.push_back(std::move(queued));
             continue;
         }
-        const auto& report = std::get<claim_outcome>(item.what);
+        const auto& report = std::get<claim_outcome>(queued.message);
         if (find_live_slice(bucket, report.key, unix_s)->number != number) {
-            remaining.push_back(std::move(item));
+            remaining.push_back(std::move(queued));
             continue;
         }
         apply_outcome(bucket.pending_slice.records, report);
-        bucket.in_write.push_back(std::move(item));
+        bucket.in_write.push_back(std::move(queued));
     }
     bucket.queue = std::move(remaining);
 }
@@ -226,10 +227,10 @@
 /** Rejects the queued claims, because the next object of the ring still holds unexpired claims. */
 void reject_queued_claims(tables& t, claim_bucket_row& bucket)
 {
-    std::erase_if(bucket.queue, [&](const queued_claim& item) {
-        const auto* request = std::get_if<claim_request>(&item.what);
+    std::erase_if(bucket.queue, [&](const queued_claim& queued) {
+        const auto* request = std::get_if<claim_request>(&queued.message);
         if (request == nullptr) return false;
-        t.send(item.entry, reply_to(*request, claim_state::unavailable));
+        t.send(queued.entry, reply_to(*request, claim_state::unavailable));
         return true;
     });
 }
@@ -291,9 +292,9 @@
 {
     bucket.pending_slice.version = version;
     bucket.slices[bucket.pending_slice.number] = std::move(bucket.pending_slice);
-    for (const queued_claim& item : std::exchange(bucket.in_write, {})) {
-        if (const auto* request = std::get_if<claim_request>(&item.what)) {
-            t.send(item.entry, reply_to(*request, claim_state::granted));
+    for (const queued_claim& queued : std::exchange(bucket.in_write, {})) {
+        if (const auto* request = std::get_if<claim_request>(&queued.message)) {
+            t.send(queued.entry, reply_to(*request, claim_state::granted));
         }
     }
 }
@@ -357,9 +358,9 @@
                    const tick_time& time)
 {
     bucket.call = 0;
-    const bool answered =
+    const bool succeeded =
         result.status == object_status::ok || result.status == object_status::missing;
-    if (!answered) {
+    if (!succeeded) {
         handle_call_failure(bucket, result.status, time.now);
         return;
     }
@@ -379,24 +380,24 @@
  * it. */
 void expire_queued_items(tables& t, claim_bucket_row& bucket, instant now)
 {
-    std::erase_if(bucket.queue, [&](const queued_claim& item) {
-        const auto* request = std::get_if<claim_request>(&item.what);
-        if (now - item.since < max_claim_wait) return false;
-        if (request == nullptr) return now - item.since > 20 * max_claim_wait;
-        t.send(item.entry, reply_to(*request, claim_state::unavailable));
+    std::erase_if(bucket.queue, [&](const queued_claim& queued) {
+        const auto* request = std::get_if<claim_request>(&queued.message);
+        if (now - queued.queued_at < max_claim_wait) return false;
+        if (request == nullptr) return now - queued.queued_at > 20 * max_claim_wait;
+        t.send(queued.entry, reply_to(*request, claim_state::unavailable));
         return true;
     });
 }
 
-void enqueue(tables& t, const std::string& key, queued_claim item)
+void enqueue(tables& t, const std::string& key, queued_claim queued)
 {
     claim_bucket_row& bucket = t.claims.buckets[claim_bucket(key)];
-    if (bucket.queue.size() < max_queued_items) {
-        bucket.queue.push_back(std::move(item));
+    if (bucket.queue.size() < max_queue_length) {
+        bucket.queue.push_back(std::move(queued));
         return;
     }
-    if (const auto* request = std::get_if<claim_request>(&item.what)) {
-        t.send(item.entry, reply_to(*request, claim_state::unavailable));
+    if (const auto* request = std::get_if<claim_request>(&queued.message)) {
+        t.send(queued.entry, reply_to(*request, claim_state::unavailable));
     }
 }
 
--- a/src/claims.h
+++ b/src/claims.h
@@ -55,8 +55,8 @@
 /** A claim, or the outcome of one, queued for its bucket's next write. */
 struct queued_claim {
     vm_id entry;
-    std::variant<claim_request, claim_outcome> what;
-    instant since{};
+    std::variant<claim_request, claim_outcome> message;
+    instant queued_at{};
 };
 
 /** The purpose of a bucket's call in flight to the platform. */
@@ -80,7 +80,7 @@
     bool head_update_pending = false; ///< the stored head does not name the newest slice yet
     claim_slice pending_slice;        ///< the content of the slice after the write in flight
     std::vector<queued_claim> queue;
-    std::vector<queued_claim> in_write; ///< the items that the write in flight contains
+    std::vector<queued_claim> in_write; ///< those that the write in flight contains
     std::uint64_t call = 0;             ///< id of the call in flight, 0 if none
     claim_step step = claim_step::read_head;
     instant call_started_at{};
