--- a/src/engine_orders.cpp
+++ b/src/engine_orders.cpp
@@ -33,32 +33,33 @@
  * The version is empty if no order is needed. (clang-tidy 16 crashes on a std::optional here.) */
 order_request next_order(const gate_row& gate, const service_config& service)
 {
-    const engine_versions& has = gate.versions;
+    const engine_versions& versions = gate.versions;
     const auto missing = std::ranges::find_if(
-        service.versions, [&](const std::string& version) { return !has.has(version); });
+        service.versions, [&](const std::string& version) { return !versions.has(version); });
     if (missing != service.versions.end()) {
-        return {gate.server, order_kind::load, *missing, has.is_loading(*missing)};
+        return {gate.server, order_kind::load, *missing, versions.is_loading(*missing)};
     }
     if (!service.fenced) return {};
     // A retired version is unloaded only after its running requests have ended.
-    const auto retired = std::ranges::find_if(has.loaded, [&](const std::string& version) {
+    const auto retired = std::ranges::find_if(versions.loaded, [&](const std::string& version) {
         return !contains(service.versions, version) && !has_requests_on(gate, version);
     });
-    if (retired == has.loaded.end()) return {};
+    if (retired == versions.loaded.end()) return {};
     return {gate.server, order_kind::unload, *retired, false};
 }
 
 void apply_requests(tables& t, instant now)
 {
-    for (const auto& [from, wanted] : std::exchange(t.in.order_requests, {})) {
-        order_row& row = t.orders[wanted.server];
-        const bool same = row.wanted.kind == wanted.kind && row.wanted.version == wanted.version;
+    for (const auto& [from, request] : std::exchange(t.in.order_requests, {})) {
+        order_row& row = t.orders[request.server];
+        const bool same =
+            row.request.kind == request.kind && row.request.version == request.version;
         if (!same) row = {};
-        row.wanted = wanted;
+        row.request = request;
         row.requested_at = now;
         // An engine that is already loading received the order earlier, perhaps from the previous
         // holder.
-        if (wanted.already_loading && !row.sent) {
+        if (request.already_loading && !row.sent) {
             row.sent = true;
             row.sent_at = now;
         }
@@ -70,33 +71,33 @@
 
 void handle_order_responses(tables& t)
 {
-    for (const order_result& ended : std::exchange(t.in.order_results, {})) {
-        t.lease.highest_fence = std::max(t.lease.highest_fence, ended.known_fence);
-        const auto row = t.orders.find(ended.server);
-        if (row == t.orders.end() || ended.accepted) continue;
+    for (const order_result& result : std::exchange(t.in.order_results, {})) {
+        t.lease.highest_fence = std::max(t.lease.highest_fence, result.known_fence);
+        const auto row = t.orders.find(result.server);
+        if (row == t.orders.end() || result.accepted) continue;
         row->second.sent = false;
         ++t.counters.orders_refused;
         log_event(log_level::warn, "order_refused",
                   {{"step", "order"},
-                   {"peer", ended.server.text},
+                   {"peer", result.server.text},
                    {"fence", t.lease.value.fence},
-                   {"known_fence", ended.known_fence}});
+                   {"known_fence", result.known_fence}});
     }
 }
 
 void send_order(tables& t, order_row& row, instant now)
 {
-    const auto server = t.servers.find(row.wanted.server);
+    const auto server = t.servers.find(row.request.server);
     if (server == t.servers.end()) return;
     row.sent = true;
     row.sent_at = now;
     ++t.counters.orders_given;
     log_event(log_level::info, "order_given",
-              {{"server", row.wanted.server.text},
-               {"order", row.wanted.kind == order_kind::load ? "load" : "unload"},
-               {"version", row.wanted.version},
+              {{"server", row.request.server.text},
+               {"order", row.request.kind == order_kind::load ? "load" : "unload"},
+               {"version", row.request.version},
                {"fence", t.lease.value.fence}});
-    t.out.emplace_back(start_order{server->second.config, row.wanted.kind, row.wanted.version,
+    t.out.emplace_back(start_order{server->second.config, row.request.kind, row.request.version,
                                    t.lease.value.fence});
 }
 
@@ -129,17 +130,17 @@
     return {false, {}};
 }
 
-void request_orders(tables& t, instant& next, const tick_time& time)
+void request_orders(tables& t, instant& next_request_at, const tick_time& time)
 {
-    if (time.now < next || !t.needs_orders) return;
-    next = time.now + request_period;
+    if (time.now < next_request_at || !t.needs_orders) return;
+    next_request_at = time.now + request_period;
     for (const auto& [id, gate] : t.gates) {
         const auto service = t.services.find(gate.service);
         if (!gate.first || !gate.versions.versions_reported || service == t.services.end())
             continue;
         if (service->second.config.versions.empty()) continue;
-        order_request wanted = next_order(gate, service->second.config);
-        if (!wanted.version.empty()) t.send(home_of(t, lease_key), std::move(wanted));
+        order_request order = next_order(gate, service->second.config);
+        if (!order.version.empty()) t.send(home_of(t, lease_key), std::move(order));
     }
 }
 
@@ -150,11 +151,11 @@
     if (!holds_lease(t.lease, time.now)) return;
     if (time.now - t.lease.acquired_at < initial_holder_delay) return;
     auto loading = std::ranges::count_if(t.orders, [](const auto& entry) {
-        return entry.second.sent && entry.second.wanted.kind == order_kind::load;
+        return entry.second.sent && entry.second.request.kind == order_kind::load;
     });
     for (auto& [server, row] : t.orders) {
         if (row.sent && time.now - row.sent_at < order_retry_delay) continue;
-        const bool load = row.wanted.kind == order_kind::load;
+        const bool load = row.request.kind == order_kind::load;
         if (load && !row.sent &&
             loading >= static_cast<std::ptrdiff_t>(t.settings.max_concurrent_loads)) {
             continue;
--- a/src/engine_orders.h
+++ b/src/engine_orders.h
@@ -35,7 +35,7 @@
 
 /** An order requested by a gate, as stored by the holder of the lease. */
 struct order_row {
-    order_request wanted;
+    order_request request;
     instant requested_at{};
     bool sent = false;
     instant sent_at{};
@@ -67,8 +67,9 @@
 version_choice choose_version(const gate_row& gate, const service_config& service,
                               const std::string& continued);
 
-/** Gate role: requests loads of missing versions and unloads of retired ones. */
-void request_orders(tables& t, instant& next, const tick_time& time);
+/** Gate role: requests loads of missing versions and unloads of retired ones, at most once per
+ * second. */
+void request_orders(tables& t, instant& next_request_at, const tick_time& time);
 
 /** Lease holder role: sends the requested orders to engines. */
 void issue_orders(tables& t, const tick_time& time);
--- a/src/fleet_lease.cpp
+++ b/src/fleet_lease.cpp
@@ -65,10 +65,11 @@
         lease.next_call_at = now + poll_period;
         return;
     }
-    const bool ours = std::exchange(lease.write_outcome_unknown, false) && value.holder != 0 &&
-                      value.holder == lease.proposed.holder && value.fence == lease.proposed.fence;
+    const bool own_write = std::exchange(lease.write_outcome_unknown, false) && value.holder != 0 &&
+                           value.holder == lease.proposed.holder &&
+                           value.fence == lease.proposed.fence;
     const bool changed = !lease.known || result.version != lease.version;
-    if (ours && changed) {
+    if (own_write && changed) {
         // The write whose response was lost did take effect. The time at which it was sent is no
         // longer known, so the validity of the lease is not extended.
         lease.known = true;
@@ -157,11 +158,11 @@
     }
     if (lease.held && time.now >= lease.valid_until) mark_lost(lease, "not renewed in time");
     if (lease.call != 0) return;
-    const bool wanted = !t.leaving && home_of(t, lease_key) == t.self && t.needs_orders;
-    if (!lease.held && !wanted) return;
+    const bool should_hold = !t.leaving && home_of(t, lease_key) == t.self && t.needs_orders;
+    if (!lease.held && !should_hold) return;
     // A VM that should no longer hold the lease, such as one that is shutting down, releases it, so
     // that its successor need not wait for expiry.
-    const bool release = lease.known && lease.held && !wanted;
+    const bool release = lease.known && lease.held && !should_hold;
     if (time.now < lease.next_call_at && !release) return;
     if (release) {
         start_platform_call(t, true, {0, lease.value.fence}, time.now);
@@ -169,12 +170,12 @@
     }
     // An expired lease that still names this VM is renewed like a held one: the conditional write
     // fails if another VM has acquired it.
-    const bool ours = lease.value.holder == t.origin;
-    if (!lease.known || !(ours || is_free(lease, time.now))) {
+    const bool held_by_self = lease.value.holder == t.origin;
+    if (!lease.known || !(held_by_self || is_free(lease, time.now))) {
         start_platform_call(t, false, lease.proposed, time.now);
         return;
     }
-    const bool newest = ours && lease.value.fence >= lease.highest_fence;
+    const bool newest = held_by_self && lease.value.fence >= lease.highest_fence;
     const std::uint64_t fence = newest ? lease.value.fence : lease.highest_fence + 1;
     start_platform_call(t, true, {t.origin, fence}, time.now);
 }
