--- a/src/fair_queue.cpp
+++ b/src/fair_queue.cpp
@@ -14,37 +14,37 @@
     row.last_finish = start + request.cost / request.weight;
     row.waiting_cost += request.cost;
     ++row.count;
-    this->items[{request.urgency, row.last_finish, this->arrivals++}] = request;
-    if (this->items.size() <= this->capacity) return std::nullopt;
+    this->queued[{request.urgency, row.last_finish, this->arrivals++}] = request;
+    if (this->queued.size() <= this->capacity) return std::nullopt;
 
-    const auto weighted = [](const auto& entry) {
+    const auto waiting_cost_per_weight = [](const auto& entry) {
         return entry.second.waiting_cost / entry.second.weight;
     };
-    const auto largest = std::ranges::max_element(this->flows, {}, weighted);
+    const auto largest = std::ranges::max_element(this->flows, {}, waiting_cost_per_weight);
     const auto newest =
-        std::find_if(this->items.rbegin(), this->items.rend(),
-                     [&](const auto& item) { return item.second.account == largest->first; });
+        std::find_if(this->queued.rbegin(), this->queued.rend(),
+                     [&](const auto& entry) { return entry.second.account == largest->first; });
     // The virtual time of the shed request is returned, so that shedding does not delay the
     // account's later requests.
     largest->second.last_finish -= newest->second.cost / newest->second.weight;
-    return this->take(std::prev(newest.base()));
+    return this->remove(std::prev(newest.base()));
 }
 
 double fair_queue::demand::decayed_amount(instant now) const
 {
-    const std::chrono::duration<double> passed = now - this->at;
+    const std::chrono::duration<double> elapsed = now - this->updated_at;
     const std::chrono::duration<double> scale = demand_decay_time;
-    return this->amount * std::exp(-passed / scale);
+    return this->amount * std::exp(-elapsed / scale);
 }
 
 void fair_queue::charge(const client_account_id& account, double weight, std::uint32_t cost,
                         instant now)
 {
     demand& row = this->demands[account];
-    this->total.weight += weight - (row.at == instant{} ? 0 : row.weight);
+    this->total_demand.weight += weight - (row.updated_at == instant{} ? 0 : row.weight);
     row = {row.decayed_amount(now) + cost, weight, now};
-    this->total.amount = this->total.decayed_amount(now) + cost;
-    this->total.at = now;
+    this->total_demand.amount = this->total_demand.decayed_amount(now) + cost;
+    this->total_demand.updated_at = now;
     if (this->demands.size() >= this->cleanup_threshold) this->remove_idle_demands(now);
 }
 
@@ -52,7 +52,7 @@
 {
     std::erase_if(this->demands, [&](const auto& entry) {
         const bool idle = entry.second.decayed_amount(now) < min_tracked_demand;
-        if (idle) this->total.weight -= entry.second.weight;
+        if (idle) this->total_demand.weight -= entry.second.weight;
         return idle;
     });
     this->cleanup_threshold = std::max<std::size_t>(64, 2 * this->demands.size());
@@ -62,54 +62,56 @@
 {
     const auto row = this->demands.find(account);
     if (row == this->demands.end()) return false;
-    const double share = this->total.decayed_amount(now) * row->second.weight / this->total.weight;
+    const double share =
+        this->total_demand.decayed_amount(now) * row->second.weight / this->total_demand.weight;
     return row->second.decayed_amount(now) > heavy_demand_ratio * share;
 }
 
-fair_queue::item_map::iterator fair_queue::find_light(instant now)
+fair_queue::queue_map::iterator fair_queue::find_light(instant now)
 {
     return std::ranges::find_if(
-        this->items, [&](const auto& item) { return !this->heavy(item.second.account, now); });
+        this->queued, [&](const auto& entry) { return !this->heavy(entry.second.account, now); });
 }
 
-waiting_attempt fair_queue::take_in_turn(item_map::iterator item)
+waiting_attempt fair_queue::remove_in_turn(queue_map::iterator position)
 {
-    const double start = item->first.finish - item->second.cost / item->second.weight;
+    const double start = position->first.finish - position->second.cost / position->second.weight;
     this->virtual_time = std::max(this->virtual_time, start);
-    return this->take(item);
+    return this->remove(position);
 }
 
 std::optional<waiting_attempt> fair_queue::pop(instant now)
 {
-    if (this->items.empty()) return std::nullopt;
-    const auto first = this->items.begin();
+    if (this->queued.empty()) return std::nullopt;
+    const auto first = this->queued.begin();
     const auto light = this->find_light(now);
-    const bool in_turn = light != this->items.end() && light->first.urgency == first->first.urgency;
-    return this->take_in_turn(in_turn ? light : first);
+    const bool in_turn =
+        light != this->queued.end() && light->first.urgency == first->first.urgency;
+    return this->remove_in_turn(in_turn ? light : first);
 }
 
 std::optional<waiting_attempt> fair_queue::pop_light(instant now)
 {
     const auto light = this->find_light(now);
-    if (light == this->items.end()) return std::nullopt;
-    return this->take_in_turn(light);
+    if (light == this->queued.end()) return std::nullopt;
+    return this->remove_in_turn(light);
 }
 
 std::optional<waiting_attempt> fair_queue::pop_account(const client_account_id& account)
 {
     const auto found = std::ranges::find_if(
-        this->items, [&](const auto& item) { return item.second.account == account; });
-    if (found == this->items.end()) return std::nullopt;
-    return this->take(found);
+        this->queued, [&](const auto& entry) { return entry.second.account == account; });
+    if (found == this->queued.end()) return std::nullopt;
+    return this->remove(found);
 }
 
 std::vector<waiting_attempt> fair_queue::take_expired(instant now)
 {
     std::vector<waiting_attempt> expired;
-    for (auto item = this->items.begin(); item != this->items.end();) {
-        const auto next = std::next(item);
-        if (item->second.deadline <= now) expired.push_back(this->take(item));
-        item = next;
+    for (auto position = this->queued.begin(); position != this->queued.end();) {
+        const auto next = std::next(position);
+        if (position->second.deadline <= now) expired.push_back(this->remove(position));
+        position = next;
     }
     return expired;
 }
@@ -117,17 +119,17 @@
 std::vector<waiting_attempt> fair_queue::take_all()
 {
     std::vector<waiting_attempt> all;
-    while (!this->items.empty())
-        all.push_back(this->take(this->items.begin()));
+    while (!this->queued.empty())
+        all.push_back(this->remove(this->queued.begin()));
     return all;
 }
 
 bool fair_queue::erase(const attempt_id& id)
 {
-    const auto found =
-        std::ranges::find_if(this->items, [&](const auto& item) { return item.second.id == id; });
-    if (found == this->items.end()) return false;
-    this->take(found);
+    const auto found = std::ranges::find_if(
+        this->queued, [&](const auto& entry) { return entry.second.id == id; });
+    if (found == this->queued.end()) return false;
+    this->remove(found);
     return true;
 }
 
@@ -155,10 +157,10 @@
         [](double sum, const auto& entry) { return sum + entry.second.waiting_cost; });
 }
 
-waiting_attempt fair_queue::take(item_map::iterator item)
+waiting_attempt fair_queue::remove(queue_map::iterator position)
 {
-    waiting_attempt request = std::move(item->second);
-    this->items.erase(item);
+    waiting_attempt request = std::move(position->second);
+    this->queued.erase(position);
     const auto row = this->flows.find(request.account);
     row->second.waiting_cost -= request.cost;
     // An empty flow is kept while its finish time is ahead of virtual time, so that its account
@@ -166,7 +168,7 @@
     if (--row->second.count == 0 && row->second.last_finish <= this->virtual_time) {
         this->flows.erase(row);
     }
-    if (this->items.empty()) {
+    if (this->queued.empty()) {
         this->flows.clear();
         this->virtual_time = 0;
     }
--- a/src/fair_queue.h
+++ b/src/fair_queue.h
@@ -67,8 +67,8 @@
     std::vector<waiting_attempt> take_all();
     bool erase(const attempt_id& id);
 
-    [[nodiscard]] std::size_t size() const { return this->items.size(); }
-    [[nodiscard]] bool empty() const { return this->items.empty(); }
+    [[nodiscard]] std::size_t size() const { return this->queued.size(); }
+    [[nodiscard]] bool empty() const { return this->queued.empty(); }
     /** Work in tokens that would run before a new request of this account, weight and cost. The
      * queues of other accounts count up to the same amount per weight as this account's own. */
     [[nodiscard]] double cost_ahead(const client_account_id& account, double weight, double cost,
@@ -88,27 +88,27 @@
         double weight = 1;
         std::size_t count = 0;
     };
-    /** Recent demand in tokens, decayed up to `at`. */
+    /** Recent demand in tokens, decayed up to `updated_at`. */
     struct demand {
         double amount = 0;
         double weight = 1;
-        instant at{};
+        instant updated_at{};
 
         /** The amount in tokens, decayed up to \p now. */
         [[nodiscard]] double decayed_amount(instant now) const;
     };
-    using item_map = std::map<order, waiting_attempt>;
+    using queue_map = std::map<order, waiting_attempt>;
 
-    waiting_attempt take(item_map::iterator item);
-    waiting_attempt take_in_turn(item_map::iterator item);
-    item_map::iterator find_light(instant now);
+    waiting_attempt remove(queue_map::iterator position);
+    waiting_attempt remove_in_turn(queue_map::iterator position);
+    queue_map::iterator find_light(instant now);
     void remove_idle_demands(instant now);
 
     std::size_t capacity;
-    item_map items;
+    queue_map queued;
     std::map<client_account_id, flow> flows;
     std::map<client_account_id, demand> demands;
-    demand total;                       ///< of all accounts; its weight is the sum of theirs
+    demand total_demand;                ///< of all accounts; its weight is the sum of theirs
     std::size_t cleanup_threshold = 64; ///< number of accounts at which idle ones are removed
     double virtual_time = 0;
     std::uint64_t arrivals = 0;
