--- a/test/correctness/concurrent_plan_confirmations.cpp
+++ b/test/correctness/concurrent_plan_confirmations.cpp
@@ -12,20 +12,20 @@
 
 namespace {
 
-class operators_race : public CppUnit::TestFixture {
-    CPPUNIT_TEST_SUITE(operators_race);
-    CPPUNIT_TEST(one_wins);
+class concurrent_plan_confirmations : public CppUnit::TestFixture {
+    CPPUNIT_TEST_SUITE(concurrent_plan_confirmations);
+    CPPUNIT_TEST(one_plan_takes_effect);
     CPPUNIT_TEST_SUITE_END();
 
 public:
     static std::string plan_weight(const support::fleet& fleet, std::size_t router, int weight)
     {
-        const support::reply made = fleet.admin(
+        const support::reply created = fleet.admin(
             router, "POST", "/admin/plans",
             nlohmann::json{{"kind", "set_account"}, {"client_account", "acc-3"}, {"weight", weight}}
                 .dump());
-        CPPUNIT_ASSERT_EQUAL(201, made.status);
-        return made.json()["id"];
+        CPPUNIT_ASSERT_EQUAL(201, created.status);
+        return created.json()["id"];
     }
 
     static double revision(const support::fleet& fleet)
@@ -33,7 +33,7 @@
         return fleet.admin(0, "GET", "/admin/status").json()["revision"];
     }
 
-    void one_wins()
+    void one_plan_takes_effect()
     {
         support::fleet fleet({});
         fleet.start();
@@ -69,6 +69,6 @@
     }
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(operators_race);
+CPPUNIT_TEST_SUITE_REGISTRATION(concurrent_plan_confirmations);
 
 } // namespace
--- a/test/correctness/model_version_rolls_out.cpp
+++ b/test/correctness/model_version_rolls_out.cpp
@@ -32,7 +32,7 @@
         return answer.json()["plan"];
     }
 
-    static bool all_have(const support::fleet& fleet, const json& versions)
+    static bool all_loaded(const support::fleet& fleet, const json& versions)
     {
         for (std::size_t i = 0; i < fleet.engines.size(); ++i) {
             if (fleet.engine_stats(i)["loaded"] != versions) return false;
@@ -40,11 +40,11 @@
         return true;
     }
 
-    static void wait_until_all_have(const support::fleet& fleet, const json& versions)
+    static void wait_until_all_loaded(const support::fleet& fleet, const json& versions)
     {
         CPPUNIT_ASSERT_MESSAGE(
             versions.dump(),
-            support::fleet::wait_for([&] { return all_have(fleet, versions); }, timeout_ms));
+            support::fleet::wait_for([&] { return all_loaded(fleet, versions); }, timeout_ms));
     }
 
     /** Kills the process that has sent orders, and restarts it. */
@@ -97,7 +97,7 @@
         change(fleet, version_intent("add", "v2"));
         check_served(fleet, "while loading ");
         kill_holder(fleet);
-        wait_until_all_have(fleet, {"v1", "v2"});
+        wait_until_all_loaded(fleet, {"v1", "v2"});
         CPPUNIT_ASSERT(support::fleet::wait_for(
             [&] { return fleet.converged(fleet.routers.size()); }, timeout_ms));
         CPPUNIT_ASSERT_EQUAL(0.0, runs_of_version(fleet, "v2"));
@@ -107,13 +107,13 @@
         CPPUNIT_ASSERT(runs_after_switch > 0);
         const std::string retire_plan = change(fleet, version_intent("retire", "v1"));
         check_served(fleet, "after retiring ");
-        wait_until_all_have(fleet, {"v2"});
+        wait_until_all_loaded(fleet, {"v2"});
         CPPUNIT_ASSERT(runs_of_version(fleet, "v2") > runs_after_switch);
         const support::reply refused =
             fleet.admin(0, "POST", "/admin/plans", version_intent("retire", "v2").dump());
         CPPUNIT_ASSERT_EQUAL(400, refused.status); // it is the serving version
         change(fleet, {{"kind", "rollback"}, {"plan", retire_plan}});
-        wait_until_all_have(fleet, {"v1", "v2"});
+        wait_until_all_loaded(fleet, {"v1", "v2"});
         const json history = fleet.admin(0, "GET", "/admin/history").json();
         CPPUNIT_ASSERT_EQUAL(std::size_t{6}, history.size());
         CPPUNIT_ASSERT_EQUAL(std::string("ops"), history[0]["who"].get<std::string>());
--- a/test/correctness/planned_stop_needs_no_platform.cpp
+++ b/test/correctness/planned_stop_needs_no_platform.cpp
@@ -13,12 +13,12 @@
 
 class planned_stop_needs_no_platform : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(planned_stop_needs_no_platform);
-    CPPUNIT_TEST(streams_end_whole);
+    CPPUNIT_TEST(streams_complete);
     CPPUNIT_TEST_SUITE_END();
 
 public:
     /** Guards against a stop that truncates streams in flight while the platform is down. */
-    void streams_end_whole()
+    void streams_complete()
     {
         constexpr std::size_t streams = 12;
         constexpr std::uint32_t tokens = 100;
--- a/test/correctness/status_matches_revision_in_force.cpp
+++ b/test/correctness/status_matches_revision_in_force.cpp
@@ -9,8 +9,8 @@
 
 namespace {
 
-class status_shows_what_is_in_force : public CppUnit::TestFixture {
-    CPPUNIT_TEST_SUITE(status_shows_what_is_in_force);
+class status_matches_revision_in_force : public CppUnit::TestFixture {
+    CPPUNIT_TEST_SUITE(status_matches_revision_in_force);
     CPPUNIT_TEST(after_each_confirmation);
     CPPUNIT_TEST_SUITE_END();
 
@@ -42,6 +42,6 @@
     }
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(status_shows_what_is_in_force);
+CPPUNIT_TEST_SUITE_REGISTRATION(status_matches_revision_in_force);
 
 } // namespace
--- a/test/correctness/whole_fleet_restarts.cpp
+++ b/test/correctness/whole_fleet_restarts.cpp
@@ -44,13 +44,13 @@
                              file_ticket(fleet, 1).header("X-Worksshift-Replayed"));
         CPPUNIT_ASSERT_EQUAL(std::size_t{1}, runs(fleet));
         fleet.set_faults({{"down", true}});
-        for (support::router& item : fleet.routers) {
-            item.process.signal(SIGKILL);
-            item.process.wait();
+        for (support::router& router : fleet.routers) {
+            router.process.signal(SIGKILL);
+            router.process.wait();
         }
         for (std::size_t i = 0; i < fleet.routers.size(); ++i)
             fleet.start_router(i);
-        const support::reply waiting = [&] {
+        const support::reply refused = [&] {
             support::reply answer;
             support::fleet::wait_for(
                 [&] {
@@ -60,8 +60,8 @@
                 10000);
             return answer;
         }();
-        CPPUNIT_ASSERT_EQUAL(503, waiting.status);
-        CPPUNIT_ASSERT_EQUAL(std::string("not_run"), waiting.header("X-Worksshift-Outcome"));
+        CPPUNIT_ASSERT_EQUAL(503, refused.status);
+        CPPUNIT_ASSERT_EQUAL(std::string("not_run"), refused.header("X-Worksshift-Outcome"));
         fleet.set_faults({{"down", false}});
         CPPUNIT_ASSERT(
             support::fleet::wait_for([&] { return fleet.converged(fleet.routers.size()); }, 30000));
--- a/test/error/invalid_settings_are_refused.cpp
+++ b/test/error/invalid_settings_are_refused.cpp
@@ -9,13 +9,13 @@
 
 using namespace worksshift;
 
-class settings_name_the_fault : public CppUnit::TestFixture {
-    CPPUNIT_TEST_SUITE(settings_name_the_fault);
+class invalid_settings_are_refused : public CppUnit::TestFixture {
+    CPPUNIT_TEST_SUITE(invalid_settings_are_refused);
     CPPUNIT_TEST(out_of_range);
     CPPUNIT_TEST(bad_address);
-    CPPUNIT_TEST(missing);
-    CPPUNIT_TEST(short_key);
-    CPPUNIT_TEST(good);
+    CPPUNIT_TEST(missing_setting);
+    CPPUNIT_TEST(short_fleet_key);
+    CPPUNIT_TEST(valid_settings);
     CPPUNIT_TEST_SUITE_END();
 
 public:
@@ -60,7 +60,7 @@
     }
 
     /** Guards against a start without a required setting. */
-    void missing()
+    void missing_setting()
     {
         auto arguments = valid_arguments();
         arguments.erase(arguments.begin());
@@ -68,7 +68,7 @@
     }
 
     /** Guards against a fleet key that is too short to be secret. */
-    void short_key()
+    void short_fleet_key()
     {
         auto arguments = valid_arguments();
         arguments.back() = "--fleet-key=short";
@@ -76,9 +76,9 @@
     }
 
     /** Guards against valid settings that are refused. */
-    void good() { CPPUNIT_ASSERT_EQUAL(std::string(), error_of(valid_arguments())); }
+    void valid_settings() { CPPUNIT_ASSERT_EQUAL(std::string(), error_of(valid_arguments())); }
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(settings_name_the_fault);
+CPPUNIT_TEST_SUITE_REGISTRATION(invalid_settings_are_refused);
 
 } // namespace
--- a/test/fuzz/account_rate_spans_the_fleet.cpp
+++ b/test/fuzz/account_rate_spans_the_fleet.cpp
@@ -20,10 +20,10 @@
 
 class account_rate_spans_the_fleet : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(account_rate_spans_the_fleet);
-    CPPUNIT_TEST(close_to_the_rate_when_calm);
-    CPPUNIT_TEST(a_request_larger_than_the_budget_passes);
-    CPPUNIT_TEST(what_did_not_run_costs_nothing);
-    CPPUNIT_TEST(bounded_under_disturbance);
+    CPPUNIT_TEST(close_to_the_rate_without_faults);
+    CPPUNIT_TEST(a_request_larger_than_the_bucket_runs);
+    CPPUNIT_TEST(a_request_that_did_not_run_is_not_charged);
+    CPPUNIT_TEST(bounded_under_faults);
     CPPUNIT_TEST_SUITE_END();
 
 public:
@@ -75,7 +75,7 @@
 
     /** Without faults, an account uses its rate and hardly more, and refusals come early and with a
      * retry time. */
-    void close_to_the_rate_when_calm()
+    void close_to_the_rate_without_faults()
     {
         support::core_fleet fleet(make_options(3));
         set_account_rate(fleet);
@@ -97,7 +97,7 @@
 
     /** Guards against refusing forever a request that costs more than the bucket holds. It runs,
      * and the account's later requests are refused until the bucket has filled again. */
-    void a_request_larger_than_the_budget_passes()
+    void a_request_larger_than_the_bucket_runs()
     {
         support::core_fleet fleet(make_options(4));
         set_account_rate(fleet);
@@ -116,7 +116,7 @@
     }
 
     /** Guards against charging an account for a request that was refused without a run. */
-    void what_did_not_run_costs_nothing()
+    void a_request_that_did_not_run_is_not_charged()
     {
         support::core_fleet fleet(make_options(5));
         set_account_rate(fleet);
@@ -139,7 +139,7 @@
     }
 
     /** Guards against use above the bound while VMs restart and links are cut. */
-    void bounded_under_disturbance()
+    void bounded_under_faults()
     {
         const bool property_holds = rc::check("rate", [] {
             support::core_fleet fleet(make_options(*rc::gen::inRange<std::uint64_t>(1, 1000)));
@@ -167,11 +167,11 @@
                 }
                 submit_load(fleet, 10, 4);
             }
-            const double passed = std::chrono::duration<double>(fleet.now() - start).count();
+            const double elapsed_s = std::chrono::duration<double>(fleet.now() - start).count();
             // The rate is granted once by the home and once by entry VMs that cannot reach it; each
             // move of the home adds a full bucket, and each entry VM may have prefetched tokens.
             const double max_tokens =
-                rate * (2 * passed + quota_burst_s * (1 + moves) + node_count);
+                rate * (2 * elapsed_s + quota_burst_s * (1 + moves) + node_count);
             RC_ASSERT(executed_tokens(fleet) <= max_tokens);
             for (const auto& result : fleet.results) {
                 if (result.end == ending::not_run) RC_ASSERT(result.runs == 0U);
--- a/test/fuzz/claims_are_granted_once.cpp
+++ b/test/fuzz/claims_are_granted_once.cpp
@@ -16,12 +16,12 @@
 
 constexpr std::size_t node_count = 3;
 
-class claims_grant_once : public CppUnit::TestFixture {
-    CPPUNIT_TEST_SUITE(claims_grant_once);
-    CPPUNIT_TEST(through_platform_faults);
-    CPPUNIT_TEST(a_key_is_free_again_after_not_run);
-    CPPUNIT_TEST(a_new_home_knows_older_slices);
-    CPPUNIT_TEST(a_write_that_failed_grants_nothing);
+class claims_are_granted_once : public CppUnit::TestFixture {
+    CPPUNIT_TEST_SUITE(claims_are_granted_once);
+    CPPUNIT_TEST(a_key_runs_at_most_once_under_faults);
+    CPPUNIT_TEST(a_request_that_did_not_run_releases_its_key);
+    CPPUNIT_TEST(a_new_home_reads_older_slices);
+    CPPUNIT_TEST(a_failed_write_grants_no_claim);
     CPPUNIT_TEST(an_unknown_outcome_keeps_the_key);
     CPPUNIT_TEST_SUITE_END();
 
@@ -49,7 +49,7 @@
     }
 
     /** A key must not run twice under faults of the platform, nodes, links and servers. */
-    void through_platform_faults()
+    void a_key_runs_at_most_once_under_faults()
     {
         const bool passed = rc::check("one key runs once", [] {
             support::core_fleet fleet(make_options(*rc::gen::inRange<std::uint64_t>(1, 1000)));
@@ -82,7 +82,7 @@
     }
 
     /** A request that did not run must release its key; one that completed must be replayed. */
-    void a_key_is_free_again_after_not_run()
+    void a_request_that_did_not_run_releases_its_key()
     {
         support::core_fleet fleet(make_options(1));
         fleet.run_for(seconds(12));
@@ -113,7 +113,7 @@
     }
 
     /** A home that restarted must read older slices, or recorded requests would run again. */
-    void a_new_home_knows_older_slices()
+    void a_new_home_reads_older_slices()
     {
         support::core_fleet fleet(make_options(2));
         fleet.run_for(seconds(12));
@@ -140,7 +140,7 @@
     }
 
     /** A claim whose write failed must not be granted, and must not stay claimed afterwards. */
-    void a_write_that_failed_grants_nothing()
+    void a_failed_write_grants_no_claim()
     {
         support::core_fleet fleet(make_options(3));
         fleet.run_for(seconds(12));
@@ -186,6 +186,6 @@
     }
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(claims_grant_once);
+CPPUNIT_TEST_SUITE_REGISTRATION(claims_are_granted_once);
 
 } // namespace
--- a/test/fuzz/configuration_revision_never_decreases.cpp
+++ b/test/fuzz/configuration_revision_never_decreases.cpp
@@ -51,11 +51,11 @@
     }
 }
 
-class configuration_only_moves_forward : public CppUnit::TestFixture {
-    CPPUNIT_TEST_SUITE(configuration_only_moves_forward);
+class configuration_revision_never_decreases : public CppUnit::TestFixture {
+    CPPUNIT_TEST_SUITE(configuration_revision_never_decreases);
     CPPUNIT_TEST(plans_of_two_operators);
-    CPPUNIT_TEST(offers_in_any_order);
-    CPPUNIT_TEST(nodes_catch_up);
+    CPPUNIT_TEST(documents_in_any_order);
+    CPPUNIT_TEST(nodes_reach_the_newest_revision);
     CPPUNIT_TEST_SUITE_END();
 
 public:
@@ -76,29 +76,30 @@
                                               "ops", clock));
                     continue;
                 }
-                const plan item = parse_plan(write_plan(*rc::gen::elementOf(plans)).dump());
+                const plan confirmed = parse_plan(write_plan(*rc::gen::elementOf(plans)).dump());
                 // A retry after a lost response finds the plan in the manifest and does not apply
                 // it again.
-                if (is_applied(accepted.plans, item.id)) continue;
+                if (is_applied(accepted.plans, confirmed.id)) continue;
                 const std::string manifest_before = write_fleet_config(accepted).manifest;
                 try {
-                    const fleet_config next = apply_plan(accepted, item, clock);
+                    const fleet_config next = apply_plan(accepted, confirmed, clock);
                     RC_ASSERT(next.revision == accepted.revision + 1);
-                    RC_ASSERT(item.created_at_s + plan_lifetime_s >= clock);
+                    RC_ASSERT(confirmed.created_at_s + plan_lifetime_s >= clock);
                     // Only the object that the plan changes may differ.
                     fleet_config compared = next;
                     compared.revision = accepted.revision;
                     compared.plans = accepted.plans;
                     for (std::size_t s = 0; s < compared.services[0].servers.size(); ++s) {
-                        const server_config& was = accepted.services[0].servers[s];
-                        const server_config& is = compared.services[0].servers[s];
-                        if (!(was == is)) RC_ASSERT(item.touches == "server " + was.id.text);
+                        const server_config& old_server = accepted.services[0].servers[s];
+                        const server_config& new_server = compared.services[0].servers[s];
+                        if (!(old_server == new_server))
+                            RC_ASSERT(confirmed.touches == "server " + old_server.id.text);
                     }
                     if (compared.services[0].bound != accepted.services[0].bound) {
-                        RC_ASSERT(item.touches == "service assist");
+                        RC_ASSERT(confirmed.touches == "service assist");
                     }
                     accepted = next;
-                    ++took_effect[item.id];
+                    ++took_effect[confirmed.id];
                 } catch (const user_error& refused) {
                     RC_ASSERT(refused.step == "conflict" || refused.step == "expired");
                     RC_ASSERT(write_fleet_config(accepted).manifest == manifest_before);
@@ -111,7 +112,7 @@
     }
 
     /** Stale, incomplete or damaged documents must not lower the revision in force. */
-    void offers_in_any_order()
+    void documents_in_any_order()
     {
         const bool passed = rc::check("offers", [] {
             std::vector<config_documents> history;
@@ -145,7 +146,7 @@
     }
 
     /** After partitions and pauses, every node must reach the newest revision, never going back. */
-    void nodes_catch_up()
+    void nodes_reach_the_newest_revision()
     {
         const bool passed = rc::check("every node reaches the newest revision", [] {
             support::core_options options;
@@ -186,6 +187,6 @@
     }
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(configuration_only_moves_forward);
+CPPUNIT_TEST_SUITE_REGISTRATION(configuration_revision_never_decreases);
 
 } // namespace
--- a/test/fuzz/orders_come_from_one_lease_holder.cpp
+++ b/test/fuzz/orders_come_from_one_lease_holder.cpp
@@ -19,13 +19,13 @@
 const std::vector<std::vector<std::string>> version_sets{
     {"v1"}, {"v1", "v2"}, {"v2"}, {"v2", "v3"}};
 
-class orders_come_from_one_holder : public CppUnit::TestFixture {
-    CPPUNIT_TEST_SUITE(orders_come_from_one_holder);
-    CPPUNIT_TEST(under_any_disturbance);
-    CPPUNIT_TEST(a_calm_fleet_keeps_to_the_weight_stores_rate);
-    CPPUNIT_TEST(engines_without_fencing_are_told_to_load_only);
+class orders_come_from_one_lease_holder : public CppUnit::TestFixture {
+    CPPUNIT_TEST_SUITE(orders_come_from_one_lease_holder);
+    CPPUNIT_TEST(under_random_faults);
+    CPPUNIT_TEST(concurrent_loads_stay_within_the_limit);
+    CPPUNIT_TEST(engines_without_fencing_get_load_orders_only);
     CPPUNIT_TEST(a_holder_cut_from_the_platform_stops_before_another_starts);
-    CPPUNIT_TEST(a_pause_after_the_renewal_was_sent_counts);
+    CPPUNIT_TEST(a_pause_during_a_renewal_does_not_extend_the_lease);
     CPPUNIT_TEST(a_version_in_use_is_not_unloaded);
     CPPUNIT_TEST(a_resumed_stream_keeps_its_version);
     CPPUNIT_TEST_SUITE_END();
@@ -100,7 +100,7 @@
     }
 
     /** No sequence of faults may break the fencing of orders or leave engines unreconciled. */
-    void under_any_disturbance()
+    void under_random_faults()
     {
         const bool passed = rc::check("orders", [] {
             support::core_fleet fleet(make_options(*rc::gen::inRange<std::uint64_t>(1, 1000)));
@@ -134,7 +134,7 @@
 
     /** Concurrent loads must not exceed `max_concurrent_loads`, nor orders be repeated without
      * need; engines must be reconciled also after the platform is restored from a backup. */
-    void a_calm_fleet_keeps_to_the_weight_stores_rate()
+    void concurrent_loads_stay_within_the_limit()
     {
         support::core_fleet fleet(make_options(5));
         begin(fleet, true);
@@ -164,7 +164,7 @@
     }
 
     /** An engine without fencing must not get unload orders, since a late one would do harm. */
-    void engines_without_fencing_are_told_to_load_only()
+    void engines_without_fencing_get_load_orders_only()
     {
         support::core_fleet fleet(make_options(6));
         begin(fleet, false);
@@ -217,7 +217,7 @@
     }
 
     /** A pause between sending a renewal and its response must not extend the lease. */
-    void a_pause_after_the_renewal_was_sent_counts()
+    void a_pause_during_a_renewal_does_not_extend_the_lease()
     {
         support::core_options options = make_options(10);
         options.nodes = 2;
@@ -285,6 +285,6 @@
     }
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(orders_come_from_one_holder);
+CPPUNIT_TEST_SUITE_REGISTRATION(orders_come_from_one_lease_holder);
 
 } // namespace
--- a/test/fuzz/queue_matches_oracle.cpp
+++ b/test/fuzz/queue_matches_oracle.cpp
@@ -20,45 +20,46 @@
 
 class queue_matches_oracle : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(queue_matches_oracle);
-    CPPUNIT_TEST(each_leaves_once);
+    CPPUNIT_TEST(each_request_leaves_once);
     CPPUNIT_TEST_SUITE_END();
 
 public:
-    void each_leaves_once()
+    void each_request_leaves_once()
     {
         const bool property_holds = rc::check("each request leaves once", [] {
             fair_queue queue(capacity);
             std::map<std::uint64_t, priority> queued;
             std::uint64_t next = 0;
-            const auto remove_once = [&](const waiting_attempt& item) {
-                RC_ASSERT(queued.erase(item.id.sequence) == 1);
+            const auto remove_once = [&](const waiting_attempt& request) {
+                RC_ASSERT(queued.erase(request.id.sequence) == 1);
             };
             const auto steps = *rc::gen::container<std::vector<int>>(rc::gen::inRange(0, 10));
             for (const int step : steps) {
                 if (step < 6) {
-                    waiting_attempt item;
-                    item.id = {1, next++};
-                    item.account.text =
+                    waiting_attempt request;
+                    request.id = {1, next++};
+                    request.account.text =
                         std::string(1, static_cast<char>('a' + *rc::gen::inRange(0, 3)));
-                    item.cost = *rc::gen::inRange(1U, 500U);
-                    item.weight = *rc::gen::inRange(1, 4);
-                    item.urgency = *rc::gen::element(priority::interactive, priority::batch);
-                    item.deadline = instant{} + seconds(*rc::gen::inRange(0, 10));
-                    queued[item.id.sequence] = item.urgency;
-                    if (const auto shed = queue.push(item)) remove_once(*shed);
+                    request.cost = *rc::gen::inRange(1U, 500U);
+                    request.weight = *rc::gen::inRange(1, 4);
+                    request.urgency = *rc::gen::element(priority::interactive, priority::batch);
+                    request.deadline = instant{} + seconds(*rc::gen::inRange(0, 10));
+                    queued[request.id.sequence] = request.urgency;
+                    if (const auto shed = queue.push(request)) remove_once(*shed);
                 } else if (step < 8) {
-                    const auto item = queue.pop(instant{} + seconds(20));
-                    RC_ASSERT(item.has_value() == !queued.empty());
-                    if (!item) continue;
-                    remove_once(*item);
-                    queue.charge(item->account, item->weight, item->cost, instant{} + seconds(20));
+                    const auto request = queue.pop(instant{} + seconds(20));
+                    RC_ASSERT(request.has_value() == !queued.empty());
+                    if (!request) continue;
+                    remove_once(*request);
+                    queue.charge(request->account, request->weight, request->cost,
+                                 instant{} + seconds(20));
                     const bool overtaken = std::ranges::any_of(
-                        queued, [&](const auto& entry) { return entry.second < item->urgency; });
+                        queued, [&](const auto& entry) { return entry.second < request->urgency; });
                     RC_ASSERT(!overtaken);
                 } else if (step == 8) {
-                    for (const auto& item : queue.take_expired(instant{} + seconds(5))) {
-                        RC_ASSERT(item.deadline <= instant{} + seconds(5));
-                        remove_once(item);
+                    for (const auto& request : queue.take_expired(instant{} + seconds(5))) {
+                        RC_ASSERT(request.deadline <= instant{} + seconds(5));
+                        remove_once(request);
                     }
                 } else if (!queued.empty()) {
                     RC_ASSERT(queue.erase({1, queued.begin()->first}));
