--- a/lab/experiment.cpp
+++ b/lab/experiment.cpp
@@ -297,7 +297,7 @@
         engines_service, true, item->work.shared, {}, item->work.priority};
     const admission_decision decided = vm.admission_control.decide(wanted, true, this->now);
     std::visit(
-        visitor{[&](const admit_to& to) { this->send(item, to.where); },
+        visitor{[&](const admit_to& to) { this->send(item, to.placement); },
                 [&](const retry_later& answer) { this->schedule_retry(item, answer.retry_after); },
                 [&](const no_server&) { this->record_outcome(*item, false); }},
         decided);
@@ -386,7 +386,7 @@
     server_entry& row = this->row(item);
     row.last_received_at = this->now;
     row.first_delay.add(this->now - item.sent, this->now);
-    row.state(this->engines[item.engine]->load(), this->now);
+    row.set_reported_load(this->engines[item.engine]->load(), this->now);
     row.reported_here = true;
 }
 
@@ -440,7 +440,7 @@
         for (std::size_t i = 0; i < this->engines.size(); ++i) {
             server_entry& row = *vm->rows[i];
             row.peers_in_flight = known_loads[i] - std::min(known_loads[i], row.in_flight);
-            if (this->sees_true_loads) row.state(this->engines[i]->load(), this->now);
+            if (this->sees_true_loads) row.set_reported_load(this->engines[i]->load(), this->now);
         }
         vm->table.expire_reported_loads(this->now);
         vm->table.mark_slow(this->now);
--- a/lab/plain_service.cpp
+++ b/lab/plain_service.cpp
@@ -281,8 +281,8 @@
     if (this->chooser == server_selection::product) {
         server_entry& row = *this->routers[item.vm]->table.find(name_of(item.server));
         --row.in_flight;
-        server_table::on_answered(row, to_duration(this->now - item.sent), !served,
-                                  to_instant(this->now));
+        server_table::on_attempt_ended(row, to_duration(this->now - item.sent), !served,
+                                       to_instant(this->now));
     }
     if (!served) {
         this->send(id);
--- a/src/account_quota.cpp
+++ b/src/account_quota.cpp
@@ -107,7 +107,7 @@
     const auto found = t.quotas.balances.find(reply.account);
     if (found == t.quotas.balances.end()) return;
     quota_balance& balance = found->second;
-    if (!balance.request_in_flight || reply.number != balance.request_number) return;
+    if (!balance.request_in_flight || reply.sequence != balance.request_number) return;
     balance.request_in_flight = false;
     balance.tokens += reply.tokens;
     pay_waiting(t, balance, now, outcome);
@@ -150,7 +150,7 @@
 
 quota_reply grant(quota_bucket& bucket, const quota_request& request, double rate)
 {
-    quota_reply reply{request.account, request.number, 0, 0};
+    quota_reply reply{request.account, request.sequence, 0, 0};
     if (bucket.tokens > 0) {
         const auto whole_tokens = static_cast<std::uint64_t>(bucket.tokens);
         reply.tokens = std::min(
--- a/src/admission.h
+++ b/src/admission.h
@@ -24,7 +24,7 @@
 
 /** The request is sent to the selected server. */
 struct admit_to {
-    placement_result where;
+    placement_result placement;
 };
 /** Inputs of an admission decision, for the log. */
 struct admission_inputs {
@@ -36,7 +36,7 @@
 
 /** The request is refused; its caller should retry after `retry_after`. */
 struct retry_later {
-    placement_result where; ///< the selected engine, or the least loaded one if none has a slot
+    placement_result placement; ///< the selected engine, or the least loaded one if none has a slot
     duration retry_after{};
     admission_inputs inputs;
 };
--- a/src/admit_attempts.cpp
+++ b/src/admit_attempts.cpp
@@ -87,7 +87,8 @@
 {
     server_row& server = t.servers.at(next);
     const gate_row* own_gate = t.gates.contains(next) ? &t.gates.at(next) : nullptr;
-    if (own_gate == nullptr || !own_gate->first) count_redirected_request(server, open.cost);
+    if (own_gate == nullptr || !own_gate->is_first_ranked)
+        count_redirected_request(server, open.cost);
     attempt_refused message = make_refusal(open.id, reason, "admit", open.server.text);
     message.next_server = next;
     message.next_gate = gate_of(server);
@@ -246,7 +247,8 @@
     }
     server_row& server = found->second;
     const auto gate_found = t.gates.find(open->server);
-    const bool is_gate = gate_found != t.gates.end() && gate_found->second.first && !t.leaving;
+    const bool is_gate =
+        gate_found != t.gates.end() && gate_found->second.is_first_ranked && !t.leaving;
     if (!is_gate) {
         attempt_refused message = make_refusal(
             open->id, t.leaving ? refusal::leaving : refusal::wrong_gate, "admit", t.self.text);
@@ -440,7 +442,7 @@
     }
     for (const load_summary& load : std::exchange(t.in.loads, {})) {
         const auto gate = t.gates.find(load.server);
-        const bool is_gate = gate != t.gates.end() && gate->second.first;
+        const bool is_gate = gate != t.gates.end() && gate->second.is_first_ranked;
         const auto server = t.servers.find(load.server);
         if (!is_gate && server != t.servers.end()) server->second.load = load;
     }
@@ -484,9 +486,9 @@
     for (auto& [id, gate] : t.gates) {
         const auto found = t.servers.find(id);
         server_row* server = found == t.servers.end() ? nullptr : &found->second;
-        if (server == nullptr || !gate.first || server->config.draining || t.leaving) {
+        if (server == nullptr || !gate.is_first_ranked || server->config.draining || t.leaving) {
             refuse_all_waiting(t, gate, server);
-            if (server != nullptr && gate.first) sync_load(t, gate, *server, time.now);
+            if (server != nullptr && gate.is_first_ranked) sync_load(t, gate, *server, time.now);
             continue;
         }
         sync_load(t, gate, *server, time.now);
--- a/src/assign_gates.cpp
+++ b/src/assign_gates.cpp
@@ -106,7 +106,7 @@
             view.since_lease_granted = std::min(view.since_lease_granted, now - row->granted_at);
         }
     }
-    view.since_became_first = gate.first ? now - gate.first_since : duration::zero();
+    view.since_became_first = gate.is_first_ranked ? now - gate.first_since : duration::zero();
     if (own_position == ranked.end()) return view;
     if (const member* successor = find_successor(ranked.subspan(view.rank + 1), members)) {
         view.has_successor = true;
@@ -152,8 +152,8 @@
             gate.queue = fair_queue(t.settings.queue_capacity);
         }
         gate.service = server.service;
-        if (first && !gate.first) gate.first_since = time.now;
-        gate.first = first;
+        if (first && !gate.is_first_ranked) gate.first_since = time.now;
+        gate.is_first_ranked = first;
         if (!first) {
             gate.share = 0;
             gate.leased_since = instant{};
@@ -176,7 +176,7 @@
     std::erase_if(t.gates, [&](const auto& entry) {
         const gate_row& gate = entry.second;
         const bool idle = gate.running.empty() && gate.queue.empty();
-        return idle && (!gate.first || !t.servers.contains(entry.first));
+        return idle && (!gate.is_first_ranked || !t.servers.contains(entry.first));
     });
 }
 
--- a/src/call_limit.h
+++ b/src/call_timeouts.h
@@ -7,12 +7,12 @@
 
 namespace worksshift {
 
-struct call_limit {
+struct call_timeouts {
     /** Timeout of the complete call. */
-    duration whole{};
-    /** Longest time without a received byte; zero: limited only by `whole`. Distinguishes a long
+    duration total{};
+    /** Longest time without a received byte; zero: limited only by `total`. Distinguishes a long
      * response from a peer that does not respond. */
-    duration silence{};
+    duration idle{};
 };
 
 } // namespace worksshift
--- a/src/caller_connections.cpp
+++ b/src/caller_connections.cpp
@@ -41,7 +41,7 @@
 
 struct caller_connections::connection_state {
     explicit connection_state(std::size_t max_head_bytes)
-        : reader(http_reader::side::requests, max_head_bytes)
+        : reader(http_reader::message_kind::requests, max_head_bytes)
     {
     }
 
@@ -256,10 +256,10 @@
     evbuffer* out = bufferevent_get_output(connection->socket.get());
     evbuffer_add(out, text.data(), text.size());
     evbuffer_add(out, body.data(), body.size());
-    this->finish(request);
+    this->finish_response(request);
 }
 
-void caller_connections::answer(std::uint64_t request, const own_answer& response)
+void caller_connections::send_local_response(std::uint64_t request, const local_response& response)
 {
     http_head head;
     head.status = response.status;
@@ -273,7 +273,8 @@
     this->send_response(request, head, response.text);
 }
 
-void caller_connections::begin(std::uint64_t request, const http_head& head, std::string_view piece)
+void caller_connections::begin_response(std::uint64_t request, const http_head& head,
+                                        std::string_view piece)
 {
     connection_state* connection = this->find(request);
     if (connection == nullptr) return;
@@ -281,10 +282,10 @@
     connection->chunked = true;
     const std::string text = this->write_head(*connection, head, std::nullopt);
     evbuffer_add(bufferevent_get_output(connection->socket.get()), text.data(), text.size());
-    this->add(request, piece);
+    this->add_response_data(request, piece);
 }
 
-void caller_connections::add(std::uint64_t request, std::string_view piece)
+void caller_connections::add_response_data(std::uint64_t request, std::string_view piece)
 {
     connection_state* connection = this->find(request);
     if (connection == nullptr) return;
@@ -292,7 +293,7 @@
     flush_output(connection->socket.get());
 }
 
-void caller_connections::finish(std::uint64_t request)
+void caller_connections::finish_response(std::uint64_t request)
 {
     connection_state* connection = this->find(request);
     if (connection == nullptr) return;
@@ -319,7 +320,7 @@
     this->read(connection);
 }
 
-void caller_connections::abort(std::uint64_t request)
+void caller_connections::abort_response(std::uint64_t request)
 {
     connection_state* connection = this->find(request);
     if (connection == nullptr) return;
--- a/src/claims.cpp
+++ b/src/claims.cpp
@@ -425,7 +425,7 @@
         const std::string key = message.key;
         enqueue(t, key, {from, std::move(message), time.now});
     }
-    for (const object_result& result : t.in.objects) {
+    for (const object_result& result : t.in.object_results) {
         const auto row = std::ranges::find(t.claims.buckets, result.id,
                                            [](const auto& entry) { return entry.second.call; });
         if (row != t.claims.buckets.end()) handle_result(t, row->second, result, time);
--- a/src/cold_servers.h
+++ b/src/cold_servers.h
@@ -26,8 +26,8 @@
 
 /** Requests beyond the configured rate that a cold server tolerates. */
 struct cold_tolerance {
-    double over = 1;  ///< factor applied to the rate
-    double slack = 0; ///< additional requests in any second
+    double rate_multiple = 1;  ///< factor applied to the rate
+    double extra_requests = 0; ///< additional requests in any second
 };
 
 /** Limits on the requests that all VMs together send to one cold server. */
@@ -36,7 +36,8 @@
     double max_in_any_second = 0; ///< maximum number of requests in any second
 
     cold_request_limit(double per_s, const cold_tolerance& tolerance)
-        : per_s(per_s), max_in_any_second(per_s * tolerance.over + tolerance.slack)
+        : per_s(per_s),
+          max_in_any_second(per_s * tolerance.rate_multiple + tolerance.extra_requests)
     {
     }
 };
@@ -51,10 +52,11 @@
     std::vector<std::uint32_t> data_centres; ///< all known, this VM's own included
     bool complete = false;                   ///< this VM has run for long enough to know the others
 
-    void add(std::uint32_t other)
+    void add_data_centre(std::uint32_t data_centre_hash)
     {
-        const bool known = std::ranges::find(this->data_centres, other) != this->data_centres.end();
-        if (other != 0 && !known) this->data_centres.push_back(other);
+        const bool known =
+            std::ranges::find(this->data_centres, data_centre_hash) != this->data_centres.end();
+        if (data_centre_hash != 0 && !known) this->data_centres.push_back(data_centre_hash);
     }
 };
 
--- a/src/config_follower.h
+++ b/src/config_follower.h
@@ -40,7 +40,7 @@
 
     [[nodiscard]] const router_config_ptr& config() const { return this->current; }
     [[nodiscard]] std::uint64_t version() const;
-    [[nodiscard]] bool follows() const { return this->follow.watch.follows(); }
+    [[nodiscard]] bool receives_updates() const { return this->follow.watch.receives_updates(); }
     [[nodiscard]] std::uint64_t store_calls(read_mode mode) const
     {
         return this->client.calls(mode);
--- a/src/crash_suspects.cpp
+++ b/src/crash_suspects.cpp
@@ -273,7 +273,7 @@
     return reports;
 }
 
-void crash_suspects::describe(fleet_digest& digest, instant now)
+void crash_suspects::fill_digest(fleet_digest& digest, instant now)
 {
     digest.crash_reports = next_reports(this->for_local_vms);
     for (const auto& [content, state] : this->suspects) {
@@ -290,7 +290,7 @@
     return next_reports(this->for_remote_vms);
 }
 
-void crash_suspects::forget(instant now)
+void crash_suspects::expire(instant now)
 {
     std::erase_if(this->unchecked_attempts, [now](const broken_attempt& attempt) {
         return now - attempt.broken_at > check_timeout;
--- a/src/crash_suspects.h
+++ b/src/crash_suspects.h
@@ -78,11 +78,11 @@
      * Returns whether there is an update that other VMs should get soon. */
     bool handle_digest(const fleet_digest& received, bool local, instant now);
     /** Fills in the blocked contents, and the reports for VMs of this data centre. */
-    void describe(fleet_digest& digest, instant now);
+    void fill_digest(fleet_digest& digest, instant now);
     /** Returns the next reports for VMs of other data centres. */
     std::vector<crash_report> reports_to_remote_vms();
     /** Drops expired entries. */
-    void forget(instant now);
+    void expire(instant now);
 
     /** Whether there was an update since the last call that other VMs should get soon. */
     bool take_urgent() { return std::exchange(this->urgent, false); }
--- a/src/daemon.cpp
+++ b/src/daemon.cpp
@@ -50,8 +50,8 @@
 
 daemon::daemon(const settings& process_settings)
     : options(process_settings), base(make_event_base()), auth(options.fleet_key),
-      core(describe_self(options), options.node, options.membership, random_number(),
-           random_number()),
+      core(describe_self(options), options.node, options.membership, random_process_id(),
+           random_process_id()),
       links(base.get(), options.vm, options.link, auth),
       gossip(base.get(), options.link, auth, options.datagram_loss_percent),
       front(base.get(), options, telemetry),
@@ -100,7 +100,7 @@
     this->front.on_request.connect(
         [this](const accepted_request& accepted) { this->accept_request(accepted); });
     this->front.on_disconnect.connect([this](std::uint64_t request) {
-        this->core.data().in.departures.push_back(request);
+        this->core.data().in.disconnects.push_back(request);
         this->release_request(request);
         this->schedule_tick();
     });
@@ -108,11 +108,11 @@
         this->return_credit(request, bytes);
     });
     this->front.extra_metrics = [this] { return this->format_metrics(); };
-    this->core.answers().on_head.connect(
+    this->core.responses().on_head.connect(
         [this](std::uint64_t request, std::uint16_t status, const std::vector<header>& headers) {
             this->front.send_head(request, status, headers);
         });
-    this->core.answers().on_data.connect([this](std::uint64_t request, std::string_view bytes) {
+    this->core.responses().on_data.connect([this](std::uint64_t request, std::string_view bytes) {
         this->front.send_data(request, bytes);
     });
     this->writer.on_accepted.connect([this] { this->schedule_tick(); });
@@ -156,7 +156,7 @@
     this->core.tick({time, unix_seconds()});
     for (const action& next_action : this->core.take_actions())
         this->execute(next_action);
-    for (const outgoing_gossip& datagram : this->core.members().drain()) {
+    for (const outgoing_gossip& datagram : this->core.members().take_datagrams()) {
         this->gossip.send(datagram, time);
     }
     const auto& config = this->core.config().config;
@@ -190,8 +190,8 @@
 void daemon::execute_one(const bind_attempt& command)
 {
     const auto stream = this->streams.find(command.request);
-    this->core.answers().bind(command.request, command.id, command.gate,
-                              stream != this->streams.end() && stream->second);
+    this->core.responses().bind(command.request, command.id, command.gate,
+                                stream != this->streams.end() && stream->second);
 }
 
 void daemon::execute_one(const complete_request& command)
@@ -220,7 +220,7 @@
 /** Releases the data path's state of a request that has ended. */
 void daemon::release_request(std::uint64_t request)
 {
-    this->core.answers().release(request);
+    this->core.responses().release(request);
     this->streams.erase(request);
     this->credits.erase(request);
 }
@@ -228,7 +228,7 @@
 void daemon::execute_one(const object_call& command)
 {
     this->platform.run(command, [this](const object_result& result) {
-        this->core.data().in.objects.push_back(result);
+        this->core.data().in.object_results.push_back(result);
         this->schedule_tick();
     });
 }
@@ -286,7 +286,7 @@
     std::uint32_t& drained = this->credits[request];
     drained += bytes;
     if (drained < min_credit_bytes) return;
-    const auto binding = this->core.answers().find_binding(request);
+    const auto binding = this->core.responses().find_binding(request);
     if (!binding) return;
     this->send(binding->second, data_credit{binding->first, drained});
     drained = 0;
@@ -372,7 +372,7 @@
 void daemon::poll_loads()
 {
     for (const auto& [id, gate] : this->core.data().gates) {
-        if (gate.first) this->poll_load(gate);
+        if (gate.is_first_ranked) this->poll_load(gate);
     }
 }
 
--- a/src/daemon.h
+++ b/src/daemon.h
@@ -84,8 +84,8 @@
     timer load_poll_timer;
     timer watch_timer;
     timer stop_timer;
-    signal_watch on_term;
-    signal_watch on_int;
+    signal_handler on_term;
+    signal_handler on_int;
 
     std::unordered_map<std::uint64_t, bool> streams; ///< whether the request asked for a stream
     /** Bytes written to the caller of each request and not yet returned to the gate as credit. */
--- a/src/engine_orders.cpp
+++ b/src/engine_orders.cpp
@@ -136,7 +136,8 @@
     next_request_at = time.now + request_period;
     for (const auto& [id, gate] : t.gates) {
         const auto service = t.services.find(gate.service);
-        if (!gate.first || !gate.versions.versions_reported || service == t.services.end())
+        if (!gate.is_first_ranked || !gate.versions.versions_reported ||
+            service == t.services.end())
             continue;
         if (service->second.config.versions.empty()) continue;
         order_request order = next_order(gate, service->second.config);
--- a/src/evacuation_follower.cpp
+++ b/src/evacuation_follower.cpp
@@ -38,13 +38,13 @@
 void evacuation_follower::apply()
 {
     this->gossip.send_early();
-    this->servers.set_evacuated(this->state.places(), std::chrono::steady_clock::now());
+    this->servers.set_evacuated(this->state.data_centre_hashes(), std::chrono::steady_clock::now());
     std::string names;
     for (const data_centre_id& centre : this->evacuated())
         names.append(names.empty() ? "" : ",").append(centre.text);
     log_event(log_level::info, "evacuations_in_force",
               {{"data_centres", names},
-               {"entries", this->state.places().size()},
+               {"entries", this->state.data_centre_hashes().size()},
                {"revision", this->state.revision()}});
 }
 
@@ -61,7 +61,7 @@
 void evacuation_follower::describe(fleet_digest& digest, bool all_servers_known) const
 {
     std::set<std::uint32_t> known;
-    if (all_servers_known && this->state.places().size() > max_evacuated_data_centres) {
+    if (all_servers_known && this->state.data_centre_hashes().size() > max_evacuated_data_centres) {
         for (const auto& [hash, name] : this->data_centres_by_hash())
             known.insert(hash);
     }
@@ -72,7 +72,7 @@
 {
     std::vector<data_centre_id> found;
     for (const auto& [hash, name] : this->data_centres_by_hash()) {
-        if (this->state.places().contains(hash)) found.push_back(name);
+        if (this->state.data_centre_hashes().contains(hash)) found.push_back(name);
     }
     return found;
 }
--- a/src/evacuations.h
+++ b/src/evacuations.h
@@ -39,7 +39,10 @@
     [[nodiscard]] bool known() const { return this->newest > 0; }
     [[nodiscard]] std::uint64_t revision() const { return this->newest; }
     /** The evacuated data centres, by the low 32 bits of the hashes of their names. */
-    [[nodiscard]] const std::set<std::uint32_t>& places() const { return this->current; }
+    [[nodiscard]] const std::set<std::uint32_t>& data_centre_hashes() const
+    {
+        return this->current;
+    }
     [[nodiscard]] bool includes(const data_centre_id& data_centre) const
     {
         return this->current.contains(static_cast<std::uint32_t>(data_centre.hash()));
--- a/src/event_loop.cpp
+++ b/src/event_loop.cpp
@@ -47,11 +47,11 @@
     evtimer_add(this->inner.get(), &wait);
 }
 
-signal_watch::signal_watch(event_base* base, int number, std::function<void()> action)
+signal_handler::signal_handler(event_base* base, int number, std::function<void()> action)
     : action(std::move(action))
 {
     const auto on_event = [](evutil_socket_t, short, void* self) {
-        static_cast<signal_watch*>(self)->action();
+        static_cast<signal_handler*>(self)->action();
     };
     this->inner.reset(evsignal_new(base, number, on_event, this));
     evsignal_add(this->inner.get(), nullptr);
--- a/src/event_loop.h
+++ b/src/event_loop.h
@@ -49,9 +49,9 @@
 };
 
 /** Calls a function when a signal arrives. */
-class signal_watch {
+class signal_handler {
 public:
-    signal_watch(event_base* base, int number, std::function<void()> action);
+    signal_handler(event_base* base, int number, std::function<void()> action);
 
 private:
     std::function<void()> action;
--- a/src/fair_queue.cpp
+++ b/src/fair_queue.cpp
@@ -14,7 +14,7 @@
     row.last_finish = start + request.cost / request.weight;
     row.waiting_cost += request.cost;
     ++row.count;
-    this->queued[{request.urgency, row.last_finish, this->arrivals++}] = request;
+    this->queued[{request.request_priority, row.last_finish, this->arrivals++}] = request;
     if (this->queued.size() <= this->capacity) return std::nullopt;
 
     const auto waiting_cost_per_weight = [](const auto& entry) {
--- a/src/fair_queue.h
+++ b/src/fair_queue.h
@@ -32,7 +32,7 @@
     client_account_id account;
     std::uint32_t cost = 1; ///< tokens
     double weight = 1;
-    priority urgency = priority::interactive;
+    priority request_priority = priority::interactive;
     instant deadline{}; ///< latest start
     instant since{};    ///< when it was queued
 };
--- a/src/fleet_gossip.cpp
+++ b/src/fleet_gossip.cpp
@@ -37,7 +37,7 @@
 fleet_table::identity identify(const link_address& listen, const data_centre_id& data_centre)
 {
     return {to_host_order(listen), static_cast<std::uint32_t>(data_centre.hash()),
-            static_cast<std::uint32_t>(random_number())};
+            static_cast<std::uint32_t>(random_process_id())};
 }
 
 } // namespace
@@ -118,7 +118,8 @@
         const auto entry = fleet.vms().find(from);
         const bool known =
             entry != fleet.vms().end() && entry->second.last_received_at != instant{};
-        const fleet_vm* sender = fleet.take(from, decode_digest(bytes, to_text(from)), now());
+        const fleet_vm* sender =
+            fleet.apply_digest(from, decode_digest(bytes, to_text(from)), now());
         if (sender == nullptr) return;
         if (!known) log_event(log_level::info, "vm_found", {{"peer", to_text(from)}});
         this->on_digest.emit(*sender);
--- a/src/fleet_lease.cpp
+++ b/src/fleet_lease.cpp
@@ -150,7 +150,7 @@
 void maintain_lease(tables& t, const tick_time& time)
 {
     lease_row& lease = t.lease;
-    for (const object_result& result : t.in.objects) {
+    for (const object_result& result : t.in.object_results) {
         if (result.id == lease.call && lease.call != 0) handle_result(lease, result, time.now);
     }
     if (lease.call != 0 && time.now - lease.call_started_at > object_call_timeout) {
--- a/src/fleet_rounds.h
+++ b/src/fleet_rounds.h
@@ -66,7 +66,10 @@
     [[nodiscard]] fleet_table& fleet() { return this->table; }
     [[nodiscard]] const fleet_table& fleet() const { return this->table; }
     /** Requests from all other VMs at each server. */
-    [[nodiscard]] load_table loads_of_others(instant now) const { return this->loads.others(now); }
+    [[nodiscard]] load_table loads_of_others(instant now) const
+    {
+        return this->loads.loads_of_others(now);
+    }
     [[nodiscard]] duration period() const { return this->round_period; }
 
 private:
--- a/src/fleet_table.cpp
+++ b/src/fleet_table.cpp
@@ -78,7 +78,7 @@
     vm.alive_at = std::max(vm.alive_at, alive);
 }
 
-const fleet_vm* fleet_table::take(std::uint32_t from, fleet_digest digest, instant now)
+const fleet_vm* fleet_table::apply_digest(std::uint32_t from, fleet_digest digest, instant now)
 {
     this->record_vm(from, digest.data_centre, now, now);
     const auto found = this->table.find(from);
@@ -101,9 +101,9 @@
     vm.answer_pending = digest.joining;
     for (const vm_liveness_report& report : digest.vms)
         this->record_vm(report.address, report.data_centre, now - report.age * age_unit, now);
-    vm.own_loads.take(std::exchange(digest.own_loads, {}));
-    vm.centre_loads.take(std::exchange(digest.centre_loads, {}));
-    vm.remote_loads.take(std::exchange(digest.remote_loads, {}));
+    vm.own_loads.apply(std::exchange(digest.own_loads, {}));
+    vm.centre_loads.apply(std::exchange(digest.centre_loads, {}));
+    vm.remote_loads.apply(std::exchange(digest.remote_loads, {}));
     vm.last = std::move(digest);
     return &vm;
 }
@@ -153,7 +153,7 @@
     return found;
 }
 
-std::size_t fleet_table::alive(instant now) const
+std::size_t fleet_table::alive_count(instant now) const
 {
     const auto others = std::ranges::count_if(
         this->table, [&](const auto& entry) { return this->is_alive(entry.second, now); });
@@ -190,7 +190,7 @@
         // A seed that was never seen may not exist.
         if (vm.alive_at == instant{}) continue;
         if (vm.data_centre == this->own.data_centre) found.local_vms.push_back(address);
-        found.add(vm.data_centre);
+        found.add_data_centre(vm.data_centre);
     }
     return found;
 }
--- a/src/fleet_table.h
+++ b/src/fleet_table.h
@@ -72,7 +72,7 @@
     void add_seeds(std::span<const std::uint32_t> new_seeds, instant now);
     /** Applies a digest received from address \p from. Returns its sender; nullptr if a newer
      * digest arrived before, or if \p from is the address of this VM. */
-    const fleet_vm* take(std::uint32_t from, fleet_digest digest, instant now);
+    const fleet_vm* apply_digest(std::uint32_t from, fleet_digest digest, instant now);
     /** Removes VMs that were not seen for `dead_vm_retention`, except seeds. */
     void remove_dead_vms(instant now);
 
@@ -91,7 +91,7 @@
     /** All VMs that are not silent. */
     [[nodiscard]] std::vector<const fleet_vm*> responsive_vms(instant now) const;
     /** Number of VMs that are alive, including this one. */
-    [[nodiscard]] std::size_t alive(instant now) const;
+    [[nodiscard]] std::size_t alive_count(instant now) const;
     /** Whether this VM asks for replies to its digests; see `joining_period`. */
     [[nodiscard]] bool is_joining(instant now) const;
     /** The VMs of this data centre in the table, including recently lost ones, and the data centres
--- a/src/http_client.cpp
+++ b/src/http_client.cpp
@@ -7,7 +7,7 @@
 
 namespace worksshift {
 
-std::string http_response::find(std::string_view name) const
+std::string http_response::header_value(std::string_view name) const
 {
     const std::string wanted(name);
     const auto found = std::ranges::find_if(this->headers, [&](const header& entry) {
@@ -41,7 +41,7 @@
 
 std::uint64_t http_client::call(const link_address& to, evhttp_cmd_type method,
                                 const std::string& path, const std::vector<header>& headers,
-                                const std::string& body, const call_limit& limit,
+                                const std::string& body, const call_timeouts& limit,
                                 http_handler handler)
 {
     this->calls.push_back(std::make_unique<pending_call>());
@@ -50,11 +50,11 @@
     pending->handler = std::move(handler);
     pending->deadline =
         std::make_unique<timer>(this->base, [pending] { finish(*pending, nullptr); });
-    pending->deadline->start_once(limit.whole);
+    pending->deadline->start_once(limit.total);
     pending->connection.reset(evhttp_connection_base_bufferevent_new(this->base, nullptr, nullptr,
                                                                      to.address.c_str(), to.port));
-    if (limit.silence > duration::zero()) {
-        const timeval silence = to_timeval(limit.silence);
+    if (limit.idle > duration::zero()) {
+        const timeval silence = to_timeval(limit.idle);
         evhttp_connection_set_timeout_tv(pending->connection.get(), &silence);
     }
     const auto done = [](evhttp_request* completed, void* context) {
--- a/src/http_client.h
+++ b/src/http_client.h
@@ -9,7 +9,7 @@
 #include <memory>
 #include <string>
 
-#include "call_limit.h"
+#include "call_timeouts.h"
 #include "event_loop.h"
 #include "link_address.h"
 #include "messages.h"
@@ -22,7 +22,7 @@
     std::string body;
 
     /** Value of the first header with this name in any case; empty if there is none. */
-    [[nodiscard]] std::string find(std::string_view name) const;
+    [[nodiscard]] std::string header_value(std::string_view name) const;
 };
 
 /** Called once with the response, or with status 0 if the call failed or timed out. */
@@ -36,7 +36,7 @@
     /** Starts a call and returns its number. */
     std::uint64_t call(const link_address& to, evhttp_cmd_type method, const std::string& path,
                        const std::vector<header>& headers, const std::string& body,
-                       const call_limit& limit, http_handler handler);
+                       const call_timeouts& limit, http_handler handler);
     /** Cancels a call that is still in progress: its handler is not called, and its connection is
      * closed in the next sweep. */
     void cancel(std::uint64_t call);
--- a/src/http_frontend.cpp
+++ b/src/http_frontend.cpp
@@ -173,8 +173,7 @@
         send_bad_request(request, {505, "http_version", "HTTP/1.1 is needed"});
     } else if (evbuffer_get_length(evhttp_request_get_input_buffer(request)) >
                this->options.max_request_body_bytes) {
-        send_bad_request(request,
-                         {413, "body_too_large", "the body is over the limit"});
+        send_bad_request(request, {413, "body_too_large", "the body is over the limit"});
     } else if (this->config == nullptr) {
         fail_request failure;
         failure.code = "no_configuration";
@@ -226,8 +225,8 @@
     pending->service = accepted.row.service;
     pending->account = accepted.row.account;
     pending->started = now;
-    pending->between_pieces =
-        &this->telemetry.find(latency::between_pieces, pending->service, pending->account);
+    pending->between_pieces = &this->telemetry.find_or_create(latency::between_pieces,
+                                                              pending->service, pending->account);
     this->pending_requests[pending->id] = std::move(owned);
 
     const auto closed = [](evhttp_connection*, void* context) {
@@ -303,7 +302,7 @@
     pending_request* pending = this->find(request);
     if (pending == nullptr) return;
     this->telemetry.count("worksshift_answers_done_total");
-    this->telemetry.observe(latency::whole, pending->service, pending->account,
+    this->telemetry.observe(latency::total, pending->service, pending->account,
                             std::chrono::steady_clock::now() - pending->started);
     this->detach(*pending);
     evhttp_send_reply_end(pending->request);
--- a/src/http_wire.cpp
+++ b/src/http_wire.cpp
@@ -47,7 +47,7 @@
     return found == this->headers.end() ? nullptr : &found->value;
 }
 
-http_reader::http_reader(side reader_side, std::size_t max_head_bytes)
+http_reader::http_reader(message_kind reader_side, std::size_t max_head_bytes)
     : reader_side(reader_side), max_head_bytes(max_head_bytes)
 {
     this->reset();
@@ -101,7 +101,7 @@
 void http_reader::reset()
 {
     http_parser_init(&this->parser,
-                     this->reader_side == side::requests ? HTTP_REQUEST : HTTP_RESPONSE);
+                     this->reader_side == message_kind::requests ? HTTP_REQUEST : HTTP_RESPONSE);
     this->parser.data = this;
     this->head = http_head{};
     this->head_bytes = 0;
@@ -116,7 +116,7 @@
 {
     this->head_read = true;
     this->head.keep_alive = http_should_keep_alive(&this->parser) != 0;
-    if (this->reader_side == side::requests) {
+    if (this->reader_side == message_kind::requests) {
         this->head.method = http_method_str(static_cast<http_method>(this->parser.method));
     } else {
         this->head.status = static_cast<int>(this->parser.status_code);
@@ -168,7 +168,7 @@
         if (result == read_result::need_more) continue;
         constexpr int informational = 100;
         const bool interim = result == read_result::message_complete &&
-                             this->reader_side == side::answers &&
+                             this->reader_side == message_kind::responses &&
                              this->head.status / informational == 1;
         if (result == read_result::message_complete) this->reset();
         if (!interim) return result;
--- a/src/http_wire.h
+++ b/src/http_wire.h
@@ -46,9 +46,9 @@
  * after it stay unread. */
 class http_reader {
 public:
-    enum class side : std::uint8_t { requests, answers };
+    enum class message_kind : std::uint8_t { requests, responses };
 
-    http_reader(side reader_side, std::size_t max_head_bytes);
+    http_reader(message_kind reader_side, std::size_t max_head_bytes);
 
     /** Called with each complete head, except those of informational (1xx) responses. */
     std::function<void(http_head&)> on_head;
@@ -76,7 +76,7 @@
     int handle_head();
     read_result classify(std::size_t input_size, std::size_t consumed);
 
-    side reader_side;
+    message_kind reader_side;
     std::size_t max_head_bytes;
     http_parser parser{};
     http_head head;
--- a/src/intents.cpp
+++ b/src/intents.cpp
@@ -217,7 +217,8 @@
         service_config& service = require_service(this->config, requested.service);
         if (service.serving == requested.version) {
             fail_at(step, "version",
-                    "callers are served by " + requested.version + "; let another version serve first");
+                    "callers are served by " + requested.version +
+                        "; let another version serve first");
         }
         if (std::erase(service.versions, requested.version) == 0) {
             fail_at(step, "version", service.id.text + " has no version " + requested.version);
--- a/src/load_exchange.cpp
+++ b/src/load_exchange.cpp
@@ -158,7 +158,7 @@
     return messages;
 }
 
-load_table load_exchange::others(instant now) const
+load_table load_exchange::loads_of_others(instant now) const
 {
     load_table remote_all = this->remote_sums(now);
     load_table sums;
--- a/src/load_exchange.h
+++ b/src/load_exchange.h
@@ -50,7 +50,7 @@
     std::vector<remote_message> make_remote_messages();
 
     /** Requests from all other VMs, as far as they reported them. */
-    [[nodiscard]] load_table others(instant now) const;
+    [[nodiscard]] load_table loads_of_others(instant now) const;
 
 private:
     [[nodiscard]] std::size_t slice_of(std::uint32_t server) const;
--- a/src/load_tables.cpp
+++ b/src/load_tables.cpp
@@ -46,7 +46,7 @@
     return message;
 }
 
-void load_replica::take(const load_part& part)
+void load_replica::apply(const load_part& part)
 {
     std::erase_if(this->table, [&](const load_entry& entry) {
         const auto listed = std::ranges::find(part.entries, entry.server, &load_entry::server);
--- a/src/load_tables.h
+++ b/src/load_tables.h
@@ -44,7 +44,7 @@
 /** Copy of another VM's table, assembled from the parts received. */
 class load_replica {
 public:
-    void take(const load_part& part);
+    void apply(const load_part& part);
     [[nodiscard]] std::span<const load_entry> entries() const { return this->table; }
 
 private:
--- a/src/membership.cpp
+++ b/src/membership.cpp
@@ -391,7 +391,7 @@
     this->outbox.push_back({to, row->info.address, row->info.port, std::move(message)});
 }
 
-std::vector<outgoing_gossip> membership::drain()
+std::vector<outgoing_gossip> membership::take_datagrams()
 {
     return std::exchange(this->outbox, {});
 }
--- a/src/membership.h
+++ b/src/membership.h
@@ -69,7 +69,7 @@
 public:
     membership(member_update self, membership_settings settings, std::uint64_t seed);
 
-    /** Handles an authenticated datagram; replies are returned by the next `drain`. */
+    /** Handles an authenticated datagram; replies are returned by the next `take_datagrams`. */
     void receive(const gossip_message& message, instant now);
     /** Merges the platform's list. Because the list lags, it only adds members and lets dead
      * members that are not in it be removed early; it never marks a responding member dead. */
@@ -93,7 +93,7 @@
     void set_config_revision(std::uint64_t revision) { this->config_revision = revision; }
 
     /** Returns and clears the datagrams to send, in order. */
-    std::vector<outgoing_gossip> drain();
+    std::vector<outgoing_gossip> take_datagrams();
     /** Queues notices for a few random live members, so that a new revision spreads at once. */
     void announce_revision();
     /** Queues a notice with load summaries for one member. */
--- a/src/messages.h
+++ b/src/messages.h
@@ -321,28 +321,28 @@
 /** Entry to an account's home VM: requests tokens of the account's rate, see account_quota.h. */
 struct quota_request {
     client_account_id account;
-    std::uint64_t number = 0;     ///< sequence number at the entry, to recognise late replies
+    std::uint64_t sequence = 0;   ///< sequence number at the entry, to recognise late replies
     std::uint64_t tokens = 0;     ///< requested
     std::uint64_t min_tokens = 0; ///< smallest grant that is of use
 
     template <class Archive>
     void serialize(Archive& archive)
     {
-        archive(this->account, this->number, this->tokens, this->min_tokens);
+        archive(this->account, this->sequence, this->tokens, this->min_tokens);
     }
 };
 
 /** The account's home VM to the entry. */
 struct quota_reply {
     client_account_id account;
-    std::uint64_t number = 0;
+    std::uint64_t sequence = 0;
     std::uint64_t tokens = 0;         ///< granted
     std::uint32_t retry_after_ms = 0; ///< when none were granted
 
     template <class Archive>
     void serialize(Archive& archive)
     {
-        archive(this->account, this->number, this->tokens, this->retry_after_ms);
+        archive(this->account, this->sequence, this->tokens, this->retry_after_ms);
     }
 };
 
--- a/src/metrics.cpp
+++ b/src/metrics.cpp
@@ -17,7 +17,7 @@
         return "worksshift_first_byte_seconds";
     case latency::between_pieces:
         return "worksshift_between_pieces_seconds";
-    case latency::whole:
+    case latency::total:
         return "worksshift_request_seconds";
     }
     return "";
@@ -50,8 +50,8 @@
     this->sum += span;
 }
 
-metrics::series& metrics::find(latency kind, const service_id& service,
-                               const client_account_id& account)
+metrics::series& metrics::find_or_create(latency kind, const service_id& service,
+                                         const client_account_id& account)
 {
     const key name{kind, service, this->histogram_account(account)};
     const auto found = this->histograms.find(name);
--- a/src/metrics.h
+++ b/src/metrics.h
@@ -20,7 +20,7 @@
 
 /** The measured intervals: from the request to the first byte of the response, between two pieces
  * of a streamed response, and from the request to the end of the response. */
-enum class latency : std::uint8_t { first_byte, between_pieces, whole };
+enum class latency : std::uint8_t { first_byte, between_pieces, total };
 
 class metrics {
 public:
@@ -35,11 +35,12 @@
     };
 
     /** Histogram of a service and account, created if missing. References stay valid. */
-    series& find(latency kind, const service_id& service, const client_account_id& account);
+    series& find_or_create(latency kind, const service_id& service,
+                           const client_account_id& account);
     void observe(latency kind, const service_id& service, const client_account_id& account,
                  duration value)
     {
-        this->find(kind, service, account).add(value);
+        this->find_or_create(kind, service, account).add(value);
     }
     void count(const std::string& name, std::uint64_t add = 1) { this->counters[name] += add; }
 
@@ -48,7 +49,7 @@
 
 private:
     struct key {
-        latency kind = latency::whole;
+        latency kind = latency::total;
         service_id service;
         client_account_id account;
         auto operator<=>(const key&) const = default;
--- a/src/node.cpp
+++ b/src/node.cpp
@@ -80,7 +80,7 @@
         hand_over_chats(t, time);
     });
     t.in.lost_peers.clear();
-    t.in.objects.clear();
+    t.in.object_results.clear();
 }
 
 void node::apply_config(const tick_time& time)
--- a/src/node.h
+++ b/src/node.h
@@ -6,9 +6,9 @@
  */
 #pragma once
 
-#include "answer_relay.h"
 #include "assign_gates.h"
 #include "membership.h"
+#include "response_relay.h"
 #include "sync_config.h"
 #include "tables.h"
 
@@ -44,7 +44,7 @@
     [[nodiscard]] const tables& data() const { return this->rows; }
     [[nodiscard]] membership& members() { return this->member_table; }
     [[nodiscard]] config_state& config() { return this->configuration; }
-    [[nodiscard]] answer_relay& answers() { return this->relay; }
+    [[nodiscard]] response_relay& responses() { return this->relay; }
 
 private:
     void update_homes();
@@ -54,7 +54,7 @@
     membership member_table;
     config_state configuration;
     gate_assignment assignment;
-    answer_relay relay;
+    response_relay relay;
     instant next_loads{};
     instant next_expiry{};
     instant next_order_request{};
--- a/src/placement_policy.h
+++ b/src/placement_policy.h
@@ -40,7 +40,7 @@
     double slow_multiple = 2;
     /** Multiple of the silence timeout after which a request is retried elsewhere if its server
      * still answers other requests. */
-    double patience_while_heard = 4;
+    double responsive_timeout_multiple = 4;
     /** At this share of recent failures, as reported by VMs of the same data centre, an engine gets
      * only occasional trial requests; 0: none is avoided. */
     double failing_share = 0.3;
--- a/src/platform_client.cpp
+++ b/src/platform_client.cpp
@@ -39,7 +39,7 @@
     object_result result;
     result.id = id;
     result.status = to_status(response.status);
-    const std::string version = response.find("X-Version");
+    const std::string version = response.header_value("X-Version");
     if (result.status == object_status::ok) {
         if (version.empty() || version.find_first_not_of("0123456789") != std::string::npos) {
             result.status = object_status::failed;
--- a/src/process.cpp
+++ b/src/process.cpp
@@ -14,7 +14,7 @@
     setrlimit(RLIMIT_NOFILE, &limit);
 }
 
-std::uint64_t random_number()
+std::uint64_t random_process_id()
 {
     std::random_device device;
     return (static_cast<std::uint64_t>(device()) << 32U) | device();
--- a/src/process.h
+++ b/src/process.h
@@ -12,6 +12,6 @@
 void raise_file_limit();
 
 /** 64-bit random number that identifies one start of a process, from std::random_device. */
-std::uint64_t random_number();
+std::uint64_t random_process_id();
 
 } // namespace worksshift
--- a/src/registry_feed.cpp
+++ b/src/registry_feed.cpp
@@ -27,7 +27,7 @@
 template <class Archive>
 void serialize(Archive& archive, registry_update& update)
 {
-    archive(update.revision, update.whole, update.objects, update.kept,
+    archive(update.revision, update.complete, update.objects, update.retained,
             update.oldest_known_revision);
 }
 
@@ -90,16 +90,16 @@
                           : object.revision > known->second.revision;
 }
 
-std::optional<registry_update> registry_feed::take(const registry_update& update)
+std::optional<registry_update> registry_feed::apply(const registry_update& update)
 {
     if (update.revision <= this->newest_revision && this->newest_revision != 0) return std::nullopt;
     if (this->newest_revision == 0) this->first = update.revision;
-    if (update.whole) {
+    if (update.complete) {
         this->apply_list(update.objects, update.revision);
         return update;
     }
     registry_update newer_part{
-        update.revision, false, {}, update.kept, update.oldest_known_revision};
+        update.revision, false, {}, update.retained, update.oldest_known_revision};
     std::ranges::copy_if(update.objects, std::back_inserter(newer_part.objects),
                          [this](const stored_object& object) { return this->is_newer(object); });
     for (const stored_object& object : newer_part.objects)
@@ -113,8 +113,8 @@
     registry_update update;
     update.revision = this->newest_revision;
     update.oldest_known_revision = this->first;
-    update.whole = revision < this->compacted_revision;
-    if (update.whole) {
+    update.complete = revision < this->compacted_revision;
+    if (update.complete) {
         for (const auto& [name, object] : this->entries)
             update.objects.push_back(object);
         return update;
--- a/src/registry_feed.h
+++ b/src/registry_feed.h
@@ -30,12 +30,12 @@
 /** Response of one VM to another: everything that changed since a revision. */
 struct registry_update {
     std::uint64_t revision = 0; ///< revision of the registry after these objects are applied
-    bool whole = false;         ///< the objects are the complete registry, not changes
+    bool complete = false;      ///< the objects are the complete registry, not changes
     std::vector<stored_object> objects;
     /** Sorted by name. Servers that are neither here nor among the present objects have left,
      * provided that the sending VM knew them: it knows those that were listed at revision
      * `oldest_known_revision` or later. */
-    std::vector<retained_server> kept{};
+    std::vector<retained_server> retained{};
     std::uint64_t oldest_known_revision = 0;
 };
 
@@ -53,7 +53,7 @@
     /** Applies an update and returns the part of it that was new; std::nullopt if the update is no
      * newer than what is known. Updates come from the store and from other VMs, some of them
      * seconds late. */
-    std::optional<registry_update> take(const registry_update& update);
+    std::optional<registry_update> apply(const registry_update& update);
     [[nodiscard]] registry_update since(std::uint64_t revision) const;
     [[nodiscard]] std::uint64_t revision() const { return this->newest_revision; }
 
--- a/src/registry_follower.cpp
+++ b/src/registry_follower.cpp
@@ -43,11 +43,11 @@
 
 void registry_follower::apply(const registry_update& update, const update_origin& origin)
 {
-    const std::optional<registry_update> newer_part = this->feed.take(update);
+    const std::optional<registry_update> newer_part = this->feed.apply(update);
     if (!newer_part) return;
     this->gossip.send_early();
     const instant time = std::chrono::steady_clock::now();
-    if (newer_part->whole) {
+    if (newer_part->complete) {
         this->registry.apply_list(newer_part->objects, origin, time);
         return;
     }
@@ -106,8 +106,8 @@
                    {"revision", update.revision},
                    {"before", this->feed.revision()},
                    {"objects", update.objects.size()},
-                   {"kept", update.kept.size()},
-                   {"whole", update.whole ? 1 : 0}});
+                   {"kept", update.retained.size()},
+                   {"whole", update.complete ? 1 : 0}});
         this->apply(update, origin_of(update, this->feed.revision(), requested_at));
         this->follow.watch.advance(update.revision);
     } catch (const error& fault) {
@@ -143,7 +143,7 @@
     const auto [found, added] = this->cached_responses.try_emplace(since);
     if (added) {
         registry_update update = this->feed.since(since);
-        update.kept = this->registry.kept(time);
+        update.retained = this->registry.retained_servers(time);
         found->second = encode(update);
     }
     const std::string& body = found->second;
--- a/src/registry_follower.h
+++ b/src/registry_follower.h
@@ -40,7 +40,7 @@
     [[nodiscard]] bool usable() const { return this->known() || !this->table.rows().empty(); }
     [[nodiscard]] std::uint64_t revision() const { return this->feed.revision(); }
     [[nodiscard]] bool store_reachable() const { return this->follow.watch.reachable(); }
-    [[nodiscard]] bool follows() const { return this->follow.watch.follows(); }
+    [[nodiscard]] bool receives_updates() const { return this->follow.watch.receives_updates(); }
     [[nodiscard]] std::uint64_t store_calls(read_mode mode) const
     {
         return this->client.calls(mode);
--- a/src/request_path.cpp
+++ b/src/request_path.cpp
@@ -129,14 +129,14 @@
     request.matched_route =
         host == nullptr ? nullptr : request.config->find(*host, request.head.target);
     if (request.matched_route == nullptr) {
-        this->answer_locally(request, not_found, "no route");
+        this->respond_locally(request, not_found, "no route");
         return false;
     }
     request.priority = request.matched_route->priority;
     if (!request.matched_route->is_public) {
         const auto account = request.config->account_by_key.find(request.metadata.api_key);
         if (account == request.config->account_by_key.end()) {
-            this->answer_locally(request, unauthorized, "unknown key");
+            this->respond_locally(request, unauthorized, "unknown key");
             return false;
         }
         request.account = account->second.name;
@@ -193,7 +193,7 @@
     wanted.allowed_regions = {request.matched_route->allowed_regions, request.account_regions};
     const admission_decision decided =
         this->admission_control.decide(wanted, request.runs == 0 && !request.response_begun, now());
-    std::visit(visitor{[&](const admit_to& to) { this->send(request, to.where); },
+    std::visit(visitor{[&](const admit_to& to) { this->send(request, to.placement); },
                        [&](const retry_later& refusal) { this->refuse(request, refusal); },
                        [&](const no_server& none) {
                            request.retry_after_hint = none.available_in;
@@ -205,14 +205,14 @@
 /** Answers a request that no engine can start in time with 503 and a Retry-After. */
 void request_path::refuse(live_request& request, const retry_later& refusal)
 {
-    request.placement = refusal.where;
+    request.placement = refusal.placement;
     log_event(log_level::info, "refused",
               {{"request", request.metadata.id},
                {"service", request.service.text},
-               {"crowded", static_cast<int>(refusal.where.all_engines_full)},
-               {"load", refusal.where.load},
-               {"mean_load", refusal.where.mean_load},
-               {"wait_ms", in_ms(refusal.where.wait)},
+               {"crowded", static_cast<int>(refusal.placement.all_engines_full)},
+               {"load", refusal.placement.load},
+               {"mean_load", refusal.placement.mean_load},
+               {"wait_ms", in_ms(refusal.placement.wait)},
                {"share", refusal.inputs.admitted_share},
                {"asked_per_s", refusal.inputs.demand_per_s},
                {"served_per_s", refusal.inputs.service_rate_per_s},
@@ -220,8 +220,8 @@
                {"loads_ms", in_ms(now() - this->table.peers_summed_at)},
                {"retry_after_ms", in_ms(refusal.retry_after)}});
     this->telemetry.count("worksshift_refused_total");
-    this->answer_locally(request, unavailable, "not run: all engines are busy",
-                         refusal.retry_after);
+    this->respond_locally(request, unavailable, "not run: all engines are busy",
+                          refusal.retry_after);
 }
 
 void request_path::send(live_request& request, const placement_result& placement)
@@ -261,7 +261,7 @@
     outgoing.body = request.body;
     outgoing.no_response_body = request.head.method == "HEAD";
     outgoing.repeatable = request.matched_route->repeatable();
-    this->servers.start(outgoing);
+    this->servers.start_attempt(outgoing);
 }
 
 live_request* request_path::find_attempt(std::uint64_t attempt)
@@ -280,7 +280,7 @@
     request->row->last_received_at = request->last_byte_at;
     request->response_load = metadata.load;
     if (metadata.load) {
-        request->row->state(*metadata.load, request->last_byte_at);
+        request->row->set_reported_load(*metadata.load, request->last_byte_at);
         request->row->reported_here = true;
     }
     request->refused = metadata.not_executed || head.status == misdirected;
@@ -332,7 +332,7 @@
     if (request->caller_left) return;
     if (!request->streaming) {
         if (request->response_begun) {
-            if (!request->cannot_resume) this->callers.add(request->id, bytes);
+            if (!request->cannot_resume) this->callers.add_response_data(request->id, bytes);
             return;
         }
         request->buffered_body.append(bytes);
@@ -340,7 +340,7 @@
             request->buffered_body.size() > max_buffered_response_bytes && !request->refused;
         if (!begin_forwarding) return;
         request->response_begun = true;
-        this->callers.begin(request->id, request->response_head, request->buffered_body);
+        this->callers.begin_response(request->id, request->response_head, request->buffered_body);
         request->buffered_body.clear();
         return;
     }
@@ -352,12 +352,12 @@
         request->sent_at = {};
     }
     if (request->response_begun) {
-        this->callers.add(request->id, events);
+        this->callers.add_response_data(request->id, events);
         return;
     }
     request->response_begun = true;
     request->first_event_at = request->last_byte_at;
-    this->callers.begin(request->id, request->response_head, events);
+    this->callers.begin_response(request->id, request->response_head, events);
 }
 
 /** Detaches the finished attempt and decrements its server's in-flight count. */
@@ -425,7 +425,7 @@
     if (request.engine && (request.refused || end.result == send_progress::not_sent)) return;
     const bool failed = request.refused || end.result != send_progress::answered ||
                         request.response_head.status >= server_error;
-    server_table::on_answered(*request.row, time - request.sent_at, failed, time);
+    server_table::on_attempt_ended(*request.row, time - request.sent_at, failed, time);
 }
 
 /** Updates crash suspicion for the request's content. A server that closed the connection early may
@@ -440,7 +440,7 @@
     if (!end.peer_closed) return;
     const server_incarnation incarnation = incarnation_of(server);
     this->suspect_contents.on_attempt_broken(request.content, incarnation, time);
-    this->servers.check(static_cast<std::uint32_t>(incarnation), server.id, server.address);
+    this->servers.check_process(static_cast<std::uint32_t>(incarnation), server.id, server.address);
 }
 
 /** Result of a connection check. If nothing listens at the server's address any more, the server
@@ -464,7 +464,7 @@
 void request_path::abandon_silent_attempt(live_request& request, instant time)
 {
     request.row->health.on_failure(time);
-    server_table::on_answered(*request.row, time - request.sent_at, true, time);
+    server_table::on_attempt_ended(*request.row, time - request.sent_at, true, time);
     this->servers.cancel(request.attempt);
     this->release(request);
 }
@@ -475,12 +475,11 @@
     const bool unproven_refusal =
         std::ranges::find(not_run_statuses, request.response_head.status) != not_run_statuses.end();
     if (!request.response_begun && unproven_refusal) {
-        this->answer_locally(request, bad_gateway,
-                             "the server failed");
+        this->respond_locally(request, bad_gateway, "the server failed");
         return;
     }
     if (request.response_begun) {
-        this->callers.finish(request.id);
+        this->callers.finish_response(request.id);
     } else if (!request.caller_left) {
         this->callers.send_response(request.id, request.response_head, request.buffered_body);
     }
@@ -533,23 +532,23 @@
 {
     this->log_attempt(request, "failed", step, detail);
     if (request.response_begun) {
-        this->callers.abort(request.id);
+        this->callers.abort_response(request.id);
         this->end(request, "broken", 0);
         return;
     }
     if (request.runs > 0) {
-        this->answer_locally(request, bad_gateway, "the server's answer was lost");
+        this->respond_locally(request, bad_gateway, "the server's answer was lost");
         return;
     }
-    this->answer_locally(request, unavailable, "not run: " + detail,
-                         std::max(request.retry_after_hint, refusal_retry_after));
+    this->respond_locally(request, unavailable, "not run: " + detail,
+                          std::max(request.retry_after_hint, refusal_retry_after));
 }
 
-void request_path::answer_locally(live_request& request, int status, std::string text,
-                                  duration retry_after)
+void request_path::respond_locally(live_request& request, int status, std::string text,
+                                   duration retry_after)
 {
     if (!request.caller_left)
-        this->callers.answer(request.id, {status, std::move(text), retry_after});
+        this->callers.send_local_response(request.id, {status, std::move(text), retry_after});
     this->end(request, "own_answer", status);
 }
 
@@ -585,7 +584,7 @@
          {"total_ms", in_ms(span)},
          {"config", request.config == nullptr ? 0 : request.config->version}});
     if (request.matched_route != nullptr) {
-        this->telemetry.observe(latency::whole, request.service, request.account, span);
+        this->telemetry.observe(latency::total, request.service, request.account, span);
         if (request.first_event_at != instant{}) {
             this->telemetry.observe(latency::first_byte, request.service, request.account,
                                     request.first_event_at - request.arrived_at);
@@ -625,7 +624,7 @@
     // A server that still answers other requests is busy, not unreachable.
     const bool responsive =
         time - request.row->last_received_at <= server_entry::unresponsive_after;
-    const double multiple = responsive ? this->table.policy.patience_while_heard : 1;
+    const double multiple = responsive ? this->table.policy.responsive_timeout_multiple : 1;
     limit = std::chrono::duration_cast<duration>(limit * multiple);
     if (time - request.last_byte_at < limit) return;
     if (request.runs + 1 >= request.matched_route->attempts) return;
@@ -644,7 +643,7 @@
 void request_path::on_deadline(live_request& request)
 {
     if (request.config == nullptr) {
-        this->answer_locally(request, unavailable, "no configuration yet", no_config_retry_after);
+        this->respond_locally(request, unavailable, "no configuration yet", no_config_retry_after);
         return;
     }
     if (request.row != nullptr) {
@@ -653,11 +652,11 @@
     }
     this->log_attempt(request, "failed", "deadline", {});
     if (request.response_begun) {
-        this->callers.abort(request.id);
+        this->callers.abort_response(request.id);
         this->end(request, "broken", 0);
         return;
     }
-    this->answer_locally(request, gateway_timeout, "deadline passed");
+    this->respond_locally(request, gateway_timeout, "deadline passed");
 }
 
 /** Shifts arrivals and deadlines: callers kept waiting during the suspension, and servers must not
--- a/src/request_path.h
+++ b/src/request_path.h
@@ -104,8 +104,8 @@
                        const std::string& detail);
     [[nodiscard]] bool may_retry(live_request& request, bool may_have_run);
     void fail(live_request& request, const char* step, const std::string& detail);
-    void answer_locally(live_request& request, int status, std::string text,
-                        duration retry_after = {});
+    void respond_locally(live_request& request, int status, std::string text,
+                         duration retry_after = {});
     void release(live_request& request);
     void end(live_request& request, std::string_view outcome, int status);
     void on_caller_disconnected(std::uint64_t request_id);
--- a/src/answer_relay.cpp
+++ b/src/response_relay.cpp
@@ -1,4 +1,4 @@
-#include "answer_relay.h"
+#include "response_relay.h"
 
 namespace worksshift {
 
@@ -24,7 +24,7 @@
     return count;
 }
 
-void answer_relay::bind(std::uint64_t request, const attempt_id& id, const vm_id& vm, bool stream)
+void response_relay::bind(std::uint64_t request, const attempt_id& id, const vm_id& vm, bool stream)
 {
     response_row& response = this->rows[request];
     this->by_attempt.erase(response.attempt);
@@ -37,7 +37,7 @@
     this->by_attempt[id] = request;
 }
 
-void answer_relay::release(std::uint64_t request)
+void response_relay::release(std::uint64_t request)
 {
     const auto found = this->rows.find(request);
     if (found == this->rows.end()) return;
@@ -45,14 +45,15 @@
     this->rows.erase(found);
 }
 
-std::optional<std::pair<attempt_id, vm_id>> answer_relay::find_binding(std::uint64_t request) const
+std::optional<std::pair<attempt_id, vm_id>>
+response_relay::find_binding(std::uint64_t request) const
 {
     const auto found = this->rows.find(request);
     if (found == this->rows.end() || found->second.ended) return std::nullopt;
     return std::pair{found->second.attempt, found->second.vm};
 }
 
-answer_relay::response_row* answer_relay::find(const attempt_id& id)
+response_relay::response_row* response_relay::find(const attempt_id& id)
 {
     const auto found = this->by_attempt.find(id);
     if (found == this->by_attempt.end()) return nullptr;
@@ -60,7 +61,7 @@
     return response.ended ? nullptr : &response;
 }
 
-attempt_result answer_relay::finish(response_row& response, const attempt_ended& ended)
+attempt_result response_relay::finish(response_row& response, const attempt_ended& ended)
 {
     response.ended = true;
     const bool resumable =
@@ -69,13 +70,13 @@
             response.status, response.body,           response.version};
 }
 
-attempt_result answer_relay::fail_attempt(response_row& response, const char* detail)
+attempt_result response_relay::fail_attempt(response_row& response, const char* detail)
 {
     return finish(response, {response.attempt, response.next_sequence, outcome::unknown, "relay",
                              response.vm.text, detail});
 }
 
-std::optional<attempt_result> answer_relay::handle_frame(const attempt_head& head)
+std::optional<attempt_result> response_relay::handle_frame(const attempt_head& head)
 {
     response_row* response = this->find(head.id);
     if (response == nullptr) return std::nullopt;
@@ -83,8 +84,7 @@
         // A resumed response continues under the head that the caller already has.
         const bool same = head.status == response->status && head.version == response->version;
         if (same) return std::nullopt;
-        return fail_attempt(*response,
-                            "the resumed answer has another status or version");
+        return fail_attempt(*response, "the resumed answer has another status or version");
     }
     response->head_forwarded = true;
     response->status = head.status;
@@ -93,7 +93,7 @@
     return std::nullopt;
 }
 
-std::optional<attempt_result> answer_relay::handle_frame(const attempt_data& data)
+std::optional<attempt_result> response_relay::handle_frame(const attempt_data& data)
 {
     response_row* response = this->find(data.id);
     if (response == nullptr) return std::nullopt;
@@ -107,7 +107,7 @@
     return std::nullopt;
 }
 
-std::optional<attempt_result> answer_relay::handle_frame(const attempt_ended& ended)
+std::optional<attempt_result> response_relay::handle_frame(const attempt_ended& ended)
 {
     response_row* response = this->find(ended.id);
     if (response == nullptr) return std::nullopt;
@@ -118,7 +118,7 @@
     return finish(*response, ended);
 }
 
-std::vector<attempt_result> answer_relay::handle_peer_loss(const vm_id& vm)
+std::vector<attempt_result> response_relay::handle_peer_loss(const vm_id& vm)
 {
     std::vector<attempt_result> results;
     for (auto& [request, response] : this->rows) {
--- a/src/answer_relay.h
+++ b/src/response_relay.h
@@ -22,7 +22,7 @@
 
 namespace worksshift {
 
-class answer_relay {
+class response_relay {
 public:
     /** Binds a request to its current attempt, at the gate \p vm. \p stream: whether the response
      * is a stream of server-sent events, which can be resumed. */
--- a/src/route_requests.cpp
+++ b/src/route_requests.cpp
@@ -445,7 +445,7 @@
 
 void expire_requests(tables& t, const tick_time& time)
 {
-    for (const std::uint64_t id : std::exchange(t.in.departures, {})) {
+    for (const std::uint64_t id : std::exchange(t.in.disconnects, {})) {
         const auto found = t.requests.find(id);
         if (found == t.requests.end()) continue;
         cancel_request(t, found->second);
--- a/src/router.cpp
+++ b/src/router.cpp
@@ -160,9 +160,9 @@
         if (this->serving) this->path.set_config(this->configuration.config());
     });
     this->registry.on_leaving.connect(
-        [this](const server_id& id) { this->connection_pool.forget(id); });
+        [this](const server_id& id) { this->connection_pool.close_idle(id); });
     this->registry.on_restarted.connect(
-        [this](const server_id& id) { this->connection_pool.forget(id); });
+        [this](const server_id& id) { this->connection_pool.close_idle(id); });
     this->gossip.on_digest.connect([this](const fleet_vm& from) {
         this->loads_changed = true;
         for (const reported_load& load : from.last.reported_loads)
@@ -185,7 +185,7 @@
 void router::apply_placement()
 {
     this->servers.policy = this->options.placement;
-    this->servers.cold = this->options.cold;
+    this->servers.cold_request_tolerance = this->options.cold_request_tolerance;
     this->servers.set_regions(this->options.regions);
 }
 
@@ -227,7 +227,7 @@
 {
     if (time - this->loads_summed_at < load_sum_period) return;
     this->loads_summed_at = time;
-    const std::size_t alive = this->gossip.fleet().alive(time);
+    const std::size_t alive = this->gossip.fleet().alive_count(time);
     this->path.set_fleet_size(alive);
     this->path.admissions().set_fleet_demand_multiple(this->fleet_demand_ratio(alive, time));
     if (!std::exchange(this->loads_changed, false) &&
@@ -249,7 +249,7 @@
     this->servers_assigned_at = time;
     this->members = this->gossip.fleet().members(time);
     for (const auto& [data_centre, region] : this->options.regions)
-        this->members.add(static_cast<std::uint32_t>(data_centre.hash()));
+        this->members.add_data_centre(static_cast<std::uint32_t>(data_centre.hash()));
     this->servers.update_cold_shares(this->members, time);
     this->servers.mark_failing(this->members, time);
 }
@@ -259,7 +259,7 @@
 void router::announce_suspects(instant time)
 {
     crash_suspects& suspects = this->path.suspects();
-    suspects.forget(time);
+    suspects.expire(time);
     if (time - this->suspects_announced_at < suspects_announce_period) return;
     if (!suspects.take_urgent()) return;
     this->suspects_announced_at = time;
@@ -285,7 +285,8 @@
 {
     local_state state;
     state.digest.config_version = this->configuration.version();
-    state.digest.watches_store = this->configuration.follows() && this->registry.follows();
+    state.digest.watches_store =
+        this->configuration.receives_updates() && this->registry.receives_updates();
     state.digest.leaving = this->stopping;
     state.digest.requests_per_s = static_cast<std::uint16_t>(std::min(
         this->path.admissions().engine_requests_per_s(time) * demand_units_per_rps, max_demand));
@@ -293,7 +294,7 @@
     state.digest.outcomes = this->servers.drain_outcomes();
     this->registry.describe(state.digest, time);
     this->evacuations.describe(state.digest, this->registry.known());
-    this->path.suspects().describe(state.digest, time);
+    this->path.suspects().fill_digest(state.digest, time);
     state.digest.leaving_servers = this->servers.leaving_but_listed(max_leaving_servers);
     state.remote_crash_reports = this->path.suspects().reports_to_remote_vms();
     state.servers = this->servers.rows().size();
@@ -376,7 +377,7 @@
     text << this->telemetry.text();
     text << "worksshift_requests_active " << this->path.active() << '\n';
     text << "worksshift_attempts_active " << this->connection_pool.active() << '\n';
-    text << "worksshift_caller_connections " << this->callers.open() << '\n';
+    text << "worksshift_caller_connections " << this->callers.open_connections() << '\n';
     text << "worksshift_server_connections_opened_total " << this->connection_pool.opened() << '\n';
     text << "worksshift_config_version " << this->configuration.version() << '\n';
     text << "worksshift_registry_watched " << (this->watch_role.watching() ? 1 : 0) << '\n';
@@ -425,7 +426,7 @@
         set_log_level(reloaded.level);
         this->path.set_retry_budget(reloaded.retries);
         this->options.placement = reloaded.placement;
-        this->options.cold = reloaded.cold;
+        this->options.cold_request_tolerance = reloaded.cold_request_tolerance;
         this->options.regions = reloaded.regions;
         this->apply_placement();
         log_event(log_level::info, "reloaded", {{"cause", cause}});
--- a/src/router.h
+++ b/src/router.h
@@ -82,9 +82,9 @@
     event_ptr<evhttp> readiness_http;
     event_ptr<evhttp> metrics_http;
     timer ticker;
-    signal_watch on_term;
-    signal_watch on_int;
-    signal_watch on_hup;
+    signal_handler on_term;
+    signal_handler on_int;
+    signal_handler on_hup;
 
     suspension_detector suspensions;
     bool loads_changed = false; ///< a digest arrived since the peer loads were last summed
--- a/src/router_settings.cpp
+++ b/src/router_settings.cpp
@@ -35,7 +35,7 @@
         "slow-multiple", &placement_policy::slow_multiple, 1000,
         "multiple of the first-quartile delay from which an engine is slow, 0 to 1000; 0: never"},
     placement_setting{
-        "patience-while-heard", &placement_policy::patience_while_heard, 1000,
+        "patience-while-heard", &placement_policy::responsive_timeout_multiple, 1000,
         "multiple of the silence timeout for a server that responds to others, 0 to 1000"},
     placement_setting{"hot-prompt-share", &placement_policy::hot_prompt_share, 10,
                       "share of an engine's slots that one prompt may use, 0 to 10; 0: no limit"},
@@ -200,8 +200,8 @@
     result.store = reader.address("store");
     result.seeds = reader.addresses("seeds");
     result.regions = reader.regions("regions");
-    result.cold.over = reader.number("cold-over", 1, max_cold_over);
-    result.cold.slack = reader.number("cold-slack", 0, max_slack);
+    result.cold_request_tolerance.rate_multiple = reader.number("cold-over", 1, max_cold_over);
+    result.cold_request_tolerance.extra_requests = reader.number("cold-slack", 0, max_slack);
     result.level = parse_log_level(reader.text("log-level"));
     result.log_lines_per_s = static_cast<std::size_t>(
         reader.number("log-lines-per-s", min_log_lines_per_s, max_log_lines_per_s));
--- a/src/router_settings.h
+++ b/src/router_settings.h
@@ -26,7 +26,8 @@
     link_address metrics;   ///< HTTP: counters and histograms
     link_address store;     ///< HTTP API of the platform's store
     std::map<data_centre_id, region_id> regions; ///< region of each data centre
-    cold_tolerance cold;             ///< requests allowed to a cold server beyond its stated rate
+    /** Requests allowed to a cold server beyond its stated rate. */
+    cold_tolerance cold_request_tolerance;
     std::vector<link_address> seeds; ///< VMs to contact first; their ports are not used
     log_level level = log_level::info;
     std::size_t log_lines_per_s = log_limits{}.lines_per_s;
--- a/src/server_calls.cpp
+++ b/src/server_calls.cpp
@@ -3,9 +3,9 @@
 #include <event2/http_struct.h>
 #include <strings.h>
 
-#include "answer_relay.h"
 #include "http_client.h"
 #include "http_wire.h"
+#include "response_relay.h"
 
 namespace worksshift {
 
@@ -233,8 +233,7 @@
     }
     server_call.reusable = true;
     if (server_call.refused) {
-        this->end(server_call, outcome::not_run, false, "server",
-                  "the server refused it unrun");
+        this->end(server_call, outcome::not_run, false, "server", "the server refused it unrun");
         return;
     }
     // Data beyond the window is sent as well, since it was already read.
@@ -242,8 +241,7 @@
         server_call.window, static_cast<std::uint32_t>(server_call.pending.size() + 1));
     this->flush(server_call);
     if (!server_call.length_known) {
-        this->end(server_call, outcome::unknown, true, "read",
-                  "the answer has no length");
+        this->end(server_call, outcome::unknown, true, "read", "the answer has no length");
         return;
     }
     if (server_call.stream && (!server_call.end_marker_seen || !server_call.pending.empty())) {
@@ -305,9 +303,7 @@
     for (call* server_call : timed_out) {
         const bool sent = server_call->bytes_written;
         this->end(*server_call, sent ? outcome::unknown : outcome::not_run, true,
-                  sent ? "read" : "connect",
-                  sent ? "the server is silent"
-                       : "no connection");
+                  sent ? "read" : "connect", sent ? "the server is silent" : "no connection");
     }
     for (std::unique_ptr<call>& server_call : this->finished) {
         bufferevent* socket = evhttp_connection_get_bufferevent(server_call->connection.get());
--- a/src/server_connections.cpp
+++ b/src/server_connections.cpp
@@ -23,7 +23,7 @@
 struct server_connections::connection_state
     : std::enable_shared_from_this<server_connections::connection_state> {
     explicit connection_state(server_connections* owner)
-        : owner(owner), reader(http_reader::side::answers, max_response_head_bytes)
+        : owner(owner), reader(http_reader::message_kind::responses, max_response_head_bytes)
     {
     }
 
@@ -52,7 +52,7 @@
 
 server_connections::~server_connections() = default;
 
-void server_connections::start(const attempt_request& request)
+void server_connections::start_attempt(const attempt_request& request)
 {
     connection_ptr connection = this->take_idle(request);
     if (connection == nullptr) connection = this->connect(request.server, request.address);
@@ -79,7 +79,7 @@
         connection_ptr connection = pool->second.back();
         const duration age = time - connection->since;
         if (age > connection->max_idle) {
-            this->forget(request.server);
+            this->close_idle(request.server);
             return nullptr;
         }
         if (!request.repeatable && age > max_reuse_age) return nullptr;
@@ -91,8 +91,8 @@
     return nullptr;
 }
 
-void server_connections::check(std::uint32_t check, const server_id& server,
-                               const link_address& address)
+void server_connections::check_process(std::uint32_t check, const server_id& server,
+                                       const link_address& address)
 {
     if (this->checks.contains(check)) return;
     const connection_ptr connection = this->connect(server, address);
@@ -304,7 +304,7 @@
     std::erase_if(this->idle, [](const auto& entry) { return entry.second.empty(); });
 }
 
-void server_connections::forget(const server_id& server)
+void server_connections::close_idle(const server_id& server)
 {
     const auto pool = this->idle.find(server);
     if (pool == this->idle.end()) return;
@@ -320,7 +320,7 @@
     std::ranges::transform(this->idle, servers.begin(),
                            [](const auto& entry) { return entry.first; });
     for (const server_id& server : servers)
-        this->forget(server);
+        this->close_idle(server);
 }
 
 } // namespace worksshift
--- a/src/server_connections.h
+++ b/src/server_connections.h
@@ -70,19 +70,19 @@
     server_connections(server_connections&&) = delete;
     server_connections& operator=(server_connections&&) = delete;
 
-    void start(const attempt_request& request);
+    void start_attempt(const attempt_request& request);
     /** Closes the attempt's connection, so that the server stops processing. Emits no signal. */
     void cancel(std::uint64_t attempt);
     /** Checks whether the server's process has ended, by opening a connection without sending
      * anything; an established connection goes into the pool. The result is reported by
      * `on_checked`. \p check: identifies the check in the result; does nothing if a check with this
      * value is in progress. */
-    void check(std::uint32_t check, const server_id& server, const link_address& address);
+    void check_process(std::uint32_t check, const server_id& server, const link_address& address);
     /** Fails attempts and checks whose connection was not established in time, closes connections
      * that were idle for too long, and frees closed ones. */
     void sweep(instant now);
     /** Closes the idle connections to a server that is leaving, restarted or gone. */
-    void forget(const server_id& server);
+    void close_idle(const server_id& server);
     /** Closes all idle connections. Used after a suspension of the VM, when their idle time is
      * unknown. */
     void close_all_idle();
--- a/src/server_entry.h
+++ b/src/server_entry.h
@@ -84,7 +84,7 @@
         return std::max(this->in_flight, total - std::min(total, this->in_flight_at_report));
     }
     /** The server had \p requests in flight at \p at. Ignored if not newer than the last report. */
-    void state(std::uint32_t requests, instant at)
+    void set_reported_load(std::uint32_t requests, instant at)
     {
         if (at <= this->load_reported_at) return;
         this->reported_requests = requests;
--- a/src/server_registry.cpp
+++ b/src/server_registry.cpp
@@ -14,7 +14,7 @@
 update_origin origin_of(const registry_update& update, std::uint64_t revision, instant requested_at)
 {
     if (update.oldest_known_revision > revision) return store_origin{};
-    return peer_origin{update.kept, requested_at};
+    return peer_origin{update.retained, requested_at};
 }
 
 void server_registry::apply_list(std::span<const stored_object> all, const update_origin& origin,
@@ -66,9 +66,9 @@
         visitor{[&](const store_origin& store) { entry.removal_observed = store.from_watch; },
                 [&](const peer_origin& vm) {
                     const auto found =
-                        std::ranges::lower_bound(vm.kept, id.text, {}, &retained_server::name);
+                        std::ranges::lower_bound(vm.retained, id.text, {}, &retained_server::name);
                     entry.removal_observed = true;
-                    if (found == vm.kept.end() || found->name != id.text) {
+                    if (found == vm.retained.end() || found->name != id.text) {
                         entry.has_left = true;
                     } else {
                         entry.since = vm.requested_at - milliseconds(found->missing_ms);
@@ -78,7 +78,7 @@
     this->missing.try_emplace(id, entry);
 }
 
-std::vector<retained_server> server_registry::kept(instant now) const
+std::vector<retained_server> server_registry::retained_servers(instant now) const
 {
     std::vector<retained_server> servers;
     for (const auto& [id, entry] : this->missing) {
@@ -92,7 +92,7 @@
 bool server_registry::is_of_former_incarnation(const stored_object& removal) const
 {
     try {
-        return this->table.is_former(this->adapter.decode_server(removal));
+        return this->table.is_of_former_incarnation(this->adapter.decode_server(removal));
     } catch (const error&) {
         // The entry cannot be decoded, so it is treated as a removal, whoever wrote it.
         return false;
@@ -104,7 +104,7 @@
 {
     try {
         const server_record record = this->adapter.decode_server(object);
-        if (this->table.is_former(record)) return false;
+        if (this->table.is_of_former_incarnation(record)) return false;
         this->missing.erase(record.id);
         const server_entry* known = this->table.find(record.id);
         const bool restarted =
--- a/src/server_registry.h
+++ b/src/server_registry.h
@@ -32,7 +32,7 @@
 };
 /** The update came from another VM. */
 struct peer_origin {
-    std::span<const retained_server> kept; ///< missing servers it still uses, by name
+    std::span<const retained_server> retained; ///< missing servers it still uses, by name
     instant requested_at{};
 };
 using update_origin = std::variant<store_origin, peer_origin>;
@@ -76,7 +76,7 @@
                             instant now);
     void apply_change(const stored_object& object, const update_origin& origin, instant now);
     /** Servers that are missing from the registry and still in use, sorted by name. */
-    [[nodiscard]] std::vector<retained_server> kept(instant now) const;
+    [[nodiscard]] std::vector<retained_server> retained_servers(instant now) const;
     /** Removes the servers whose retention has ended, and logs unreadable entries. \p
      * store_recovered_at is when the store last returned from an outage. */
     void sweep(instant now, instant store_recovered_at);
--- a/src/server_table.cpp
+++ b/src/server_table.cpp
@@ -151,7 +151,8 @@
                                       instant now)
 {
     if (!group.traits.has_cold_limit()) return;
-    const cold_request_limit bound(group.traits.cold_requests_per_s.value_or(0), this->cold);
+    const cold_request_limit bound(group.traits.cold_requests_per_s.value_or(0),
+                                   this->cold_request_tolerance);
     for (server_entry* row : group.rows) {
         if (!row->cold.cold(now)) continue;
         const cold_share share =
@@ -197,7 +198,7 @@
     return first;
 }
 
-bool server_table::is_former(const server_record& record) const
+bool server_table::is_of_former_incarnation(const server_record& record) const
 {
     const auto found = this->table.find(record.id);
     return found != this->table.end() && record.started_at_ms < found->second.record.started_at_ms;
@@ -205,7 +206,7 @@
 
 bool server_table::put(const server_record& record, instant now)
 {
-    if (this->is_former(record)) return false;
+    if (this->is_of_former_incarnation(record)) return false;
     const auto known = this->table.find(record.id);
     const bool known_before = known != this->table.end();
     if (known_before && record.started_at_ms > known->second.record.started_at_ms) {
@@ -362,7 +363,7 @@
     const instant load_reported_at = received_at - report.age * reported_age_unit;
     // An older report may come from the previous incarnation of the server.
     if (load_reported_at < found->second->listed_at) return;
-    found->second->state(report.requests, load_reported_at);
+    found->second->set_reported_load(report.requests, load_reported_at);
 }
 
 std::vector<reported_load> server_table::drain_reported_loads(instant now)
@@ -382,7 +383,7 @@
     return reports;
 }
 
-void server_table::on_answered(server_entry& row, duration span, bool failed, instant now)
+void server_table::on_attempt_ended(server_entry& row, duration span, bool failed, instant now)
 {
     row.outcomes.add(failed ? 0 : 1, failed ? 1 : 0, span, now);
     if (failed) {
--- a/src/server_table.h
+++ b/src/server_table.h
@@ -95,7 +95,7 @@
      * changed. */
     bool put(const server_record& record, instant now = {});
     /** Whether the record describes an older incarnation of the server than the known one. */
-    [[nodiscard]] bool is_former(const server_record& record) const;
+    [[nodiscard]] bool is_of_former_incarnation(const server_record& record) const;
     /** The registry no longer lists the server. Returns whether it was listed before. */
     bool remove(const server_id& id);
     /** Another server answered at the address of this one. */
@@ -146,7 +146,8 @@
         this->services[service].objective = objective;
     }
     placement_policy policy;
-    cold_tolerance cold; ///< what the specified bound on requests to cold servers allows
+    /** What the specified bound on requests to cold servers allows. */
+    cold_tolerance cold_request_tolerance;
     /** Totals as of the last call of `sum_loads`. */
     [[nodiscard]] service_load load_of(const service_id& service) const;
     /** Computes the load totals of each service. Called once per tick. */
@@ -158,7 +159,7 @@
     /** Returns the loads that servers reported to this VM since the last call, the newest first. */
     std::vector<reported_load> drain_reported_loads(instant now);
     /** An attempt at a server ended. \p failed: without a usable response. */
-    static void on_answered(server_entry& row, duration span, bool failed, instant now);
+    static void on_attempt_ended(server_entry& row, duration span, bool failed, instant now);
     /** Applies the results that another VM reports of its attempts at a server. */
     void apply_outcomes(const outcome_counts& report, instant now);
     /** Returns the results of this VM's attempts since the last call, servers with the most
--- a/src/share_loads.cpp
+++ b/src/share_loads.cpp
@@ -29,7 +29,7 @@
         std::vector<load_summary> own_loads;
         for (const server_id& server : service.servers) {
             const auto gate = t.gates.find(server);
-            if (gate != t.gates.end() && gate->second.first) {
+            if (gate != t.gates.end() && gate->second.is_first_ranked) {
                 own_loads.push_back(t.servers.at(server).load);
             }
         }
--- a/src/store_follow.h
+++ b/src/store_follow.h
@@ -35,7 +35,8 @@
      * has some state of this kind. \p behind: other VMs have a newer revision. */
     void update(std::optional<read_mode> watched, bool known, bool behind, instant now)
     {
-        const bool watch_answered = watched == read_mode::linearizable && this->watch.follows();
+        const bool watch_answered =
+            watched == read_mode::linearizable && this->watch.receives_updates();
         this->fetching.update(
             behind, watch_answered || !known ? store_update_grace : duration::zero(), now);
         const bool peers_failed = this->kind == object_kind::configuration &&
--- a/src/store_watch.cpp
+++ b/src/store_watch.cpp
@@ -82,7 +82,7 @@
 {
     const bool linearizable = this->list_linearizably || this->mode == read_mode::linearizable;
     this->call.mode = linearizable ? read_mode::linearizable : read_mode::stale;
-    this->call.what = list_read{after};
+    this->call.operation = list_read{after};
     this->call.limit = {list_timeout, list_idle_timeout};
 }
 
@@ -94,7 +94,7 @@
                           ? std::chrono::duration_cast<milliseconds>(this->timing().wait * jitter)
                           : probe_wait;
     this->call.mode = this->mode.value_or(read_mode::stale);
-    this->call.what = watch_read{this->revision, wait};
+    this->call.operation = watch_read{this->revision, wait};
     this->call.limit = {this->responding ? wait + wait_grace : probe_timeout};
 }
 
@@ -109,7 +109,7 @@
     if (!this->accept_response(number)) return;
     if (this->call.mode == read_mode::linearizable) this->confirmed = now;
     this->record_response(now);
-    if (std::holds_alternative<list_read>(this->call.what)) {
+    if (std::holds_alternative<list_read>(this->call.operation)) {
         this->apply_list(std::move(page), now);
     } else {
         this->apply_changes(page, now);
@@ -143,7 +143,8 @@
 
 void store_watch::apply_changes(const object_page& page, instant now)
 {
-    const bool early = now - this->requested_at < std::get<watch_read>(this->call.what).wait / 2;
+    const bool early =
+        now - this->requested_at < std::get<watch_read>(this->call.operation).wait / 2;
     this->wait_until(early ? now + this->timing().batch_delay : now);
     // A response that is no newer than the known revision holds nothing new.
     if (page.revision <= this->revision) return;
--- a/src/store_watch.h
+++ b/src/store_watch.h
@@ -18,7 +18,7 @@
 
 #include <sigc++/sigc++.h>
 
-#include "call_limit.h"
+#include "call_timeouts.h"
 #include "protocol.h"
 #include "store_outage.h"
 
@@ -39,8 +39,8 @@
 struct store_read {
     std::uint64_t number = 0; ///< identifies the call when its response is passed in
     read_mode mode = read_mode::stale;
-    std::variant<list_read, watch_read> what;
-    call_limit limit;
+    std::variant<list_read, watch_read> operation;
+    call_timeouts limit;
 };
 
 /** Timing of the watches in one read mode. */
@@ -110,12 +110,12 @@
 
     [[nodiscard]] object_kind kind() const { return this->watched_kind; }
     /** Whether this VM watches the store and the store answers. */
-    [[nodiscard]] bool follows() const
+    [[nodiscard]] bool receives_updates() const
     {
         return this->mode.has_value() && this->listed && this->responding;
     }
     /** Whether a response to the newest call is awaited. */
-    [[nodiscard]] bool awaits() const { return this->awaiting; }
+    [[nodiscard]] bool call_pending() const { return this->awaiting; }
     [[nodiscard]] bool reachable() const { return this->responding; }
     /** The first failed call since the store last answered; std::nullopt if the last call was
      * answered or none has ended. */
--- a/src/store_watch_client.cpp
+++ b/src/store_watch_client.cpp
@@ -34,7 +34,7 @@
 void store_watch_client::proceed()
 {
     const instant time = now();
-    if (!this->watch.awaits()) this->caller.cancel(this->newest_call);
+    if (!this->watch.call_pending()) this->caller.cancel(this->newest_call);
     if (const std::optional<store_read> call = this->watch.next(time)) {
         this->send(*call);
     } else if (const std::optional<instant> at = this->watch.next_at()) {
@@ -53,7 +53,7 @@
                     return this->adapter.watch_path(this->watch.kind(), changes.revision,
                                                     changes.wait, call.mode);
                 }},
-        call.what);
+        call.operation);
     this->newest_call =
         this->caller.call(this->store, EVHTTP_REQ_GET, path, {}, {}, call.limit,
                           [this, number = call.number](const http_response& response) {
--- a/src/tables.h
+++ b/src/tables.h
@@ -120,7 +120,7 @@
     service_id service;
     double share = 0;
     instant first_since{}; ///< when this VM became the highest ranked for the server
-    bool first = false;
+    bool is_first_ranked = false;
     instant leased_since{}; ///< start of the current lease; the epoch: no lease is held
     instant reported_at{};  ///< when the latest load report was requested
     std::unordered_map<attempt_id, running_attempt> running;
@@ -191,7 +191,7 @@
 /** Events since the last tick. */
 struct inbox {
     std::vector<request_row> arrivals;
-    std::vector<std::uint64_t> departures; ///< requests whose callers disconnected
+    std::vector<std::uint64_t> disconnects; ///< requests whose callers disconnected
     std::vector<from_peer<open_attempt>> opened;
     std::vector<from_peer<cancel_attempt>> cancelled;
     std::vector<from_peer<attempt_refused>> refused;
@@ -205,7 +205,8 @@
     std::vector<from_peer<claim_request>> claim_requests;
     std::vector<from_peer<claim_outcome>> claim_outcomes;
     std::vector<claim_reply> claim_replies;
-    std::vector<object_result> objects; ///< read by several systems; each recognises its own calls
+    /** Read by several systems; each recognises its own calls. */
+    std::vector<object_result> object_results;
     std::vector<from_peer<order_request>> order_requests;
     std::vector<order_result> order_results;
     std::vector<from_peer<quota_request>> quota_requests;
--- a/src/watcher_selection.cpp
+++ b/src/watcher_selection.cpp
@@ -39,7 +39,7 @@
         return now - item.last_received_at < std::max<duration>(min_watcher_timeout, span);
     };
     std::vector<const fleet_vm*> preceding = fleet.local_vms(now);
-    const bool one_group = preceding.size() + 1 >= fleet.alive(now);
+    const bool one_group = preceding.size() + 1 >= fleet.alive_count(now);
     const std::size_t wanted =
         one_group ? standby_watchers_per_fleet : standby_watchers_per_data_centre;
     std::erase_if(preceding, [&](const fleet_vm* item) {
--- a/test/correctness/admission_refuses_late_requests.cpp
+++ b/test/correctness/admission_refuses_late_requests.cpp
@@ -102,7 +102,7 @@
         const admission_decision decided = this->ask();
         const auto* refusal = std::get_if<retry_later>(&decided);
         CPPUNIT_ASSERT(refusal != nullptr);
-        CPPUNIT_ASSERT(refusal->where.wait > milliseconds(200));
+        CPPUNIT_ASSERT(refusal->placement.wait > milliseconds(200));
         CPPUNIT_ASSERT(refusal->retry_after >= overload_tracker::min_overload_retry_after);
     }
 
@@ -156,13 +156,13 @@
     void slow_engine()
     {
         this->load_all(0);
-        const placement_result first_choice = std::get<admit_to>(this->ask()).where;
+        const placement_result first_choice = std::get<admit_to>(this->ask()).placement;
         for (std::size_t i = 0; i < engines; ++i)
             this->engine(i).first_delay.add(milliseconds(60), this->now);
         for (int i = 0; i < 20; ++i)
             first_choice.row->first_delay.add(milliseconds(900), this->now);
         this->table->mark_slow(this->now);
-        CPPUNIT_ASSERT(std::get<admit_to>(this->ask()).where.row != first_choice.row);
+        CPPUNIT_ASSERT(std::get<admit_to>(this->ask()).placement.row != first_choice.row);
         // The slow engine is still used if no other has a slot.
         this->load_all(slots * 3);
         first_choice.row->peers_in_flight = 0;
@@ -177,7 +177,7 @@
         const auto engines_used = [&](std::uint64_t prompt) {
             std::set<server_entry*> rows;
             for (int i = 0; i < 60; ++i)
-                rows.insert(std::get<admit_to>(this->ask(prompt)).where.row);
+                rows.insert(std::get<admit_to>(this->ask(prompt)).placement.row);
             return rows.size();
         };
         CPPUNIT_ASSERT_EQUAL(std::size_t{1}, engines_used(8));
@@ -195,10 +195,10 @@
     {
         this->load_all(0);
         server_entry& row = this->engine(2);
-        row.state(9, this->now);
+        row.set_reported_load(9, this->now);
         row.in_flight += 2;
         CPPUNIT_ASSERT_EQUAL(std::uint32_t{11}, row.load());
-        row.state(4, this->now - milliseconds(10));
+        row.set_reported_load(4, this->now - milliseconds(10));
         CPPUNIT_ASSERT_EQUAL_MESSAGE("an older stated load is ignored", std::uint32_t{11},
                                      row.load());
         this->table->expire_reported_loads(this->now + reported_load_lifetime + milliseconds(1));
--- a/test/correctness/chat_responses_are_complete.cpp
+++ b/test/correctness/chat_responses_are_complete.cpp
@@ -23,11 +23,11 @@
             const std::string text = "check bracket " + std::to_string(router);
             const support::reply streamed = fleet.chat(router, text, text, 20);
             CPPUNIT_ASSERT_EQUAL(200, streamed.status);
-            CPPUNIT_ASSERT(streamed.whole);
+            CPPUNIT_ASSERT(streamed.complete);
             CPPUNIT_ASSERT_EQUAL(support::expected_stream(text, 20), streamed.body);
             const support::reply unstreamed = fleet.chat(router, text, text, 20, false);
             CPPUNIT_ASSERT_EQUAL(200, unstreamed.status);
-            CPPUNIT_ASSERT(unstreamed.whole);
+            CPPUNIT_ASSERT(unstreamed.complete);
         }
         std::size_t reused_tokens = 0;
         for (std::size_t i = 0; i < fleet.engines.size(); ++i) {
--- a/test/correctness/cold_server_rate_limit_holds.cpp
+++ b/test/correctness/cold_server_rate_limit_holds.cpp
@@ -117,7 +117,7 @@
         fleet_members members = this->fleet.vms.at(vm).rounds.fleet().members(now);
         // Routers know all data centres from their settings.
         for (std::uint32_t data_centre = 1; data_centre <= this->data_centres; ++data_centre)
-            members.add(data_centre);
+            members.add_data_centre(data_centre);
         for (std::size_t server = 0; server < servers; ++server) {
             cold_request_limiter& limiter = limiters.servers[server];
             limiter.extend(now + seconds(1));
@@ -164,7 +164,7 @@
     CPPUNIT_TEST(services_without_a_rate_limit);
     CPPUNIT_TEST_SUITE_END();
 
-    static constexpr double bound = rate * tolerance.over + tolerance.slack;
+    static constexpr double bound = rate * tolerance.rate_multiple + tolerance.extra_requests;
     static constexpr double senders = placement_policy{}.cold_senders;
 
     instant now{seconds(1000)};
@@ -290,7 +290,7 @@
     void setUp() override
     {
         this->table = std::make_unique<server_table>(data_centre_id{"dc"}, 1U);
-        this->table->cold = tolerance;
+        this->table->cold_request_tolerance = tolerance;
         this->table->set_traits(llm, {true, seconds(3), rate});
         for (const std::string id : {"a", "b", "c"})
             this->table->put(record(id, 1, 0), this->now);
--- a/test/correctness/dead_gate_is_passed_over_at_once.cpp
+++ b/test/correctness/dead_gate_is_passed_over_at_once.cpp
@@ -42,7 +42,7 @@
         }
         fleet.run_for(seconds(3));
         for (const support::core_result& result : fleet.results) {
-            CPPUNIT_ASSERT(result.end == support::ending::whole);
+            CPPUNIT_ASSERT(result.end == support::ending::complete);
             CPPUNIT_ASSERT(result.ended - result.sent < seconds(2));
         }
     }
--- a/test/correctness/evacuated_servers_get_no_requests.cpp
+++ b/test/correctness/evacuated_servers_get_no_requests.cpp
@@ -11,7 +11,7 @@
 
 using namespace support;
 using namespace worksshift;
-using then = scripted_answer::then;
+using then = scripted_response::then;
 
 class evacuated_servers_get_no_requests : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(evacuated_servers_get_no_requests);
@@ -21,9 +21,9 @@
     CPPUNIT_TEST(stream_in_progress_completes);
     CPPUNIT_TEST_SUITE_END();
 
-    static scripted_answer answer_ok(const std::string& request)
+    static scripted_response answer_ok(const std::string& request)
     {
-        return {answer_text(200, request, header_in(request, "x-request-id")), then::keep};
+        return {response_text(200, request, header_in(request, "x-request-id")), then::keep};
     }
 
     static std::unique_ptr<router_fleet> served_fleet(std::size_t routers)
@@ -129,7 +129,7 @@
         request.replace(request.find(": 2000"), 6, ": 9000");
         fleet->add_server(
             "e", "llm",
-            [](const std::string& request) -> scripted_answer {
+            [](const std::string& request) -> scripted_response {
                 return {stream_head(request) + event_chunk(1, "first"), then::keep};
             },
             "here");
--- a/test/correctness/failing_engines_are_avoided.cpp
+++ b/test/correctness/failing_engines_are_avoided.cpp
@@ -113,7 +113,7 @@
         const double share = faulty == this->failing.end() ? normal_failure_share : faulty->second;
         if (std::uniform_real_distribution<>()(this->random) < share) {
             ++this->failed;
-            server_table::on_answered(row, {}, true, this->now);
+            server_table::on_attempt_ended(row, {}, true, this->now);
             return;
         }
         ++row.in_flight;
@@ -125,7 +125,7 @@
         std::erase_if(this->attempts, [this](const attempt& current) {
             if (current.ends_at > this->now) return false;
             --current.row->in_flight;
-            server_table::on_answered(*current.row, response_time, false, this->now);
+            server_table::on_attempt_ended(*current.row, response_time, false, this->now);
             return true;
         });
     }
--- a/test/correctness/leaving_servers_are_reported_to_all_vms.cpp
+++ b/test/correctness/leaving_servers_are_reported_to_all_vms.cpp
@@ -11,7 +11,7 @@
 
 using namespace support;
 using namespace worksshift;
-using then = scripted_answer::then;
+using then = scripted_response::then;
 
 class leaving_servers_are_reported_to_all_vms : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(leaving_servers_are_reported_to_all_vms);
@@ -34,14 +34,14 @@
     {
         router_fleet fleet(4);
         bool leaves = false;
-        const auto serve = [&leaves](const std::string& request) -> scripted_answer {
+        const auto serve = [&leaves](const std::string& request) -> scripted_response {
             const std::string header = leaves ? "Server-Leaving: 1\r\n" : "";
-            return {answer_text(200, request, "x", header), then::keep};
+            return {response_text(200, request, "x", header), then::keep};
         };
         fleet.set_config(example_config(1));
         fleet.add_server("first", "desk", serve);
-        fleet.add_server("second", "desk", [](const std::string& request) -> scripted_answer {
-            return {answer_text(200, request, "x"), then::keep};
+        fleet.add_server("second", "desk", [](const std::string& request) -> scripted_response {
+            return {response_text(200, request, "x"), then::keep};
         });
         fleet.start_all();
         CPPUNIT_ASSERT(fleet.wait_until_all_ready());
--- a/test/correctness/planned_stop_needs_no_platform.cpp
+++ b/test/correctness/planned_stop_needs_no_platform.cpp
@@ -49,7 +49,7 @@
         CPPUNIT_ASSERT(all_in_flight);
         CPPUNIT_ASSERT_EQUAL(0, status);
         for (std::size_t i = 0; i < streams; ++i) {
-            CPPUNIT_ASSERT(responses[i].whole);
+            CPPUNIT_ASSERT(responses[i].complete);
             CPPUNIT_ASSERT_EQUAL(support::expected_stream("summary " + std::to_string(i), tokens),
                                  responses[i].body);
         }
--- a/test/correctness/requests_that_crash_servers.cpp
+++ b/test/correctness/requests_that_crash_servers.cpp
@@ -19,7 +19,7 @@
 
 using namespace support;
 using namespace worksshift;
-using then = scripted_answer::then;
+using then = scripted_response::then;
 
 /** Time after the third crash in which the report may still be on its way to some VMs. */
 constexpr duration max_propagation_time = seconds(3);
@@ -45,10 +45,10 @@
     unsigned servers = 0;
     std::set<std::size_t> replaced;
 
-    static scripted_answer serve(const std::string& request)
+    static scripted_response serve(const std::string& request)
     {
         if (is_harmful(request)) return {{}, then::end};
-        if (request.starts_with("GET")) return {answer_text(200, request, "x"), then::keep};
+        if (request.starts_with("GET")) return {response_text(200, request, "x"), then::keep};
         return {stream_head(request) + event_chunk(1, "x") + "0\r\n\r\n", then::keep};
     }
 
--- a/test/correctness/router_fleet_operation.cpp
+++ b/test/correctness/router_fleet_operation.cpp
@@ -12,7 +12,7 @@
 
 using namespace support;
 using namespace worksshift;
-using then = scripted_answer::then;
+using then = scripted_response::then;
 
 class router_fleet_operation : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(router_fleet_operation);
@@ -25,9 +25,9 @@
     CPPUNIT_TEST(status_matches_router_state);
     CPPUNIT_TEST_SUITE_END();
 
-    static scripted_answer good(const std::string& request)
+    static scripted_response good(const std::string& request)
     {
-        return {answer_text(200, request, header_in(request, "x-request-id")), then::keep};
+        return {response_text(200, request, header_in(request, "x-request-id")), then::keep};
     }
 
     static std::unique_ptr<router_fleet> started_fleet(std::size_t routers)
@@ -109,7 +109,7 @@
         fleet->run_until([] { return false; }, seconds(1));
         std::string long_request = request_text("POST", "/once/x", "3", "{}");
         long_request.replace(long_request.find(": 2000"), 6, ": 9000");
-        fleet->add_server("e", "llm", [](const std::string& request) -> scripted_answer {
+        fleet->add_server("e", "llm", [](const std::string& request) -> scripted_response {
             return {stream_head(request) + event_chunk(1, "first"), then::keep};
         });
         CPPUNIT_ASSERT(fleet->run_until(
@@ -153,7 +153,7 @@
         CPPUNIT_ASSERT(fleet->run_until([&] { return is_complete_response(idle_caller->received); },
                                         seconds(2)));
         // An unanswered request keeps the process running to the end of its grace period.
-        fleet->servers[0]->answer = [](const std::string&) -> scripted_answer {
+        fleet->servers[0]->answer = [](const std::string&) -> scripted_response {
             return {"", then::stay_silent};
         };
         fleet->servers[1]->answer = fleet->servers[0]->answer;
--- a/test/error/broken_responses_are_retried_or_reported.cpp
+++ b/test/error/broken_responses_are_retried_or_reported.cpp
@@ -54,7 +54,7 @@
             const std::string expected = support::expected_stream("text " + mode, 12);
             // All three engines fail once and a request has three tries, so it may fail with an
             // error.
-            if (faulty.status == 200 && faulty.whole && mode != "too_much") {
+            if (faulty.status == 200 && faulty.complete && mode != "too_much") {
                 CPPUNIT_ASSERT_EQUAL_MESSAGE(mode, expected, faulty.body);
             } else if (faulty.status != 200) {
                 CPPUNIT_ASSERT_MESSAGE(mode, !faulty.header("X-Worksshift-Outcome").empty());
@@ -83,7 +83,7 @@
             const std::string text = "resume " + std::to_string(i);
             const reply response = fleet.chat(0, text, text, 20);
             CPPUNIT_ASSERT_EQUAL(200, response.status);
-            CPPUNIT_ASSERT(response.whole);
+            CPPUNIT_ASSERT(response.complete);
             CPPUNIT_ASSERT_EQUAL(support::expected_stream(text, 20), response.body);
             ++resumed;
         }
--- a/test/error/busy_servers_are_not_timed_out.cpp
+++ b/test/error/busy_servers_are_not_timed_out.cpp
@@ -11,7 +11,7 @@
 
 using namespace support;
 using namespace worksshift;
-using then = scripted_answer::then;
+using then = scripted_response::then;
 
 class busy_servers_are_not_timed_out : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(busy_servers_are_not_timed_out);
@@ -89,9 +89,9 @@
         for (const char* id : {"a", "b"}) {
             this->engines.push_back(
                 &this->rig->add_server(id, "llm", [](const std::string& request) {
-                    if (waits(request)) return scripted_answer{{}, then::stay_silent};
-                    return scripted_answer{stream_head(request) + event_chunk(1, "x") + "0\r\n\r\n",
-                                           then::keep};
+                    if (waits(request)) return scripted_response{{}, then::stay_silent};
+                    return scripted_response{
+                        stream_head(request) + event_chunk(1, "x") + "0\r\n\r\n", then::keep};
                 }));
         }
     }
--- a/test/error/forged_headers.cpp
+++ b/test/error/forged_headers.cpp
@@ -14,7 +14,7 @@
 
 using namespace support;
 using namespace worksshift;
-using then = scripted_answer::then;
+using then = scripted_response::then;
 
 /** Headers that only the router may send to a server, as documented by the platform. */
 constexpr std::array reserved{"X-Tenant",         "X-Expect-Instance", "X-Request-Priority",
@@ -65,7 +65,7 @@
     scripted_server& add_plain(const std::string& id, const std::string& service)
     {
         return this->rig->add_server(id, service, [](const std::string& request) {
-            return scripted_answer{answer_text(200, request, "done"), then::keep};
+            return scripted_response{response_text(200, request, "done"), then::keep};
         });
     }
 
@@ -120,9 +120,9 @@
     {
         const auto refuse_once = [refused = false](const std::string& request) mutable {
             if (std::exchange(refused, true))
-                return scripted_answer{answer_text(200, request, "done"), then::keep};
-            return scripted_answer{answer_text(503, request, "", "X-Not-Executed: 1\r\n"),
-                                   then::keep};
+                return scripted_response{response_text(200, request, "done"), then::keep};
+            return scripted_response{response_text(503, request, "", "X-Not-Executed: 1\r\n"),
+                                     then::keep};
         };
         scripted_server& first = this->rig->add_server("a", "desk", refuse_once);
         scripted_server& second = this->rig->add_server("b", "desk", refuse_once);
@@ -138,10 +138,10 @@
     {
         const auto break_off = [](const std::string& request) {
             if (!header_in(request, "last-event-id").empty()) {
-                return scripted_answer{stream_head(request) + event_chunk(2, "y") + "0\r\n\r\n",
-                                       then::keep};
+                return scripted_response{stream_head(request) + event_chunk(2, "y") + "0\r\n\r\n",
+                                         then::keep};
             }
-            return scripted_answer{stream_head(request) + event_chunk(1, "x"), then::close};
+            return scripted_response{stream_head(request) + event_chunk(1, "x"), then::close};
         };
         scripted_server& first = this->rig->add_server("a", "llm", break_off);
         scripted_server& second = this->rig->add_server("b", "llm", break_off);
--- a/test/error/invalid_caller_requests.cpp
+++ b/test/error/invalid_caller_requests.cpp
@@ -10,7 +10,7 @@
 
 using namespace support;
 using namespace worksshift;
-using then = scripted_answer::then;
+using then = scripted_response::then;
 
 class invalid_caller_requests : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(invalid_caller_requests);
@@ -49,8 +49,8 @@
         this->rig = std::make_unique<path_rig>();
         this->rig->path->set_config(this->rig->adapter.decode_config(example_config(1)));
         this->server = &this->rig->add_server("a", "desk", [](const std::string& request) {
-            return scripted_answer{answer_text(200, request, header_in(request, "x-request-id")),
-                                   then::keep};
+            return scripted_response{
+                response_text(200, request, header_in(request, "x-request-id")), then::keep};
         });
     }
 
@@ -109,7 +109,7 @@
     {
         this->rig = std::make_unique<path_rig>();
         this->rig->add_server("a", "desk", [](const std::string& request) {
-            return scripted_answer{answer_text(200, request, "served"), then::keep};
+            return scripted_response{response_text(200, request, "served"), then::keep};
         });
         raw_caller& caller = this->rig->add_caller();
         raw_caller& leaving_caller = this->rig->add_caller();
--- a/test/error/invalid_registry_entries.cpp
+++ b/test/error/invalid_registry_entries.cpp
@@ -227,7 +227,8 @@
         router_fleet fleet(1);
         fleet.set_config(example_config(1));
         fleet.add_server("m", "desk", [](const std::string& request) {
-            return scripted_answer{answer_text(200, request, "x"), scripted_answer::then::keep};
+            return scripted_response{response_text(200, request, "x"),
+                                     scripted_response::then::keep};
         });
         constexpr int entries = 3000;
         const std::vector<std::string> documents = invalid_documents();
--- a/test/error/invalid_server_responses.cpp
+++ b/test/error/invalid_server_responses.cpp
@@ -11,7 +11,7 @@
 
 using namespace support;
 using namespace worksshift;
-using then = scripted_answer::then;
+using then = scripted_response::then;
 
 class invalid_server_responses : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(invalid_server_responses);
@@ -38,9 +38,9 @@
 
     std::unique_ptr<path_rig> rig;
 
-    static scripted_answer good(const std::string& request)
+    static scripted_response good(const std::string& request)
     {
-        return {answer_text(200, request, "good"), then::keep};
+        return {response_text(200, request, "good"), then::keep};
     }
 
     /** Sends one request and returns the complete response. */
@@ -75,9 +75,9 @@
     void truncated_response_is_retried()
     {
         std::size_t sent = 0;
-        const auto first_is_truncated = [&sent](const std::string& request) -> scripted_answer {
+        const auto first_is_truncated = [&sent](const std::string& request) -> scripted_response {
             if (++sent > 1) return good(request);
-            std::string text = answer_text(200, request, "not whole");
+            std::string text = response_text(200, request, "not whole");
             return {text.substr(0, text.size() - 3), then::close};
         };
         this->rig->add_server("a", "desk", first_is_truncated);
@@ -90,8 +90,8 @@
     /** Guards against retrying a non-idempotent request after a truncated response. */
     void truncated_response_to_non_idempotent_is_not_retried()
     {
-        const auto truncated = [](const std::string& request) -> scripted_answer {
-            const std::string text = answer_text(200, request, "not whole");
+        const auto truncated = [](const std::string& request) -> scripted_response {
+            const std::string text = response_text(200, request, "not whole");
             return {text.substr(0, text.size() - 3), then::close};
         };
         scripted_server& a = this->rig->add_server("a", "desk", truncated);
@@ -105,7 +105,7 @@
     /** Guards against forwarding bytes that are not HTTP. */
     void response_is_not_http()
     {
-        this->rig->add_server("a", "desk", [](const std::string&) -> scripted_answer {
+        this->rig->add_server("a", "desk", [](const std::string&) -> scripted_response {
             return {"\x01\x02 nothing like an answer\r\n\r\n", then::keep};
         });
         const std::string response = this->ask(request_text("POST", "/unsafe/x", "1", "{}"));
@@ -116,9 +116,9 @@
     void unsolicited_second_response_is_discarded()
     {
         scripted_server& server =
-            this->rig->add_server("a", "desk", [](const std::string& request) -> scripted_answer {
+            this->rig->add_server("a", "desk", [](const std::string& request) -> scripted_response {
                 const std::string text =
-                    answer_text(200, request, header_in(request, "x-request-id"));
+                    response_text(200, request, header_in(request, "x-request-id"));
                 return {text + text, then::keep};
             });
         for (const std::string id : {"11", "12", "13"}) {
@@ -131,11 +131,11 @@
     void late_response_is_skipped()
     {
         std::string earlier;
-        scripted_server& server =
-            this->rig->add_server("a", "desk", [&](const std::string& request) -> scripted_answer {
+        scripted_server& server = this->rig->add_server(
+            "a", "desk", [&](const std::string& request) -> scripted_response {
                 const std::string late = earlier;
-                earlier = answer_text(200, request, "late");
-                return {late + answer_text(200, request, header_in(request, "x-request-id")),
+                earlier = response_text(200, request, "late");
+                return {late + response_text(200, request, header_in(request, "x-request-id")),
                         then::keep};
             });
         for (const std::string id : {"21", "22"}) {
@@ -153,7 +153,7 @@
     /** Guards against rejecting a response without a length that ends with the connection. */
     void response_without_length_ends_at_close()
     {
-        this->rig->add_server("a", "desk", [](const std::string& request) -> scripted_answer {
+        this->rig->add_server("a", "desk", [](const std::string& request) -> scripted_response {
             return {without_length(request), then::close};
         });
         const std::string response = this->ask(request_text("POST", "/unsafe/x", "1", "{}"));
@@ -165,7 +165,7 @@
      */
     void response_without_length_fails_on_reset()
     {
-        this->rig->add_server("a", "desk", [](const std::string& request) -> scripted_answer {
+        this->rig->add_server("a", "desk", [](const std::string& request) -> scripted_response {
             return {without_length(request), then::reset};
         });
         const std::string response = this->ask(request_text("POST", "/unsafe/x", "1", "{}"));
@@ -197,8 +197,8 @@
     void closed_idle_connection_is_not_reused()
     {
         scripted_server& server =
-            this->rig->add_server("a", "desk", [](const std::string& request) -> scripted_answer {
-                return {answer_text(200, request, "good"), then::close};
+            this->rig->add_server("a", "desk", [](const std::string& request) -> scripted_response {
+                return {response_text(200, request, "good"), then::close};
             });
         for (const std::string id : {"41", "42"}) {
             const std::string response = this->ask(request_text("POST", "/unsafe/x", id, "{}"));
@@ -228,8 +228,8 @@
      */
     void different_server_at_the_address()
     {
-        const auto other = [](const std::string& request) -> scripted_answer {
-            return {answer_text(421, request, "", "X-Instance-Id: z\r\n"), then::keep};
+        const auto other = [](const std::string& request) -> scripted_response {
+            return {response_text(421, request, "", "X-Instance-Id: z\r\n"), then::keep};
         };
         scripted_server& a = this->rig->add_server("a", "desk", other);
         this->rig->add_server("b", "desk", good);
@@ -241,16 +241,16 @@
         CPPUNIT_ASSERT(a.requests.size() <= 1);
     }
 
-    static scripted_answer refuse(const std::string& request)
+    static scripted_response refuse(const std::string& request)
     {
-        return {answer_text(503, request, "", "X-Not-Executed: 1\r\n"), then::keep};
+        return {response_text(503, request, "", "X-Not-Executed: 1\r\n"), then::keep};
     }
 
     /** Guards against not retrying a request that a server provably did not run. */
     void rejected_request_is_retried()
     {
         std::size_t sent = 0;
-        const auto first_refuses = [&sent](const std::string& request) -> scripted_answer {
+        const auto first_refuses = [&sent](const std::string& request) -> scripted_response {
             return ++sent == 1 ? refuse(request) : good(request);
         };
         this->rig->add_server("a", "desk", first_refuses);
@@ -273,8 +273,8 @@
     /** Guards against passing on a 503 that does not prove that the request did not run. */
     void rejection_without_proof_becomes_502()
     {
-        this->rig->add_server("a", "desk", [](const std::string& request) -> scripted_answer {
-            return {answer_text(503, request, "ran"), then::keep};
+        this->rig->add_server("a", "desk", [](const std::string& request) -> scripted_response {
+            return {response_text(503, request, "ran"), then::keep};
         });
         const std::string response = this->ask(request_text("POST", "/unsafe/x", "1", "{}"));
         CPPUNIT_ASSERT_EQUAL(502, status_of(response));
@@ -283,8 +283,8 @@
     /** Guards against changing a server's own error response. */
     void server_error_is_forwarded_unchanged()
     {
-        this->rig->add_server("a", "desk", [](const std::string& request) -> scripted_answer {
-            return {answer_text(500, request, "its own words"), then::keep};
+        this->rig->add_server("a", "desk", [](const std::string& request) -> scripted_response {
+            return {response_text(500, request, "its own words"), then::keep};
         });
         const std::string response = this->ask(request_text("POST", "/unsafe/x", "1", "{}"));
         CPPUNIT_ASSERT_EQUAL(500, status_of(response));
@@ -314,8 +314,8 @@
     void request_to_silent_server_is_retried()
     {
         std::size_t sent = 0;
-        const auto first_is_silent = [&sent](const std::string& request) -> scripted_answer {
-            return ++sent == 1 ? scripted_answer{"", then::stay_silent} : good(request);
+        const auto first_is_silent = [&sent](const std::string& request) -> scripted_response {
+            return ++sent == 1 ? scripted_response{"", then::stay_silent} : good(request);
         };
         scripted_server& a = this->rig->add_server("a", "desk", first_is_silent);
         scripted_server& b = this->rig->add_server("b", "desk", first_is_silent);
@@ -327,7 +327,7 @@
     /** Guards against sending further requests to a server that has stopped answering. */
     void unresponsive_server_gets_no_further_requests()
     {
-        const auto silent = [](const std::string&) -> scripted_answer {
+        const auto silent = [](const std::string&) -> scripted_response {
             return {"", then::stay_silent};
         };
         scripted_server& a = this->rig->add_server("a", "desk", silent);
@@ -349,7 +349,7 @@
     void expired_request_gets_504()
     {
         scripted_server& server =
-            this->rig->add_server("a", "desk", [](const std::string&) -> scripted_answer {
+            this->rig->add_server("a", "desk", [](const std::string&) -> scripted_response {
                 return {"", then::stay_silent};
             });
         const std::string response = this->ask(request_text("POST", "/unsafe/x", "1", "{}"));
--- a/test/error/servers_that_leave_or_back_off.cpp
+++ b/test/error/servers_that_leave_or_back_off.cpp
@@ -20,7 +20,7 @@
 
 using namespace support;
 using namespace worksshift;
-using then = scripted_answer::then;
+using then = scripted_response::then;
 
 /** Requests that may reach a server after it asked for a back-off: those already on their way. */
 constexpr std::size_t max_late_requests = 2;
@@ -44,22 +44,23 @@
     int first_status = 200;
     unsigned ids = 0;
 
-    scripted_answer answer_first(const std::string& request) const
+    scripted_response answer_first(const std::string& request) const
     {
         if (request.starts_with("POST")) {
             std::string head = stream_head(request);
             head.insert(head.find("Content-Type"), this->first_headers);
             return {head + event_chunk(1, "x") + "0\r\n\r\n", then::keep};
         }
-        return {answer_text(this->first_status, request, "first", this->first_headers), then::keep};
+        return {response_text(this->first_status, request, "first", this->first_headers),
+                then::keep};
     }
 
-    static scripted_answer answer_second(const std::string& request)
+    static scripted_response answer_second(const std::string& request)
     {
         if (request.starts_with("POST")) {
             return {stream_head(request) + event_chunk(1, "x") + "0\r\n\r\n", then::keep};
         }
-        return {answer_text(200, request, "second"), then::keep};
+        return {response_text(200, request, "second"), then::keep};
     }
 
     void start(const std::string& service, bool second)
--- a/test/error/servers_that_leave_or_expire.cpp
+++ b/test/error/servers_that_leave_or_expire.cpp
@@ -206,11 +206,11 @@
         registry_feed source;
         registry_feed copy;
         const std::vector<stored_object> all{entry("a")};
-        source.take({10, true, all});
-        copy.take({10, true, all});
-        copy.take({12, false, {entry("b", "ready", 12)}});
-        source.take({14, false, {removal("b", 13), entry("a", "draining", 14)}});
-        const registry_update changes = copy.take(source.since(12)).value_or(registry_update{});
+        source.apply({10, true, all});
+        copy.apply({10, true, all});
+        copy.apply({12, false, {entry("b", "ready", 12)}});
+        source.apply({14, false, {removal("b", 13), entry("a", "draining", 14)}});
+        const registry_update changes = copy.apply(source.since(12)).value_or(registry_update{});
         CPPUNIT_ASSERT_EQUAL(std::size_t{2}, changes.objects.size());
         CPPUNIT_ASSERT_EQUAL(std::size_t{1}, copy.since(0).objects.size());
     }
@@ -221,16 +221,16 @@
         registry_feed source;
         registry_feed copy;
         const std::vector<stored_object> all{entry("a"), entry("b")};
-        source.take({10, true, all});
-        copy.take(decode_registry_update(encode(source.since(0)), "peer"));
-        source.take({11, false, {removal("a", 11)}});
-        source.take({12, false, {entry("c", "ready", 12)}});
+        source.apply({10, true, all});
+        copy.apply(decode_registry_update(encode(source.since(0)), "peer"));
+        source.apply({11, false, {removal("a", 11)}});
+        source.apply({12, false, {entry("c", "ready", 12)}});
         const registry_update update =
             decode_registry_update(encode(source.since(copy.revision())), "peer");
-        CPPUNIT_ASSERT(!update.whole);
+        CPPUNIT_ASSERT(!update.complete);
         CPPUNIT_ASSERT_EQUAL(std::uint64_t{10}, update.oldest_known_revision);
         CPPUNIT_ASSERT_EQUAL(std::size_t{2}, update.objects.size());
-        copy.take(update);
+        copy.apply(update);
         CPPUNIT_ASSERT_EQUAL(std::uint64_t{12}, copy.revision());
         CPPUNIT_ASSERT(copy.since(12).objects.empty());
         CPPUNIT_ASSERT_EQUAL(std::size_t{2}, copy.since(0).objects.size());
@@ -241,24 +241,24 @@
     static void feed_forwards_retained_servers()
     {
         registry_update update{10, true, {}};
-        update.kept = {{"a", 700}};
+        update.retained = {{"a", 700}};
         const registry_update reported = decode_registry_update(encode(update), "peer");
-        CPPUNIT_ASSERT_EQUAL(std::size_t{1}, reported.kept.size());
-        CPPUNIT_ASSERT_EQUAL(std::string("a"), reported.kept.front().name);
-        CPPUNIT_ASSERT_EQUAL(std::uint32_t{700}, reported.kept.front().missing_ms);
+        CPPUNIT_ASSERT_EQUAL(std::size_t{1}, reported.retained.size());
+        CPPUNIT_ASSERT_EQUAL(std::string("a"), reported.retained.front().name);
+        CPPUNIT_ASSERT_EQUAL(std::uint32_t{700}, reported.retained.front().missing_ms);
     }
 
     /** Guards against a partial response to a VM that lacks more changes than the feed holds. */
     static void feed_sends_the_complete_registry()
     {
         registry_feed source;
-        source.take({10, true, {}});
+        source.apply({10, true, {}});
         for (std::uint64_t i = 0; i < registry_feed::min_retained_changes + 5; ++i)
-            source.take({11 + i, false, {entry("s" + std::to_string(i % 7), "ready", 11 + i)}});
+            source.apply({11 + i, false, {entry("s" + std::to_string(i % 7), "ready", 11 + i)}});
         const registry_update update = source.since(11);
-        CPPUNIT_ASSERT(update.whole);
+        CPPUNIT_ASSERT(update.complete);
         CPPUNIT_ASSERT_EQUAL(std::size_t{7}, update.objects.size());
-        CPPUNIT_ASSERT(!source.since(source.revision() - 1).whole);
+        CPPUNIT_ASSERT(!source.since(source.revision() - 1).complete);
     }
 
     /** Guards against stale responses of the store, which arrive between newer updates from other
@@ -267,12 +267,12 @@
     {
         registry_feed feed;
         const auto changes_of = [&feed](const registry_update& update) {
-            return feed.take(update).value_or(registry_update{}).objects;
+            return feed.apply(update).value_or(registry_update{}).objects;
         };
-        feed.take({10, true, {entry("a", "ready", 5)}});
-        feed.take({20, false, {entry("a", "draining", 15), entry("b", "ready", 18)}});
-        CPPUNIT_ASSERT(!feed.take({12, false, {entry("a", "ready", 12)}}));
-        CPPUNIT_ASSERT(!feed.take({10, true, {entry("a", "ready", 5)}}));
+        feed.apply({10, true, {entry("a", "ready", 5)}});
+        feed.apply({20, false, {entry("a", "draining", 15), entry("b", "ready", 18)}});
+        CPPUNIT_ASSERT(!feed.apply({12, false, {entry("a", "ready", 12)}}));
+        CPPUNIT_ASSERT(!feed.apply({10, true, {entry("a", "ready", 5)}}));
         // The update is newer than the feed, but its entry for `a` is not.
         const auto changes =
             changes_of({21, false, {entry("a", "ready", 12), entry("c", "ready", 21)}});
--- a/test/error/servers_that_restart.cpp
+++ b/test/error/servers_that_restart.cpp
@@ -16,7 +16,7 @@
 using namespace worksshift;
 
 constexpr store_origin from_watch{true};
-using then = scripted_answer::then;
+using then = scripted_response::then;
 
 /** Registry entry of a server that started at \p started_at_ms, in Unix time. */
 std::string document(const link_address& address, std::uint64_t started_at_ms,
@@ -80,7 +80,7 @@
     {
         const instant before = this->start + seconds(59);
         this->row().in_flight = 3;
-        this->row().state(9, before);
+        this->row().set_reported_load(9, before);
         this->row().health.on_unreachable(before + milliseconds(900));
         this->row().first_delay.add(seconds(2), before);
         this->row().replaced = true;
@@ -150,9 +150,9 @@
             return header_in(request, "x-request-id") == "waits";
         };
         const auto script = [&](const std::string& request) {
-            if (is_pending_request(request)) return scripted_answer{{}, then::stay_silent};
-            return scripted_answer{stream_head(request) + event_chunk(1, "x") + "0\r\n\r\n",
-                                   then::keep};
+            if (is_pending_request(request)) return scripted_response{{}, then::stay_silent};
+            return scripted_response{stream_head(request) + event_chunk(1, "x") + "0\r\n\r\n",
+                                     then::keep};
         };
         const std::vector<const scripted_server*> engines{&rig.add_server("a", "llm", script),
                                                           &rig.add_server("b", "llm", script)};
@@ -188,7 +188,7 @@
         router_fleet fleet(1);
         fleet.set_config(example_config(1));
         scripted_server& server = fleet.add_server("a", "desk", [](const std::string& request) {
-            return scripted_answer{answer_text(200, request, "x"), then::keep};
+            return scripted_response{response_text(200, request, "x"), then::keep};
         });
         fleet.store->put("servers", "a",
                          document(server.address(), first_start_ms, "ready", "desk"));
--- a/test/error/streams_that_break.cpp
+++ b/test/error/streams_that_break.cpp
@@ -13,7 +13,7 @@
 
 using namespace support;
 using namespace worksshift;
-using then = scripted_answer::then;
+using then = scripted_response::then;
 
 class streams_that_break : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(streams_that_break);
@@ -29,7 +29,7 @@
     std::unique_ptr<path_rig> rig;
 
     /** The events after `Last-Event-Id` up to the third, and the end of the stream. */
-    static scripted_answer events_to_the_end(const std::string& request)
+    static scripted_response events_to_the_end(const std::string& request)
     {
         const std::string last = header_in(request, "last-event-id");
         std::string text = stream_head(request);
@@ -82,7 +82,7 @@
     /** Guards against a lost, repeated or partial event when a server resets midway in an event. */
     void resumed_after_the_last_complete_event()
     {
-        const auto broken = [](const std::string& request) -> scripted_answer {
+        const auto broken = [](const std::string& request) -> scripted_response {
             const std::string second = event_chunk(2, "d2");
             return {stream_head(request) + event_chunk(1, "d1") + second.substr(0, 9), then::reset};
         };
@@ -104,7 +104,7 @@
      * early. */
     void ended_inside_an_event()
     {
-        const auto broken = [](const std::string& request) -> scripted_answer {
+        const auto broken = [](const std::string& request) -> scripted_response {
             return {stream_head(request) + event_chunk(1, "d1") + "6\r\nid: 2\n\r\n0\r\n\r\n",
                     then::keep};
         };
@@ -117,7 +117,7 @@
      * resumption. */
     void not_resumable()
     {
-        const auto broken = [](const std::string& request) -> scripted_answer {
+        const auto broken = [](const std::string& request) -> scripted_response {
             return {stream_head(request) + event_chunk(1, "d1"), then::close};
         };
         raw_caller& caller = this->ask_two(broken, "/once/x");
@@ -142,7 +142,7 @@
     void caller_disconnects()
     {
         scripted_server& server =
-            this->rig->add_server("a", "llm", [](const std::string& request) -> scripted_answer {
+            this->rig->add_server("a", "llm", [](const std::string& request) -> scripted_response {
                 return {stream_head(request) + event_chunk(1, "d1"), then::keep};
             });
         raw_caller& caller = this->rig->add_caller();
@@ -157,7 +157,7 @@
     /** Guards against waiting for a server that stops sending midway in a stream. */
     void silent_midway()
     {
-        const auto stuck = [](const std::string& request) -> scripted_answer {
+        const auto stuck = [](const std::string& request) -> scripted_response {
             return {stream_head(request) + event_chunk(1, "d1"), then::keep};
         };
         raw_caller& caller = this->ask_two(stuck, "/stream/x");
--- a/test/error/suspended_vms.cpp
+++ b/test/error/suspended_vms.cpp
@@ -11,7 +11,7 @@
 
 using namespace support;
 using namespace worksshift;
-using then = scripted_answer::then;
+using then = scripted_response::then;
 
 class suspended_vms : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(suspended_vms);
@@ -66,7 +66,7 @@
     void expired_requests_are_answered_at_once()
     {
         const scripted_server& server =
-            this->rig->add_server("a", "desk", [](const std::string&) -> scripted_answer {
+            this->rig->add_server("a", "desk", [](const std::string&) -> scripted_response {
                 return {{}, then::stay_silent};
             });
         const raw_caller& caller = this->ask("POST", "/unsafe/x");
@@ -82,9 +82,9 @@
     void retried_request_has_a_shorter_deadline()
     {
         bool failed_once = false;
-        const auto serve = [&](const std::string& request) -> scripted_answer {
+        const auto serve = [&](const std::string& request) -> scripted_response {
             if (std::exchange(failed_once, true))
-                return {answer_text(200, request, "x"), then::keep};
+                return {response_text(200, request, "x"), then::keep};
             this->rig->path->on_suspended(milliseconds(800));
             return {{}, then::reset};
         };
@@ -106,8 +106,8 @@
     void idle_connections_are_closed()
     {
         const scripted_server& server =
-            this->rig->add_server("a", "desk", [](const std::string& request) -> scripted_answer {
-                return {answer_text(200, request, "x"), then::keep};
+            this->rig->add_server("a", "desk", [](const std::string& request) -> scripted_response {
+                return {response_text(200, request, "x"), then::keep};
             });
         for (std::size_t asked = 1; asked <= 3; ++asked) {
             const raw_caller& caller = this->ask("GET", "/safe/x");
--- a/test/fakes/fake_http.cpp
+++ b/test/fakes/fake_http.cpp
@@ -90,7 +90,7 @@
 void run_until_stopped(event_base* base)
 {
     std::signal(SIGPIPE, SIG_IGN);
-    const worksshift::signal_watch stop(base, SIGTERM, [base] { event_base_loopbreak(base); });
+    const worksshift::signal_handler stop(base, SIGTERM, [base] { event_base_loopbreak(base); });
     event_base_dispatch(base);
 }
 
--- a/test/fuzz/account_rate_spans_the_fleet.cpp
+++ b/test/fuzz/account_rate_spans_the_fleet.cpp
@@ -86,7 +86,7 @@
         CPPUNIT_ASSERT(used >= 0.9 * rate * 60);
         std::size_t refused = 0;
         for (const auto& result : fleet.results) {
-            if (result.request.account == "acc-2") CPPUNIT_ASSERT(result.end == ending::whole);
+            if (result.request.account == "acc-2") CPPUNIT_ASSERT(result.end == ending::complete);
             if (result.end != ending::not_run) continue;
             ++refused;
             CPPUNIT_ASSERT(result.retry_after_ms > 0);
@@ -110,7 +110,7 @@
         request.chat = 2;
         const std::size_t after = fleet.submit(1, request);
         fleet.run_for(seconds(40));
-        CPPUNIT_ASSERT(fleet.results[large].end == ending::whole);
+        CPPUNIT_ASSERT(fleet.results[large].end == ending::complete);
         CPPUNIT_ASSERT(fleet.results[after].end == ending::not_run);
         CPPUNIT_ASSERT(fleet.results[after].retry_after_ms > 10'000);
     }
@@ -135,7 +135,7 @@
         request.chat = 2;
         const std::size_t served = fleet.submit(0, request);
         fleet.run_for(seconds(40));
-        CPPUNIT_ASSERT(fleet.results[served].end == ending::whole);
+        CPPUNIT_ASSERT(fleet.results[served].end == ending::complete);
     }
 
     /** Guards against use above the bound while VMs restart and links are cut. */
--- a/test/fuzz/claims_are_granted_once.cpp
+++ b/test/fuzz/claims_are_granted_once.cpp
@@ -95,7 +95,7 @@
             server.up = true;
         const std::size_t again = fleet.submit(1, make_request(1));
         fleet.run_for(seconds(3));
-        CPPUNIT_ASSERT(fleet.results[again].end == ending::whole);
+        CPPUNIT_ASSERT(fleet.results[again].end == ending::complete);
         const std::size_t repeated = fleet.submit(2, make_request(1));
         fleet.run_for(seconds(3));
         CPPUNIT_ASSERT(fleet.results[repeated].end == ending::replayed);
@@ -133,7 +133,7 @@
         }
         fleet.run_for(seconds(10));
         for (std::size_t i = 0; i < fleet.results.size(); ++i) {
-            const ending expected = i < first_repeat ? ending::whole : ending::replayed;
+            const ending expected = i < first_repeat ? ending::complete : ending::replayed;
             CPPUNIT_ASSERT(fleet.results[i].end == expected);
             CPPUNIT_ASSERT_EQUAL(i < first_repeat ? 1U : 0U, fleet.results[i].runs);
         }
@@ -161,7 +161,7 @@
         fleet.set_platform(true);
         const std::size_t served = fleet.submit(1, make_request(key));
         fleet.run_for(seconds(3));
-        CPPUNIT_ASSERT(fleet.results[served].end == ending::whole);
+        CPPUNIT_ASSERT(fleet.results[served].end == ending::complete);
         CPPUNIT_ASSERT_EQUAL(1U, runs_of(fleet, "key-" + std::to_string(key)));
     }
 
--- a/test/fuzz/crash_reports_reach_every_vm.cpp
+++ b/test/fuzz/crash_reports_reach_every_vm.cpp
@@ -32,8 +32,8 @@
     {
         this->fleet.describe = [this](std::size_t vm, local_state& state) {
             crash_suspects& known = this->known[vm];
-            known.forget(this->fleet.now);
-            known.describe(state.digest, this->fleet.now);
+            known.expire(this->fleet.now);
+            known.fill_digest(state.digest, this->fleet.now);
             state.remote_crash_reports = known.reports_to_remote_vms();
         };
         this->fleet.on_digest = [this](std::size_t vm, const fleet_vm& from) {
@@ -284,7 +284,7 @@
         }
         CPPUNIT_ASSERT(known.suspect_count() <= max_suspects);
         fleet_digest own;
-        known.describe(own, now);
+        known.fill_digest(own, now);
         CPPUNIT_ASSERT(own.blocked.size() <= max_blocked_contents);
         CPPUNIT_ASSERT(own.crash_reports.size() <= max_crash_reports);
         CPPUNIT_ASSERT(!known.blocked(harmful, now));
--- a/test/fuzz/digests_reach_every_vm.cpp
+++ b/test/fuzz/digests_reach_every_vm.cpp
@@ -207,16 +207,16 @@
         digest.sequence = 9;
         digest.data_centre = 7;
         digest.own_loads = {0, 1, {{11, 3}, {12, 4}}};
-        table.take(2, digest, now);
+        table.apply_digest(2, digest, now);
         digest.sequence = 8;
         digest.own_loads = {0, 1, {{11, 1}}};
-        CPPUNIT_ASSERT(table.take(2, digest, now) == nullptr);
+        CPPUNIT_ASSERT(table.apply_digest(2, digest, now) == nullptr);
         CPPUNIT_ASSERT_EQUAL(4U, load_at(table.vms().at(2).own_loads.entries(), 12));
         digest.incarnation = 6;
         digest.sequence = 1;
         // This digest has only part of the table: the rest must not come from the old incarnation.
         digest.own_loads = {1, 2, {{11, 1}}};
-        CPPUNIT_ASSERT(table.take(2, digest, now) != nullptr);
+        CPPUNIT_ASSERT(table.apply_digest(2, digest, now) != nullptr);
         CPPUNIT_ASSERT_EQUAL(0U, load_at(table.vms().at(2).own_loads.entries(), 12));
         CPPUNIT_ASSERT_EQUAL(1U, load_at(table.vms().at(2).own_loads.entries(), 11));
     }
--- a/test/fuzz/evacuations_reach_every_vm.cpp
+++ b/test/fuzz/evacuations_reach_every_vm.cpp
@@ -62,7 +62,7 @@
             fleet.evacuate("b");
             check_known_in_time(fleet, {"a", "b"});
             fleet.run(seconds(3));
-            fleet.take_back("a");
+            fleet.revoke_evacuation("a");
             check_known_in_time(fleet, {"b"});
         }
     }
@@ -76,7 +76,7 @@
         check_known_in_time(fleet, {"a", "b", "c", "d"});
         fleet.run(seconds(2));
         for (const std::string data_centre : {"a", "b", "c", "d"})
-            fleet.take_back(data_centre);
+            fleet.revoke_evacuation(data_centre);
         check_known_in_time(fleet, {});
     }
 
@@ -102,7 +102,7 @@
         fleet.run(seconds(7));
         CPPUNIT_ASSERT(fleet.all_evacuate({"a"}));
         fleet.lose_waiting();
-        fleet.take_back("a");
+        fleet.revoke_evacuation("a");
         fleet.store.forget_history();
         fleet.run(seconds(7));
         CPPUNIT_ASSERT(fleet.all_evacuate({}));
@@ -119,7 +119,7 @@
         fleet.store.silent = true;
         fleet.run(seconds(9));
         CPPUNIT_ASSERT(fleet.all_evacuate({"a"}));
-        fleet.take_back("a");
+        fleet.revoke_evacuation("a");
         fleet.evacuate("b");
         fleet.store.silent = false;
         fleet.run(seconds(3));
@@ -182,7 +182,7 @@
                     fleet.evacuate(data_centre);
                 } else {
                     data_centres.erase(data_centre);
-                    fleet.take_back(data_centre);
+                    fleet.revoke_evacuation(data_centre);
                 }
                 const bool silent = *rc::gen::inRange(0, 3) == 0;
                 fleet.store.silent = silent;
--- a/test/fuzz/orders_come_from_one_lease_holder.cpp
+++ b/test/fuzz/orders_come_from_one_lease_holder.cpp
@@ -248,7 +248,7 @@
         CPPUNIT_ASSERT(server.loaded.contains("v1"));
         CPPUNIT_ASSERT(server.loaded.contains("v2"));
         fleet.run_for(seconds(30));
-        CPPUNIT_ASSERT(fleet.results[request].end == support::ending::whole);
+        CPPUNIT_ASSERT(fleet.results[request].end == support::ending::complete);
         CPPUNIT_ASSERT(!server.loaded.contains("v1"));
         CPPUNIT_ASSERT((server.versions_run == std::set<std::string>{"v1"}));
     }
@@ -277,7 +277,7 @@
             server.crash_next = false;
         fleet.run_for(seconds(20));
         const support::core_result& result = fleet.results[request];
-        CPPUNIT_ASSERT(result.end == support::ending::whole);
+        CPPUNIT_ASSERT(result.end == support::ending::complete);
         CPPUNIT_ASSERT_EQUAL(2U, result.runs);
         CPPUNIT_ASSERT_EQUAL(result.expected, result.text);
         for (const auto& [id, server] : fleet.servers)
--- a/test/fuzz/queue_matches_oracle.cpp
+++ b/test/fuzz/queue_matches_oracle.cpp
@@ -42,9 +42,10 @@
                         std::string(1, static_cast<char>('a' + *rc::gen::inRange(0, 3)));
                     request.cost = *rc::gen::inRange(1U, 500U);
                     request.weight = *rc::gen::inRange(1, 4);
-                    request.urgency = *rc::gen::element(priority::interactive, priority::batch);
+                    request.request_priority =
+                        *rc::gen::element(priority::interactive, priority::batch);
                     request.deadline = instant{} + seconds(*rc::gen::inRange(0, 10));
-                    queued[request.id.sequence] = request.urgency;
+                    queued[request.id.sequence] = request.request_priority;
                     if (const auto shed = queue.push(request)) remove_once(*shed);
                 } else if (step < 8) {
                     const auto request = queue.pop(instant{} + seconds(20));
@@ -53,8 +54,9 @@
                     remove_once(*request);
                     queue.charge(request->account, request->weight, request->cost,
                                  instant{} + seconds(20));
-                    const bool overtaken = std::ranges::any_of(
-                        queued, [&](const auto& entry) { return entry.second < request->urgency; });
+                    const bool overtaken = std::ranges::any_of(queued, [&](const auto& entry) {
+                        return entry.second < request->request_priority;
+                    });
                     RC_ASSERT(!overtaken);
                 } else if (step == 8) {
                     for (const auto& request : queue.take_expired(instant{} + seconds(5))) {
--- a/test/fuzz/relay_forwards_frames_in_order.cpp
+++ b/test/fuzz/relay_forwards_frames_in_order.cpp
@@ -8,7 +8,7 @@
 #include <cppunit/extensions/HelperMacros.h>
 #include <rapidcheck.h>
 
-#include "answer_relay.h"
+#include "response_relay.h"
 
 namespace {
 
@@ -64,7 +64,7 @@
             std::string complete;
             for (std::uint32_t i = 0; i < tokens; ++i)
                 complete += token(i);
-            answer_relay relay;
+            response_relay relay;
             std::string forwarded;
             relay.on_data.connect(
                 [&](std::uint64_t, std::string_view bytes) { forwarded += bytes; });
--- a/test/fuzz/request_guarantees_hold.cpp
+++ b/test/fuzz/request_guarantees_hold.cpp
@@ -70,8 +70,8 @@
 {
     std::map<std::string, std::uint32_t> runs_by_key;
     for (const core_result& result : fleet.results) {
-        if (result.end == ending::whole) RC_ASSERT(result.text == result.expected);
-        if (result.end != ending::whole && result.end != ending::replayed) {
+        if (result.end == ending::complete) RC_ASSERT(result.text == result.expected);
+        if (result.end != ending::complete && result.end != ending::replayed) {
             RC_ASSERT(result.expected.starts_with(result.text));
         }
         if (result.end == ending::not_run) RC_ASSERT(result.runs == 0U);
@@ -122,7 +122,7 @@
     void run(const model& /*state*/, system_under_test& system) const override
     {
         if (system.fleet.results.empty()) return;
-        system.fleet.hang_up(this->request_index % system.fleet.results.size());
+        system.fleet.disconnect_caller(this->request_index % system.fleet.results.size());
     }
     void show(std::ostream& out) const override { out << "hang_up(" << this->request_index << ")"; }
 };
@@ -235,7 +235,7 @@
         RC_ASSERT(core.data().requests.empty());
         RC_ASSERT(core.data().server_by_attempt.empty());
         RC_ASSERT(core.data().claim_requests.empty());
-        RC_ASSERT(core.answers().size() == 0U);
+        RC_ASSERT(core.responses().size() == 0U);
     }
 }
 
@@ -285,7 +285,7 @@
             system.fleet.run_for(milliseconds(30));
             system.fleet.leave(0);
             system.fleet.run_for(milliseconds(50));
-            system.fleet.hang_up(0);
+            system.fleet.disconnect_caller(0);
             check_all_ended(system);
         }));
     }
--- a/test/fuzz/request_path_keeps_guarantees.cpp
+++ b/test/fuzz/request_path_keeps_guarantees.cpp
@@ -15,7 +15,7 @@
 
 using namespace support;
 using namespace worksshift;
-using then = scripted_answer::then;
+using then = scripted_response::then;
 
 enum class server_behaviour : std::uint8_t {
     good,
@@ -64,19 +64,19 @@
 
     static std::string complete_response(const std::string& request)
     {
-        if (!is_stream(request)) return answer_text(200, request, "answer to " + id_of(request));
+        if (!is_stream(request)) return response_text(200, request, "answer to " + id_of(request));
         return stream_head(request) + events_of(request, 4) + "0\r\n\r\n";
     }
 
-    scripted_answer answer(const std::string& request)
+    scripted_response answer(const std::string& request)
     {
         const server_behaviour current =
             this->behaviours[this->arrivals++ % this->behaviours.size()];
         if (current == server_behaviour::refuses) {
-            return {answer_text(503, request, "", "X-Not-Executed: 1\r\n"), then::keep};
+            return {response_text(503, request, "", "X-Not-Executed: 1\r\n"), then::keep};
         }
         if (current == server_behaviour::other_server)
-            return {answer_text(421, request, ""), then::keep};
+            return {response_text(421, request, ""), then::keep};
         ++this->runs[id_of(request)];
         const std::string text = complete_response(request);
         switch (current) {
@@ -89,9 +89,9 @@
         case server_behaviour::answers_twice:
             return {text + text, then::keep};
         case server_behaviour::fails:
-            return {answer_text(500, request, "failed"), then::keep};
+            return {response_text(500, request, "failed"), then::keep};
         case server_behaviour::unproven_refusal:
-            return {answer_text(503, request, "failed"), then::keep};
+            return {response_text(503, request, "failed"), then::keep};
         case server_behaviour::breaks_stream:
             if (!is_stream(request)) return {text.substr(0, 30), then::reset};
             return {stream_head(request) + events_of(request, 2) + "5\r\nid: 3", then::reset};
--- a/test/performance/claims.cpp
+++ b/test/performance/claims.cpp
@@ -51,7 +51,7 @@
     std::vector<double> wait_ms;
     double not_served = 0;
     for (const support::core_result& result : fleet.results) {
-        if (result.end != ending::whole) ++not_served;
+        if (result.end != ending::complete) ++not_served;
         if (result.was_sent) {
             wait_ms.push_back(
                 std::chrono::duration<double, std::milli>(result.started - result.sent).count());
--- a/test/performance/demo.cpp
+++ b/test/performance/demo.cpp
@@ -38,7 +38,7 @@
     for (std::size_t i = 0; i < 12; ++i) {
         const std::string text = "check valve part " + std::to_string(i % 4);
         const support::reply answer = fleet.chat(i % 3, "chat-" + std::to_string(i % 4), text, 25);
-        if (answer.whole && answer.body == support::expected_stream(text, 25)) ++whole;
+        if (answer.complete && answer.body == support::expected_stream(text, 25)) ++whole;
     }
     out.say(whole == 12, "12 streamed answers through 3 routers, each whole and its caller's own");
     double prompt = 0;
--- a/test/performance/placement.cpp
+++ b/test/performance/placement.cpp
@@ -294,7 +294,7 @@
         static_cast<double>(fleet.gossip_bytes) / static_cast<double>(fleet.size()) / load.span_s;
     fleet.run_for(seconds(400));
     const auto refused = std::ranges::count_if(
-        fleet.results, [](const auto& entry) { return entry.end != support::ending::whole; });
+        fleet.results, [](const auto& entry) { return entry.end != support::ending::complete; });
     result.reuse = reuse_of(fleet.servers);
     result.worst_admission = fleet.admissions.worst_ratio;
     result.over_bound_share = static_cast<double>(fleet.admissions.over_bound) /
--- a/test/performance/router.cpp
+++ b/test/performance/router.cpp
@@ -29,8 +29,8 @@
     for (std::size_t at = 0; (at = config.find(":1500", at)) != std::string::npos; ++at)
         config.replace(at, 5, ":9000");
     fleet.set_config(config);
-    const auto begin = [](const std::string& request) -> scripted_answer {
-        return {stream_head(request) + event_chunk(1, "first"), scripted_answer::then::keep};
+    const auto begin = [](const std::string& request) -> scripted_response {
+        return {stream_head(request) + event_chunk(1, "first"), scripted_response::then::keep};
     };
     // One server per stream, because a scripted server pushes only on its newest connection.
     std::vector<scripted_server*> engines;
@@ -77,8 +77,8 @@
 {
     router_fleet fleet(vms);
     fleet.set_config(example_config(1));
-    const auto answer_ok = [](const std::string& request) -> scripted_answer {
-        return {answer_text(200, request, "x"), scripted_answer::then::keep};
+    const auto answer_ok = [](const std::string& request) -> scripted_response {
+        return {response_text(200, request, "x"), scripted_response::then::keep};
     };
     for (int i = 0; i < 20; ++i)
         fleet.add_server("s" + std::to_string(i), "desk", answer_ok);
--- a/test/soak/soak_run.cpp
+++ b/test/soak/soak_run.cpp
@@ -6,9 +6,9 @@
 namespace soak {
 
 using namespace worksshift;
-using support::answer_text;
 using support::event_chunk;
 using support::header_in;
+using support::response_text;
 using support::stream_head;
 
 namespace {
@@ -96,7 +96,8 @@
     const instant time = std::chrono::steady_clock::now();
     if (behaviour == 0) {
         this->guarantees.record_refusal(request, time);
-        return {{{{}, answer_text(503, request, "", "X-Not-Executed: 1\r\n")}}, response_end::keep};
+        return {{{{}, response_text(503, request, "", "X-Not-Executed: 1\r\n")}},
+                response_end::keep};
     }
     const asked_request* sent_request = this->guarantees.find(header_in(request, "x-request-id"));
     constexpr std::size_t first_correct_behaviour = 7;
@@ -106,7 +107,7 @@
     if (!sent_request->route->stream) {
         response.pieces.push_back(
             {this->draw_span(0, 40),
-             answer_text(200, request, complete_body(*sent_request->route, sent_request->id))});
+             response_text(200, request, complete_body(*sent_request->route, sent_request->id))});
         return this->apply_failure(behaviour, request, response);
     }
     const std::string last = header_in(request, "last-event-id");
@@ -139,14 +140,14 @@
         break;
     case 4:
         response.pieces.push_back(
-            {response.pieces.back().after, answer_text(200, request, "again")});
+            {response.pieces.back().after, response_text(200, request, "again")});
         break;
     case 5:
         response.pieces.clear();
         response.end = response_end::send_nothing;
         break;
     case 6:
-        response.pieces = {{{}, answer_text(500, request, "failed")}};
+        response.pieces = {{{}, response_text(500, request, "failed")}};
         break;
     default:
         break;
--- a/test/support/core_fleet.cpp
+++ b/test/support/core_fleet.cpp
@@ -115,7 +115,7 @@
         list.push_back({other.self, false});
     item.core->members().merge_list(list, this->clock);
     item.core->offer(write_fleet_config(this->current));
-    item.core->answers().on_data.connect([this, index](std::uint64_t id, std::string_view bytes) {
+    item.core->responses().on_data.connect([this, index](std::uint64_t id, std::string_view bytes) {
         const auto found = this->vms[index].requests.find(id);
         if (found != this->vms[index].requests.end()) this->results[found->second].text += bytes;
     });
@@ -199,14 +199,14 @@
     item.core->tick({this->clock, this->unix_now()});
     for (const action& next : item.core->take_actions())
         this->carry_out(index, next);
-    for (const outgoing_gossip& next : item.core->members().drain())
+    for (const outgoing_gossip& next : item.core->members().take_datagrams())
         this->send_gossip(index, next);
 }
 
 void core_fleet::finish(std::size_t index, std::uint64_t request, ending how)
 {
     // As in the daemon, also if the caller has disconnected.
-    this->vms[index].core->answers().release(request);
+    this->vms[index].core->responses().release(request);
     const auto found = this->vms[index].requests.find(request);
     if (found == this->vms[index].requests.end()) return;
     core_result& result = this->results[found->second];
@@ -227,9 +227,9 @@
             } else if constexpr (std::is_same_v<Order, cancel_call>) {
                 this->cancel_run(index, order.id);
             } else if constexpr (std::is_same_v<Order, bind_attempt>) {
-                this->vms[index].core->answers().bind(order.request, order.id, order.gate, true);
+                this->vms[index].core->responses().bind(order.request, order.id, order.gate, true);
             } else if constexpr (std::is_same_v<Order, complete_request>) {
-                this->finish(index, order.request, ending::whole);
+                this->finish(index, order.request, ending::complete);
             } else if constexpr (std::is_same_v<Order, replay_request>) {
                 this->finish(index, order.request, ending::replayed);
             } else if constexpr (std::is_same_v<Order, fail_request>) {
@@ -240,7 +240,7 @@
                 this->finish(index, order.request,
                              order.result == outcome::not_run ? ending::not_run : ending::unknown);
             } else if constexpr (std::is_same_v<Order, drop_request>) {
-                this->vms[index].core->answers().release(order.request);
+                this->vms[index].core->responses().release(order.request);
             } else if constexpr (std::is_same_v<Order, object_call>) {
                 this->run_object_call(index, order);
             } else if constexpr (std::is_same_v<Order, start_order>) {
@@ -359,7 +359,7 @@
     return index;
 }
 
-void core_fleet::hang_up(std::size_t result)
+void core_fleet::disconnect_caller(std::size_t result)
 {
     for (std::size_t i = 0; i < this->vms.size(); ++i) {
         const auto found = std::ranges::find(this->vms[i].requests, result,
@@ -368,7 +368,7 @@
         const std::uint64_t request = found->first;
         this->finish(i, request, ending::gone);
         this->for_vm(i, this->vms[i].vm_incarnation, [this, i, request] {
-            this->vms[i].core->data().in.departures.push_back(request);
+            this->vms[i].core->data().in.disconnects.push_back(request);
             this->schedule_tick(i);
         });
         return;
@@ -568,7 +568,7 @@
     }
     this->at(this->clock + platform_delay, [this, index, vm_incarnation, result] {
         this->for_vm(index, vm_incarnation, [this, index, result] {
-            this->vms[index].core->data().in.objects.push_back(result);
+            this->vms[index].core->data().in.object_results.push_back(result);
             this->schedule_tick(index);
         });
     });
@@ -581,7 +581,7 @@
              [this, index, vm_incarnation] { this->report_loads(index, vm_incarnation); });
     if (this->vms[index].paused_until > this->clock) return;
     for (const auto& [id, gate] : this->vms[index].core->data().gates) {
-        if (!gate.first) continue;
+        if (!gate.is_first_ranked) continue;
         load_report report;
         report.server = id;
         report.running = this->servers[id.text].running;
--- a/test/support/core_fleet.h
+++ b/test/support/core_fleet.h
@@ -62,7 +62,7 @@
     worksshift::priority urgency = worksshift::priority::interactive;
 };
 
-enum class ending : std::uint8_t { none, whole, not_run, unknown, replayed, gone };
+enum class ending : std::uint8_t { none, complete, not_run, unknown, replayed, gone };
 
 /** The outcome of a request. */
 struct core_result {
@@ -135,7 +135,7 @@
 
     /** Submits a request to a node; returns the index of its result. */
     std::size_t submit(std::size_t node_index, const core_request& request);
-    void hang_up(std::size_t result);
+    void disconnect_caller(std::size_t result);
 
     void kill(std::size_t node_index);
     void restart(std::size_t node_index);
--- a/test/support/digest_fleet.cpp
+++ b/test/support/digest_fleet.cpp
@@ -101,9 +101,9 @@
     const auto receiver = this->vms.find(item.to);
     if (receiver == this->vms.end()) return;
     receiver->second.bytes_received += item.bytes.size();
-    const fleet_vm* from =
-        receiver->second.rounds.fleet().take(first_address + static_cast<std::uint32_t>(item.from),
-                                             decode_digest(item.bytes, "vm"), this->now);
+    const fleet_vm* from = receiver->second.rounds.fleet().apply_digest(
+        first_address + static_cast<std::uint32_t>(item.from), decode_digest(item.bytes, "vm"),
+        this->now);
     if (from != nullptr && this->on_digest) this->on_digest(item.to, *from);
 }
 
--- a/test/support/fleet.cpp
+++ b/test/support/fleet.cpp
@@ -202,12 +202,12 @@
     result.status = std::atoi(bytes.c_str() + 9);
     const std::string rest = bytes.substr(end + 4);
     if (result.header("Transfer-Encoding") == "chunked") {
-        result.body = decode_chunks(rest, result.whole);
+        result.body = decode_chunks(rest, result.complete);
         return result;
     }
     const std::string length = result.header("Content-Length");
     result.body = rest;
-    result.whole = !length.empty() && std::stoul(length) == rest.size();
+    result.complete = !length.empty() && std::stoul(length) == rest.size();
     return result;
 }
 
--- a/test/support/fleet.h
+++ b/test/support/fleet.h
@@ -46,8 +46,8 @@
 struct reply {
     int status = 0; ///< 0: no response
     std::string head;
-    std::string body;   ///< decoded if it was chunked
-    bool whole = false; ///< complete according to its HTTP framing
+    std::string body;      ///< decoded if it was chunked
+    bool complete = false; ///< complete according to its HTTP framing
 
     [[nodiscard]] std::string header(const std::string& name) const;
     [[nodiscard]] nlohmann::json json() const;
--- a/test/support/path_rig.cpp
+++ b/test/support/path_rig.cpp
@@ -97,19 +97,19 @@
         const std::string request = item.bytes.substr(0, size);
         item.bytes.erase(0, size);
         this->requests.push_back(request);
-        const scripted_answer given = this->answer(request);
+        const scripted_response given = this->answer(request);
         const evutil_socket_t socket = bufferevent_getfd(item.socket.get());
         if (!given.bytes.empty()) {
             const ssize_t sent =
                 ::send(socket, given.bytes.data(), given.bytes.size(), MSG_NOSIGNAL);
             static_cast<void>(sent);
         }
-        if (given.after == scripted_answer::then::close) ::shutdown(socket, SHUT_WR);
-        if (given.after == scripted_answer::then::reset) {
+        if (given.after == scripted_response::then::close) ::shutdown(socket, SHUT_WR);
+        if (given.after == scripted_response::then::reset) {
             reset(item);
             return;
         }
-        if (given.after == scripted_answer::then::end) {
+        if (given.after == scripted_response::then::end) {
             this->end();
             return;
         }
@@ -249,8 +249,8 @@
     return text + "\r\n" + body;
 }
 
-std::string answer_text(int status, const std::string& request, const std::string& body,
-                        const std::string& extra_headers)
+std::string response_text(int status, const std::string& request, const std::string& body,
+                          const std::string& extra_headers)
 {
     return "HTTP/1.1 " + std::to_string(status) +
            " X\r\nX-Request-Id: " + header_in(request, "x-request-id") +
--- a/test/support/path_rig.h
+++ b/test/support/path_rig.h
@@ -18,7 +18,7 @@
 namespace support {
 
 /** Reaction of a scripted server to a request. */
-struct scripted_answer {
+struct scripted_response {
     /** What follows the bytes. `end`: the server's process ends, with all its connections and its
      * listener. */
     enum class then : std::uint8_t { keep, close, reset, stay_silent, end };
@@ -29,7 +29,7 @@
 /** A server that sends scripted raw bytes, on a free loopback port. */
 class scripted_server {
 public:
-    using script = std::function<scripted_answer(const std::string& request)>;
+    using script = std::function<scripted_response(const std::string& request)>;
     scripted_server(event_base* base, script answer);
     ~scripted_server();
     scripted_server(const scripted_server&) = delete;
@@ -119,8 +119,8 @@
 std::string request_text(const std::string& method, const std::string& target,
                          const std::string& id, const std::string& body = {});
 /** A response that echoes the id of \p request. */
-std::string answer_text(int status, const std::string& request, const std::string& body,
-                        const std::string& extra_headers = {});
+std::string response_text(int status, const std::string& request, const std::string& body,
+                          const std::string& extra_headers = {});
 /** Head of a chunked event stream in response to \p request. */
 std::string stream_head(const std::string& request);
 /** One event as an HTTP chunk. */
--- a/test/support/store_fleet.cpp
+++ b/test/support/store_fleet.cpp
@@ -69,13 +69,13 @@
     if (this->refused.contains(call.vm)) return {verdict::refused, {}};
     answer made;
     made.page.revision = this->visible(call.read.mode, now);
-    if (std::holds_alternative<list_read>(call.read.what)) {
+    if (std::holds_alternative<list_read>(call.read.operation)) {
         made.result = verdict::page;
         for (const auto& [name, object] : this->objects(call.kind, made.page.revision))
             made.page.objects.push_back(object);
         return made;
     }
-    const auto& watch = std::get<watch_read>(call.read.what);
+    const auto& watch = std::get<watch_read>(call.read.operation);
     if (watch.revision < this->history_from) return {verdict::gone, {}};
     for (const change& each : this->log) {
         const std::uint64_t at = each.object.revision;
@@ -97,7 +97,8 @@
         const follower_vm& item = this->vms.at(vm);
         digest.config_version = item.version;
         digest.servers_revision = item.feed.revision();
-        digest.watches_store = item.config.watch.follows() && item.servers.watch.follows();
+        digest.watches_store =
+            item.config.watch.receives_updates() && item.servers.watch.receives_updates();
         item.evacuated.describe(digest, this->server_places);
     };
     this->fleet.on_digest = [this](std::size_t vm, const fleet_vm& from) {
@@ -185,7 +186,7 @@
     this->store.put(object_kind::evacuations, place, "{}", this->fleet.now);
 }
 
-void store_fleet::take_back(const std::string& place)
+void store_fleet::revoke_evacuation(const std::string& place)
 {
     this->store.remove(object_kind::evacuations, place, this->fleet.now);
 }
@@ -198,7 +199,7 @@
         wanted.insert(static_cast<std::uint32_t>(hash_of(place)));
     return std::ranges::all_of(this->fleet.vms, [&](const auto& entry) {
         return without.contains(entry.first) ||
-               this->vms.at(entry.first).evacuated.places() == wanted;
+               this->vms.at(entry.first).evacuated.data_centre_hashes() == wanted;
     });
 }
 
@@ -226,11 +227,11 @@
                         const update_origin& origin)
 {
     const std::uint64_t before = item.feed.revision();
-    const std::optional<registry_update> accepted = item.feed.take(update);
+    const std::optional<registry_update> accepted = item.feed.apply(update);
     if (item.feed.revision() < before) item.regressed = true;
     if (!accepted) return;
     this->take_servers(item, *accepted, origin);
-    if (accepted->whole) item.registry.clear();
+    if (accepted->complete) item.registry.clear();
     for (const stored_object& object : accepted->objects) {
         const auto known = item.registry.find(object.name);
         if (known != item.registry.end() && object.revision < known->second.revision) {
@@ -247,7 +248,7 @@
 void store_fleet::take_servers(follower_vm& item, const registry_update& accepted,
                                const update_origin& origin) const
 {
-    if (accepted.whole) {
+    if (accepted.complete) {
         item.servers_in_use.apply_list(accepted.objects, origin, this->fleet.now);
         return;
     }
@@ -302,9 +303,9 @@
     item.call_cost += read->mode == read_mode::stale ? stale_price : 1;
     const object_kind kind = follow.watch.kind();
     this->waiting.push_back({vm, kind, *read, now});
-    const duration limit = read->limit.silence > duration::zero()
-                               ? std::min(read->limit.silence, read->limit.whole)
-                               : read->limit.whole;
+    const duration limit = read->limit.idle > duration::zero()
+                               ? std::min(read->limit.idle, read->limit.total)
+                               : read->limit.total;
     this->pending.push_back({vm, kind, read->number, now + limit});
 }
 
@@ -355,7 +356,7 @@
     if (is_running && config) answer.version = asked->second.version;
     if (is_running && !config) {
         answer.update = asked->second.feed.since(item.feed.revision());
-        answer.update->kept = asked->second.servers_in_use.kept(now);
+        answer.update->retained = asked->second.servers_in_use.retained_servers(now);
     }
     this->answers.push_back(answer);
 }
--- a/test/support/store_fleet.h
+++ b/test/support/store_fleet.h
@@ -94,7 +94,7 @@
     void set_config(std::uint64_t version);
     /** Requests or withdraws the evacuation of a data centre of servers. */
     void evacuate(const std::string& place);
-    void take_back(const std::string& place);
+    void revoke_evacuation(const std::string& place);
     /** Whether all live VMs except \p without know exactly the evacuated data centres. */
     [[nodiscard]] bool all_evacuate(const std::set<std::string>& places,
                                     const std::set<std::size_t>& without = {}) const;
