--- a/test/error/servers_that_leave_or_expire.cpp
+++ b/test/error/servers_that_leave_or_expire.cpp
@@ -105,9 +105,10 @@
         this->registry->apply_list({}, store_origin{}, recovered_at);
         this->registry->sweep(recovered_at + milliseconds(2100), recovered_at);
         CPPUNIT_ASSERT_EQUAL(std::size_t{4}, this->usable());
-        for (const std::string name : {"a", "b", "c", "d"})
+        for (const std::string name : {"a", "b", "c", "d"}) {
             this->registry->apply_change(entry(name), from_watch,
                                          recovered_at + milliseconds(2000));
+        }
         this->registry->sweep(recovered_at + seconds(10), recovered_at);
         CPPUNIT_ASSERT_EQUAL(std::size_t{4}, this->usable());
     }
@@ -164,9 +165,10 @@
     {
         const instant requested_at = this->start + seconds(60);
         const std::vector<retained_server> retained{{"a", 1000}, {"b", 1000}, {"c", 1000}};
-        for (const std::string name : {"a", "b", "c"})
+        for (const std::string name : {"a", "b", "c"}) {
             this->registry->apply_change(removal(name), peer_origin{retained, requested_at},
                                          requested_at);
+        }
         const instant retention_end =
             requested_at - milliseconds(1000) + server_registry::removed_retention;
         this->registry->sweep(retention_end - milliseconds(1), this->start);
--- a/test/error/suspended_vms.cpp
+++ b/test/error/suspended_vms.cpp
@@ -95,9 +95,10 @@
         CPPUNIT_ASSERT(caller.received.starts_with("HTTP/1.1 200"));
         int min_deadline_ms = 10000;
         for (const scripted_server* server : this->rig->all_servers()) {
-            for (const std::string& request : server->requests)
+            for (const std::string& request : server->requests) {
                 min_deadline_ms =
                     std::min(min_deadline_ms, std::stoi(header_in(request, "x-deadline-ms")));
+            }
         }
         CPPUNIT_ASSERT(min_deadline_ms <= 700);
     }
